--- a/crates/core/src/batch/controller/runs.rs
+++ b/crates/core/src/batch/controller/runs.rs
@@ -12,7 +12,7 @@
 
 /// How much faster another replica must be before a run is moved there: paces are known to some percent, and the quickest of
 /// many that are alike is some percent luckier still.
-const LEAST_GAIN: f64 = 1.18;
+const MIN_GAIN: f64 = 1.18;
 /// What a move costs, in seconds: a connection, the prompt and what was made so far read anew, the first event.
 const MOVE_COST_S: f64 = 0.2;
 
@@ -20,7 +20,7 @@
 const MOVES_PER_TICK: usize = 8;
 
 /// A run stays at least so long where it is.
-const LEAST_STAY: Duration = Duration::from_millis(500);
+const MIN_STAY: Duration = Duration::from_millis(500);
 
 impl Controller {
     /// Takes what a run gives.
@@ -218,7 +218,7 @@
 
     fn should_move(&self, now: Timestamp, id: RunId, best: f64) -> bool {
         let Some(run) = self.runs.get(&id) else { return false };
-        if now.saturating_since(run.started_at) < LEAST_STAY || run.last_event_at.is_none() {
+        if now.saturating_since(run.started_at) < MIN_STAY || run.last_event_at.is_none() {
             return false;
         }
         let Some(state) = self.replicas.get(&run.replica) else { return false };
@@ -253,5 +253,5 @@
 /// more than the move costs. Lengths have a long tail: a run is expected to go on for as long again.
 fn is_worth_moving(pace: f64, other: f64, events: usize) -> bool {
     let gain = (pace - other) * events as f64;
-    other * LEAST_GAIN < pace && gain > MOVE_COST_S
+    other * MIN_GAIN < pace && gain > MOVE_COST_S
 }
--- a/crates/core/src/batch/end_pursuit.rs
+++ b/crates/core/src/batch/end_pursuit.rs
@@ -10,9 +10,9 @@
 use crate::time::Timestamp;
 
 /// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of a deployment.
-pub const MOST_PENDING: usize = 4_096;
+pub const MAX_PENDING: usize = 4_096;
 /// Ends that the owner is asked for at a time, so that many of them are no storm where it is away.
-pub const MOST_ASKED: usize = 32;
+pub const MAX_ASKED: usize = 32;
 /// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its route allows.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
 /// The pause after the first question that was not answered for sure; doubled after each further one.
@@ -136,7 +136,7 @@
             }
             return None;
         }
-        let displaced = if self.pending.len() >= MOST_PENDING { self.oldest() } else { None };
+        let displaced = if self.pending.len() >= MAX_PENDING { self.oldest() } else { None };
         let displaced = displaced.and_then(|oldest| self.settle(now, &oldest, EndOutcome::Displaced));
         let next_at = match source {
             EndSource::Caller => now,
@@ -166,7 +166,7 @@
 
     /// Ends to ask the owner for now.
     pub fn due(&mut self, now: Timestamp) -> Vec<EndKey> {
-        let room = MOST_ASKED.saturating_sub(self.asked());
+        let room = MAX_ASKED.saturating_sub(self.asked());
         let is_due = |held: &PendingEnd| !held.is_asked && held.next_at <= now;
         let mut due: Vec<(Timestamp, EndKey)> = self
             .pending
@@ -187,7 +187,7 @@
 
     /// When the next end is due; `None` while as many are asked for as may be, or none waits.
     pub fn deadline(&self) -> Option<Timestamp> {
-        if self.asked() >= MOST_ASKED {
+        if self.asked() >= MAX_ASKED {
             return None;
         }
         self.pending.values().filter(|held| !held.is_asked).map(|held| held.next_at).min()
--- a/crates/core/src/batch/load_limit.rs
+++ b/crates/core/src/batch/load_limit.rs
@@ -14,7 +14,7 @@
 /// The part of a service's replicas that load at a time before anything was measured.
 const FIRST_SHARE: f64 = 0.2;
 /// Fewer are never worth waiting for one another.
-const LEAST_FIRST: usize = 2;
+const MIN_FIRST: usize = 2;
 /// A load that took no longer than this share of the shortest was not slowed by the others. Reports are read some 60 ms
 /// apart, against loads of about a second.
 const QUICK_RATIO: f64 = 1.15;
@@ -23,9 +23,9 @@
 /// Loads that began beside so great a share of the limit say something about it.
 const TELLING_SHARE: f64 = 0.75;
 /// Loads of a round at least: with a fifth of the replicas slow, all of three are in one round of a hundred.
-const LEAST_ROUND: usize = 3;
+const MIN_ROUND: usize = 3;
 /// Loads of a round at most: some of those that go on together are enough.
-const MOST_ROUND: usize = 8;
+const MAX_ROUND: usize = 8;
 /// The shortest load is looked for among so many of the newest: some seconds of loads at the limit.
 const HISTORY: usize = 64;
 
@@ -49,7 +49,7 @@
 
 impl PoolSize {
     fn first_limit(self) -> usize {
-        ((self.replicas as f64 * FIRST_SHARE).round() as usize).max(LEAST_FIRST)
+        ((self.replicas as f64 * FIRST_SHARE).round() as usize).max(MIN_FIRST)
     }
 
     /// Each model can advance beside the others, where that is no more than the platform is taken to bear at first.
@@ -94,7 +94,7 @@
             return;
         }
         self.round.push(RoundLoad { time, beside });
-        if self.round.len() >= limit.clamp(LEAST_ROUND, MOST_ROUND) {
+        if self.round.len() >= limit.clamp(MIN_ROUND, MAX_ROUND) {
             self.judge(limit, size);
             self.round.clear();
         }
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -15,7 +15,7 @@
 /// The beginning of the names of the others.
 const REGIONAL_PREFIX: &str = "batch/in/";
 /// More shards than these are not kept at a time: each has an owner and a log of its own.
-pub const MOST_SHARDS: usize = 16;
+pub const MAX_SHARDS: usize = 16;
 
 /// The shard of the jobs that may be kept in these regions.
 pub fn shard_of(regions: &AllowedRegions) -> ShardId {
@@ -33,7 +33,7 @@
 }
 
 /// The sets of regions, besides that of all, that batch jobs may be bound to by a configuration: those of its routes, each
-/// together with those of each tenant. In the order of their names; more than [`MOST_SHARDS`] may come back.
+/// together with those of each tenant. In the order of their names; more than [`MAX_SHARDS`] may come back.
 pub fn bound_sets(routes: &RouteTable) -> BTreeSet<AllowedRegions> {
     let batch = routes.routes.iter().filter(|route| route.kind == RouteKind::Batch);
     let tenants = routes.tenants.as_ref().map_or(&[][..], |directory| directory.tenants());
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -10,7 +10,7 @@
 use crate::identity::{BatchId, TenantName};
 use crate::ingress::admission::AdmissionGate;
 use crate::ingress::places::AllowedRegions;
-use crate::ingress::replicas::{Experience, ReplicaChooser, ReplicaRecord};
+use crate::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord};
 use crate::ingress::routes::{Route, RouteTable};
 use crate::quarantine::Quarantine;
 use crate::retry::budget::{BudgetConfig, RetryBudget};
@@ -21,9 +21,9 @@
 /// How often the route's target a replica may take before the request goes elsewhere.
 const PATIENCE_TARGETS: u32 = 4;
 /// The least time that a replica is given.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+const MIN_PATIENCE: Duration = Duration::from_millis(300);
 /// The most time that a replica is given.
-const MOST_PATIENCE: Duration = Duration::from_millis(1_500);
+const MAX_PATIENCE: Duration = Duration::from_millis(1_500);
 /// The pause after the second try in a row that gave no score; doubled after each further one.
 const RETRY_START: Duration = Duration::from_millis(40);
 /// The longest pause between two tries.
@@ -144,7 +144,7 @@
         let gone: Vec<ScoreId> = gone.map(|(id, _)| *id).collect();
         for id in &gone {
             if let Some(active) = self.active.remove(id) {
-                self.chooser.ended(&active.replica, Experience::Abandoned, now);
+                self.chooser.ended(&active.replica, ReplicaFeedback::Abandoned, now);
             }
         }
         gone
@@ -248,14 +248,14 @@
     ) -> Option<EndedScore> {
         let active = self.active.remove(&id)?;
         let ActiveScore { mut waiting, replica, is_cold, began } = active;
-        let experience = match end {
-            ScoreEnd::Scored(_) if is_cold => Experience::AnsweredCold,
-            ScoreEnd::Scored(_) => Experience::Answered(now.saturating_since(began)),
-            ScoreEnd::Failed => Experience::Failed,
-            ScoreEnd::Rejected => Experience::Full,
-            ScoreEnd::Broken => Experience::Silent,
+        let feedback = match end {
+            ScoreEnd::Scored(_) if is_cold => ReplicaFeedback::AnsweredCold,
+            ScoreEnd::Scored(_) => ReplicaFeedback::Answered(now.saturating_since(began)),
+            ScoreEnd::Failed => ReplicaFeedback::Failed,
+            ScoreEnd::Rejected => ReplicaFeedback::Full,
+            ScoreEnd::Broken => ReplicaFeedback::Silent,
         };
-        self.chooser.ended(&replica, experience, now);
+        self.chooser.ended(&replica, feedback, now);
         let route = routes.and_then(|routes| routes.find(&waiting.request.host, &waiting.request.path));
         let ended = EndedScore {
             key: waiting.key.clone(),
@@ -281,7 +281,7 @@
 
 /// How long one replica may take.
 fn patience(route: &Route) -> Duration {
-    let patience = (route.target * PATIENCE_TARGETS).clamp(LEAST_PATIENCE, MOST_PATIENCE);
+    let patience = (route.target * PATIENCE_TARGETS).clamp(MIN_PATIENCE, MAX_PATIENCE);
     route.timeout.map_or(patience, |timeout| timeout.min(patience))
 }
 
--- a/crates/core/src/batch/weights.rs
+++ b/crates/core/src/batch/weights.rs
@@ -17,7 +17,7 @@
 use crate::time::Timestamp;
 
 /// Replicas for each model below which none is given a home.
-const LEAST_REPLICAS_FOR_HOMES: usize = 2;
+const MIN_REPLICAS_FOR_HOMES: usize = 2;
 /// Loads of a version wait so long after it was named: the step that was asked for with it fills the slots first, and a
 /// replica whose slots are full loses nothing while it loads, since its runs go on.
 const LOAD_DELAY: Duration = Duration::from_millis(300);
@@ -172,7 +172,7 @@
     fn settle_homes(&mut self, replicas: &BTreeMap<String, ReplicaState>, members: &[&ReplicaState]) {
         let models = models_of(members);
         self.homes.retain(|id, _| replicas.contains_key(id));
-        if models.len() < 2 || members.len() < models.len() * LEAST_REPLICAS_FOR_HOMES {
+        if models.len() < 2 || members.len() < models.len() * MIN_REPLICAS_FOR_HOMES {
             self.homes.clear();
             return;
         }
--- a/crates/core/src/configuration/writer.rs
+++ b/crates/core/src/configuration/writer.rs
@@ -64,12 +64,12 @@
     /// Wait until this time, then poll again.
     Wait(Timestamp),
     /// The change is settled.
-    Finish(Outcome),
+    Finish(ChangeOutcome),
 }
 
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// Proved by a reply to a read or write: the register holds the change.
     Accepted {
         /// The revision that the change made.
@@ -109,7 +109,7 @@
     ToWrite { base_version: Option<Revision>, register: Register },
     Writing { base_version: Option<Revision>, register: Register },
     Pausing(Timestamp),
-    Finished(Outcome),
+    Finished(ChangeOutcome),
 }
 
 impl ChangeWriter {
@@ -117,7 +117,7 @@
     pub fn new(change: Change, config: Config, now: Timestamp) -> Self {
         let state = match change.check() {
             Ok(()) => State::ToRead,
-            Err(refused) => State::Finished(Outcome::Refused(refused)),
+            Err(refused) => State::Finished(ChangeOutcome::Refused(refused)),
         };
         Self { change, config, started: now, state, unsettled: None }
     }
@@ -148,9 +148,11 @@
     pub fn read_finished(&mut self, stored: Option<StoredRegister>, now: Timestamp) {
         let Some(stored) = stored else { return self.pause(now) };
         self.state = match stored.register.find(&self.change) {
-            Ok(Some(revision)) => State::Finished(Outcome::Accepted { revision, register: stored.register }),
+            Ok(Some(revision)) => {
+                State::Finished(ChangeOutcome::Accepted { revision, register: stored.register })
+            }
             Ok(None) => self.after_absent(stored),
-            Err(refused) => State::Finished(Outcome::Refused(refused)),
+            Err(refused) => State::Finished(ChangeOutcome::Refused(refused)),
         };
     }
 
@@ -161,7 +163,7 @@
             WriteReply::Written => {
                 let revision = register.document().revision();
                 let register = register.clone();
-                self.state = State::Finished(Outcome::Accepted { revision, register });
+                self.state = State::Finished(ChangeOutcome::Accepted { revision, register });
             }
             // An earlier write of ours may be what this one lost to: only a read can tell.
             WriteReply::Conflict => self.state = State::ToRead,
@@ -180,15 +182,15 @@
         }
         match stored.register.apply(&self.change) {
             Ok(register) => State::ToWrite { base_version: stored.version, register },
-            Err(refused) => State::Finished(Outcome::Refused(refused)),
+            Err(refused) => State::Finished(ChangeOutcome::Refused(refused)),
         }
     }
 
     fn pause(&mut self, now: Timestamp) {
         let elapsed = now.saturating_since(self.started);
         self.state = match self.unsettled {
-            None if elapsed >= self.config.reach_deadline => State::Finished(Outcome::Unavailable),
-            Some(_) if elapsed >= self.config.settle_deadline => State::Finished(Outcome::InDoubt),
+            None if elapsed >= self.config.reach_deadline => State::Finished(ChangeOutcome::Unavailable),
+            Some(_) if elapsed >= self.config.settle_deadline => State::Finished(ChangeOutcome::InDoubt),
             _ => State::Pausing(now + self.config.retry_pause),
         };
     }
--- a/crates/core/src/ingress/attempts.rs
+++ b/crates/core/src/ingress/attempts.rs
@@ -65,7 +65,7 @@
 /// Replicas that may be found unreachable before a request is given up.
 const MAX_UNSENT: u32 = 4;
 /// The least time in which another replica can still answer.
-const LEAST_REMAINING: Duration = Duration::from_millis(20);
+const MIN_REMAINING: Duration = Duration::from_millis(20);
 
 impl Attempts {
     /// A request that has not been sent.
@@ -89,7 +89,7 @@
                 self.may_have_run = true;
             }
         }
-        let has_time = remaining >= LEAST_REMAINING;
+        let has_time = remaining >= MIN_REMAINING;
         let has_sends = self.sends < self.max_sends && self.unsent < MAX_UNSENT;
         if has_time && has_sends && (self.is_repeatable || !self.may_have_run) {
             return Next::TryAnother;
--- a/crates/core/src/ingress/replicas.rs
+++ b/crates/core/src/ingress/replicas.rs
@@ -10,14 +10,14 @@
 /// Names one life of a replica: one that starts again under its name holds nothing of before, so that nothing that was believed of it may
 /// be believed of its next life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReplicaLife<'a> {
+pub struct ReplicaIncarnation<'a> {
     /// The replica's name.
     pub name: &'a str,
     /// When this life began, in milliseconds since the Unix epoch; `None` where the replica does not say.
     pub born_ms: Option<u64>,
 }
 
-impl fmt::Display for ReplicaLife<'_> {
+impl fmt::Display for ReplicaIncarnation<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born_ms {
             Some(born_ms) => write!(formatter, "{}@{born_ms}", self.name),
@@ -29,7 +29,7 @@
 /// One life of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaRecord {
-    /// The id of this life, by which all that is believed of it is kept: a [`ReplicaLife`]. A restart has another.
+    /// The id of this life, by which all that is believed of it is kept: a [`ReplicaIncarnation`]. A restart has another.
     pub id: String,
     /// The name under which it is listed, and which a request may ask for. A restart may keep it.
     pub name: String,
@@ -115,7 +115,7 @@
 
 /// How a request to a replica went, as far as its choice is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Experience {
+pub enum ReplicaFeedback {
     /// It answered after this time.
     Answered(Duration),
     /// It answered while it was cold, which says nothing of its pace.
@@ -191,24 +191,24 @@
     }
 
     /// A request has ended.
-    pub fn ended(&mut self, replica: &str, experience: Experience, now: Timestamp) {
+    pub fn ended(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
         let seen = self.seen.entry(replica.to_owned()).or_default();
         seen.in_flight = seen.in_flight.saturating_sub(1);
-        match experience {
-            Experience::Answered(took) => {
+        match feedback {
+            ReplicaFeedback::Answered(took) => {
                 let took_ms = took.as_secs_f64() * 1_000.0;
                 let mean = seen.latency_ms.unwrap_or(took_ms);
                 seen.latency_ms = Some(mean + LATENCY_WEIGHT * (took_ms - mean));
                 seen.clear_suspicion();
             }
-            Experience::AnsweredCold => seen.clear_suspicion(),
-            Experience::Silent => {
+            ReplicaFeedback::AnsweredCold => seen.clear_suspicion(),
+            ReplicaFeedback::Silent => {
                 let pause = SUSPECT_START * 2_u32.saturating_pow(seen.failures_in_row.min(6));
                 seen.failures_in_row += 1;
                 seen.suspect_until = now + pause.min(SUSPECT_LIMIT);
             }
-            Experience::Full => seen.reported = Some((now, u32::MAX / 2)),
-            Experience::Failed | Experience::Abandoned => {}
+            ReplicaFeedback::Full => seen.reported = Some((now, u32::MAX / 2)),
+            ReplicaFeedback::Failed | ReplicaFeedback::Abandoned => {}
         }
     }
 
--- a/crates/core/src/ingress/warming_share.rs
+++ b/crates/core/src/ingress/warming_share.rs
@@ -23,7 +23,7 @@
 pub const SEND_WINDOW: Duration = Duration::from_millis(1_300);
 /// The most gateways that send to one cold replica. With more of them, each seldom, a caller's gateway is more likely to be
 /// one; a replica that bears much gives each more.
-const MOST_GATEWAYS: f64 = 10.0;
+const MAX_GATEWAYS: f64 = 10.0;
 /// A gateway that is not seen any more keeps its place in the order for so long: during a cut both sides leave the places
 /// of the other free.
 const REMEMBERED_FOR: Duration = Duration::from_secs(60);
@@ -98,7 +98,7 @@
         let stands = self.bounds.per_second * OVERLOAD_FACTOR + OVERLOAD_SLACK;
         let of_owner = (self.owner_rate * SEND_WINDOW.as_secs_f64()).ceil();
         let of_each_set = (stands - of_owner) / 2.0;
-        let senders = of_each_set.floor().clamp(1.0, MOST_GATEWAYS);
+        let senders = of_each_set.floor().clamp(1.0, MAX_GATEWAYS);
         let in_a_window = (self.gateway_rate.min(of_each_set) / senders).floor().max(1.0);
         let interval_s = (SEND_WINDOW.as_secs_f64() / in_a_window).max(senders / self.gateway_rate);
         let interval = Duration::try_from_secs_f64(interval_s).ok()?;
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -10,7 +10,7 @@
 use super::config::{Config, ConfigError, MAXIMUM_NAME_BYTES};
 use super::documents::Documents;
 use super::event::{Counters, Event, HeardRevision};
-use super::member::{Claim, Incarnation, MemberInfo, MemberRecord, Standing};
+use super::member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing};
 use super::message::{Body, Message, Update};
 use super::probe::{PendingProbe, ProbeOrder, Relays};
 use super::repair::Join;
@@ -131,7 +131,7 @@
             transmits: VecDeque::new(),
             config,
         };
-        let claim = Claim { incarnation, standing: Standing::Alive };
+        let claim = MemberClaim { incarnation, standing: Standing::Alive };
         membership.updates.push(Update::alive(&info, incarnation));
         membership.table.insert(MemberRecord { info, claim, since: now });
         Ok(membership)
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -46,7 +46,7 @@
 /// Invariant: a claim replaces another only where it is greater, by incarnation first, then by standing. Only
 /// the member itself raises its incarnation, so nobody else can undo its failure (Das et al. 2002, section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Claim {
+pub struct MemberClaim {
     /// Which life of the member, and which refutation in it, the claim is about.
     pub incarnation: Incarnation,
     /// How it stands.
@@ -72,7 +72,7 @@
     /// What it says of itself.
     pub info: MemberInfo,
     /// The greatest claim heard.
-    pub claim: Claim,
+    pub claim: MemberClaim,
     /// When its standing last changed, by this node's time awake.
     pub since: Timestamp,
 }
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -3,7 +3,7 @@
 use speedy::{LittleEndian, Readable, Writable};
 
 use super::config::MAXIMUM_NAME_BYTES;
-use super::member::{Claim, Incarnation, MemberInfo, Standing, WireAddress};
+use super::member::{Incarnation, MemberClaim, MemberInfo, Standing, WireAddress};
 use crate::identity::{NodeId, Revision, ZoneName};
 
 /// The first byte of every datagram; goes up when the encoding changes.
@@ -181,7 +181,7 @@
     }
 
     /// The claim about a member as news.
-    pub fn from_claim(info: &MemberInfo, claim: Claim) -> Self {
+    pub fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
         let news = match claim.standing {
             Standing::Alive => return Self::alive(info, claim.incarnation),
             Standing::Suspect => News::Suspect,
@@ -192,14 +192,14 @@
     }
 
     /// The claim that the news makes.
-    pub fn claim(&self) -> Claim {
+    pub fn claim(&self) -> MemberClaim {
         let standing = match self.news {
             News::Alive { .. } => Standing::Alive,
             News::Suspect => Standing::Suspect,
             News::Failed => Standing::Failed,
             News::Left => Standing::Left,
         };
-        Claim { incarnation: self.incarnation, standing }
+        MemberClaim { incarnation: self.incarnation, standing }
     }
 
     /// What the member says of itself, where the news carries it.
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -35,5 +35,5 @@
 pub use config::{Config, ConfigError, MAXIMUM_NAME_BYTES, Mechanisms};
 pub use event::{Cause, Counters, Event, EventKind, HeardRevision};
 pub use machine::{Membership, StartError, Transmit};
-pub use member::{Claim, Incarnation, MemberInfo, MemberRecord, Standing, WireAddress};
+pub use member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing, WireAddress};
 pub use message::{Body, DecodeError, DocumentRevision, Message, News, Update};
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -4,7 +4,7 @@
 
 use super::event::{Cause, Event, EventKind};
 use super::machine::Membership;
-use super::member::{Claim, Incarnation, Standing};
+use super::member::{Incarnation, MemberClaim, Standing};
 use super::message::{News, Update};
 use super::table::Applied;
 use crate::identity::NodeId;
@@ -96,7 +96,7 @@
         let refutation = Update::alive(&record.info, incarnation);
         let own_record = super::member::MemberRecord {
             info: record.info.clone(),
-            claim: Claim { incarnation, standing: Standing::Alive },
+            claim: MemberClaim { incarnation, standing: Standing::Alive },
             since: now,
         };
         self.table.insert(own_record);
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::member::{Claim, MemberRecord, Standing};
+use super::member::{MemberClaim, MemberRecord, Standing};
 use super::message::Update;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -139,7 +139,7 @@
     u8::try_from(hash).unwrap_or_default()
 }
 
-fn fingerprint(node: &NodeId, claim: Claim) -> u32 {
+fn fingerprint(node: &NodeId, claim: MemberClaim) -> u32 {
     let hash = xxh3_64(format!("{node}\n{}", claim.incarnation.0).as_bytes());
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/core/src/replication/acceptor.rs
+++ b/crates/core/src/replication/acceptor.rs
@@ -8,7 +8,9 @@
 use super::claims::{self, ClaimVote, ClaimWindow};
 use super::entry::{Entry, IndexedEntry, LogIndex};
 use super::group::{AcceptedRun, GroupPhase, GroupRecord};
-use super::message::{Accept, Claim, Operation, Outcome, Read, Refusal, ReplicaRequest, ReplicaResponse};
+use super::message::{
+    Accept, ClaimRequest, Operation, Read, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal,
+};
 use super::replica_set::{Generation, ReplicaSet, StoreId};
 use super::storage::ShardStorage;
 use super::transfer::{self, PAGE_BYTES};
@@ -83,7 +85,7 @@
         let ReplicaRequest { shard, generation, store, operation } = request;
         let answers_as = if self.checks.check_store { self.store.clone() } else { store.clone() };
         let outcome = if self.checks.check_store && store != self.store {
-            Outcome::Refused(Refusal::WrongStore { store: self.store.clone() })
+            ReplicaAnswer::Refused(StoreRefusal::WrongStore { store: self.store.clone() })
         } else {
             self.operate(storage, now_unix_ms, &shard, generation, operation)?
         };
@@ -137,7 +139,7 @@
         shard: &ShardId,
         generation: Generation,
         operation: Operation,
-    ) -> Result<Outcome, S::Error> {
+    ) -> Result<ReplicaAnswer, S::Error> {
         let record = storage.group(shard)?;
         match operation {
             Operation::Begin(set) => return begin(storage, shard, record, set),
@@ -149,7 +151,7 @@
         }
         let record = match self.participant(record, generation) {
             Ok(record) => record,
-            Err(refusal) => return Ok(Outcome::Refused(refusal)),
+            Err(refusal) => return Ok(ReplicaAnswer::Refused(refusal)),
         };
         match operation {
             Operation::Seal(next) => transfer::seal(storage, shard, record, next),
@@ -159,10 +161,10 @@
             Operation::Prepare(ballot)
                 if self.is_sealed(&record) && !record.position.promised.admits(&ballot) =>
             {
-                Ok(Outcome::Refused(Refusal::HigherBallot { promised: record.position.promised }))
+                Ok(ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised: record.position.promised }))
             }
             operation => match self.active(&record) {
-                Err(refusal) => Ok(Outcome::Refused(refusal)),
+                Err(refusal) => Ok(ReplicaAnswer::Refused(refusal)),
                 Ok(()) => self.operate_active(storage, now_unix_ms, shard, record, operation),
             },
         }
@@ -175,13 +177,13 @@
         shard: &ShardId,
         record: GroupRecord,
         operation: Operation,
-    ) -> Result<Outcome, S::Error> {
+    ) -> Result<ReplicaAnswer, S::Error> {
         match operation {
             Operation::Prepare(ballot) => self.prepare(storage, shard, record, ballot),
             Operation::Read(read) => self.read(storage, shard, &record, &read),
             Operation::Accept(accept) => self.accept(storage, shard, record, accept),
             Operation::Claim(claim) => self.claim(storage, now_unix_ms, shard, &record, claim),
-            _ => Ok(Outcome::Refused(Refusal::OutOfOrder)),
+            _ => Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder)),
         }
     }
 
@@ -190,14 +192,14 @@
         &self,
         record: Option<GroupRecord>,
         generation: Generation,
-    ) -> Result<GroupRecord, Refusal> {
+    ) -> Result<GroupRecord, StoreRefusal> {
         let record = record.filter(|record| record.phase != GroupPhase::Joining);
-        let Some(record) = record else { return Err(Refusal::NotInstalled) };
+        let Some(record) = record else { return Err(StoreRefusal::NotInstalled) };
         if record.set.generation > generation {
-            return Err(Refusal::NewerGeneration { current: record.set });
+            return Err(StoreRefusal::NewerGeneration { current: record.set });
         }
         if record.set.generation < generation {
-            return Err(Refusal::NotInstalled);
+            return Err(StoreRefusal::NotInstalled);
         }
         Ok(record)
     }
@@ -206,20 +208,20 @@
         self.checks.refuse_when_sealed && matches!(record.phase, GroupPhase::Sealed { .. })
     }
 
-    fn active(&self, record: &GroupRecord) -> Result<(), Refusal> {
+    fn active(&self, record: &GroupRecord) -> Result<(), StoreRefusal> {
         match &record.phase {
             GroupPhase::Sealed { next } if self.checks.refuse_when_sealed => {
-                Err(Refusal::SealedFor { next: next.clone() })
+                Err(StoreRefusal::SealedFor { next: next.clone() })
             }
             _ => Ok(()),
         }
     }
 
     /// Invariant: the promised ballot never goes back.
-    fn admit(&self, record: &mut GroupRecord, ballot: &Ballot) -> Result<(), Refusal> {
+    fn admit(&self, record: &mut GroupRecord, ballot: &Ballot) -> Result<(), StoreRefusal> {
         let promised = &record.position.promised;
         if self.checks.refuse_lower_ballots && !promised.admits(ballot) {
-            return Err(Refusal::HigherBallot { promised: promised.clone() });
+            return Err(StoreRefusal::HigherBallot { promised: promised.clone() });
         }
         if promised != ballot {
             record.position.promised = ballot.clone();
@@ -234,13 +236,18 @@
         shard: &ShardId,
         mut record: GroupRecord,
         ballot: Ballot,
-    ) -> Result<Outcome, S::Error> {
+    ) -> Result<ReplicaAnswer, S::Error> {
         if let Err(refusal) = self.admit(&mut record, &ballot) {
-            return Ok(Outcome::Refused(refusal));
+            return Ok(ReplicaAnswer::Refused(refusal));
         }
         storage.put_group(shard, &record)?;
         let last = storage.last_index(shard)?;
-        Ok(Outcome::Promised { ballot, position: record.position, last, free_bytes: storage.free_bytes() })
+        Ok(ReplicaAnswer::Promised {
+            ballot,
+            position: record.position,
+            last,
+            free_bytes: storage.free_bytes(),
+        })
     }
 
     fn read<S: ShardStorage>(
@@ -249,15 +256,15 @@
         shard: &ShardId,
         record: &GroupRecord,
         read: &Read,
-    ) -> Result<Outcome, S::Error> {
+    ) -> Result<ReplicaAnswer, S::Error> {
         if record.position.promised != read.ballot {
             let promised = record.position.promised.clone();
-            return Ok(Outcome::Refused(Refusal::HigherBallot { promised }));
+            return Ok(ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised }));
         }
         let entries = storage.entries_from(shard, read.from, PAGE_BYTES)?;
         let last = storage.last_index(shard)?;
         let through = entries.last().map_or(last, |entry| entry.index);
-        Ok(Outcome::Entries { ballot: read.ballot.clone(), from: read.from, through, entries })
+        Ok(ReplicaAnswer::Entries { ballot: read.ballot.clone(), from: read.from, through, entries })
     }
 
     fn accept<S: ShardStorage>(
@@ -266,9 +273,9 @@
         shard: &ShardId,
         mut record: GroupRecord,
         accept: Accept,
-    ) -> Result<Outcome, S::Error> {
+    ) -> Result<ReplicaAnswer, S::Error> {
         if let Err(refusal) = self.admit(&mut record, &accept.ballot) {
-            return Ok(Outcome::Refused(refusal));
+            return Ok(ReplicaAnswer::Refused(refusal));
         }
         let through = accept.through();
         let Accept { ballot, from, payloads, decided_through, truncate_before } = accept;
@@ -276,7 +283,7 @@
         let entries: Vec<Entry> = entries.collect();
         let bytes: usize = entries.iter().map(Entry::cost).sum();
         if !entries.is_empty() && !storage.has_room(bytes as u64) {
-            return Ok(Outcome::Refused(Refusal::DiskFull));
+            return Ok(ReplicaAnswer::Refused(StoreRefusal::DiskFull));
         }
         // What was repaired here is decided, though its owner was not promised anything: a late request of the owner before
         // must not undo it.
@@ -290,7 +297,7 @@
         truncate(storage, shard, &mut record, truncate_before)?;
         storage.put_group(shard, &record)?;
         let (base, free_bytes) = (record.position.base, storage.free_bytes());
-        Ok(Outcome::Accepted { ballot, from, through, base, free_bytes })
+        Ok(ReplicaAnswer::Accepted { ballot, from, through, base, free_bytes })
     }
 
     fn claim<S: ShardStorage>(
@@ -299,8 +306,8 @@
         now_unix_ms: u64,
         shard: &ShardId,
         record: &GroupRecord,
-        claim: Claim,
-    ) -> Result<Outcome, S::Error> {
+        claim: ClaimRequest,
+    ) -> Result<ReplicaAnswer, S::Error> {
         let horizon = self.window.horizon_unix_ms(now_unix_ms);
         let horizon = horizon.max(record.position.claims_forgotten_before_unix_ms);
         let vote = if self.checks.refuse_forgotten_claims && claim.issued_at_unix_ms < horizon {
@@ -310,7 +317,7 @@
         } else {
             claims::vote(storage, shard, &claim)?
         };
-        Ok(Outcome::Voted { request: claim.request, attempt: claim.attempt, vote })
+        Ok(ReplicaAnswer::Voted { request: claim.request, attempt: claim.attempt, vote })
     }
 }
 
@@ -324,24 +331,24 @@
     shard: &ShardId,
     record: Option<GroupRecord>,
     set: ReplicaSet,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     let Some(mut record) = record else {
         storage.put_group(shard, &GroupRecord::first(set))?;
-        return Ok(Outcome::Begun);
+        return Ok(ReplicaAnswer::Begun);
     };
     if record.set == set && record.phase == GroupPhase::Active {
-        return Ok(Outcome::Begun);
+        return Ok(ReplicaAnswer::Begun);
     }
     let waits =
         record.set.generation < set.generation || (record.set == set && record.phase == GroupPhase::Joining);
     if !waits {
-        return Ok(Outcome::Refused(Refusal::OutOfOrder));
+        return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
     }
     record.set = set;
     record.phase = GroupPhase::Active;
     record.copying.clear();
     storage.put_group(shard, &record)?;
-    Ok(Outcome::Begun)
+    Ok(ReplicaAnswer::Begun)
 }
 
 /// Adds accepted positions to the run, or begins a new one where they don't follow it.
@@ -386,12 +393,12 @@
     shard: &ShardId,
     record: &GroupRecord,
     from: LogIndex,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     let decided_through = record.position.decided_through;
     let from = from.max(record.position.first());
     let mut entries = storage.entries_from(shard, from, PAGE_BYTES)?;
     entries.retain(|entry| entry.index <= decided_through);
-    Ok(Outcome::Decided { from, entries, base: record.position.base, decided_through })
+    Ok(ReplicaAnswer::Decided { from, entries, base: record.position.base, decided_through })
 }
 
 /// Adds decided entries that follow what is known to be decided here.
--- a/crates/core/src/replication/claims.rs
+++ b/crates/core/src/replication/claims.rs
@@ -9,7 +9,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::message::Claim;
+use super::message::ClaimRequest;
 use super::storage::ShardStorage;
 use crate::identity::{AttemptId, RequestId, ShardId};
 
@@ -102,7 +102,7 @@
 pub(super) fn vote<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
-    claim: &Claim,
+    claim: &ClaimRequest,
 ) -> Result<ClaimVote, S::Error> {
     let Some(record) = storage.claim(shard, &claim.request)? else {
         let holder = Some(claim.attempt.clone());
--- a/crates/core/src/replication/bearing.rs
+++ b/crates/core/src/replication/fault_tolerance.rs
@@ -13,13 +13,13 @@
 /// Invariant: where a set bears them, so many members may lose their disks at once, or so many zones or regions, and the
 /// members that are left are a majority, which holds each decided entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SetSize {
+pub struct ToleranceTarget {
     disks: usize,
     zones: usize,
     regions: usize,
 }
 
-impl SetSize {
+impl ToleranceTarget {
     /// The least set that bears the loss of so many disks at once.
     pub const fn tolerating(disks: usize) -> Self {
         Self { disks, zones: 0, regions: 0 }
@@ -55,14 +55,14 @@
     }
 }
 
-impl Default for SetSize {
+impl Default for ToleranceTarget {
     /// Three members, of which one may be lost.
     fn default() -> Self {
         Self::tolerating(1)
     }
 }
 
-impl fmt::Display for SetSize {
+impl fmt::Display for ToleranceTarget {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} disks, {} zones or {} regions", self.disks, self.zones, self.regions)
     }
@@ -71,21 +71,21 @@
 /// Why a set bears less than it should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "its {members} members bear the loss of {bearing}, and {wanted} are wanted; start stores in other zones or \
+    "its {members} members tolerate the loss of {tolerance}, and {wanted} are wanted; start stores in other zones or \
      regions, or lower store.tolerated_losses, store.tolerated_zones or store.tolerated_regions"
 )]
 pub struct Shortfall {
     /// How many members it has.
     pub members: usize,
     /// What it bears.
-    pub bearing: Bearing,
+    pub tolerance: FaultTolerance,
     /// What it should bear.
-    pub wanted: SetSize,
+    pub wanted: ToleranceTarget,
 }
 
 /// What a set bears, each loss by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Bearing {
+pub struct FaultTolerance {
     /// Disks, or machines.
     pub disks: usize,
     /// Zones.
@@ -94,7 +94,7 @@
     pub regions: usize,
 }
 
-impl Bearing {
+impl FaultTolerance {
     /// What these members bear.
     pub fn of(members: &[SetMember], places: &ZoneMap) -> Self {
         let spread = Spread::of(members, places);
@@ -107,12 +107,12 @@
     }
 
     /// Whether every loss that is asked for is borne.
-    pub const fn covers(self, size: SetSize) -> bool {
+    pub const fn covers(self, size: ToleranceTarget) -> bool {
         self.disks >= size.disks && self.zones >= size.zones && self.regions >= size.regions
     }
 }
 
-impl fmt::Display for Bearing {
+impl fmt::Display for FaultTolerance {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} disks, {} zones or {} regions", self.disks, self.zones, self.regions)
     }
@@ -146,7 +146,7 @@
 
     /// How many members more than may be lost would go with the greatest zones or regions that should be borne; 0 where
     /// all of these are.
-    pub(super) fn excess(&self, size: SetSize) -> usize {
+    pub(super) fn excess(&self, size: ToleranceTarget) -> usize {
         let beyond = |groups: &[usize], lost: usize| {
             groups.iter().take(lost).sum::<usize>().saturating_sub(self.spare())
         };
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -36,7 +36,7 @@
     /// Phase 2 of Paxos for several positions in a row.
     Accept(Accept),
     /// Votes on a claim.
-    Claim(Claim),
+    Claim(ClaimRequest),
     /// Reads entries that are known to be decided, to fill gaps of another replica.
     ReadDecided(LogIndex),
     /// Stops taking part in this generation for good; `ReplicaSet` is the next generation.
@@ -83,7 +83,7 @@
 
 /// Asks for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Claim {
+pub struct ClaimRequest {
     /// The request that may run at most once.
     pub request: RequestId,
     /// Milliseconds since the Unix epoch when the caller first issued this id.
@@ -206,12 +206,12 @@
     /// Who answers.
     pub store: StoreId,
     /// The answer.
-    pub outcome: Outcome,
+    pub outcome: ReplicaAnswer,
 }
 
 /// What a replica answers.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum Outcome {
+pub enum ReplicaAnswer {
     /// The replica takes part in the generation.
     Begun,
     /// The ballot is promised; this is what the replica has.
@@ -295,12 +295,12 @@
     /// The member takes part in the next generation.
     Installed(Generation),
     /// Refused; nothing was changed.
-    Refused(Refusal),
+    Refused(StoreRefusal),
 }
 
 /// Why a replica refused.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, thiserror::Error)]
-pub enum Refusal {
+pub enum StoreRefusal {
     /// The address now belongs to another store: its disk was replaced.
     #[error("this is store {store}; replace the member of the replica set that is gone")]
     WrongStore {
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -15,7 +15,7 @@
 //! use lichenpulley_core::replication::claims::ClaimWindow;
 //! use lichenpulley_core::replication::entry::{LogIndex, Payload};
 //! use lichenpulley_core::replication::memory_storage::MemoryStorage;
-//! use lichenpulley_core::replication::message::{Accept, Operation, Outcome, Refusal, ReplicaRequest};
+//! use lichenpulley_core::replication::message::{Accept, Operation, ReplicaAnswer, StoreRefusal, ReplicaRequest};
 //! use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, SetMember, StoreId};
 //!
 //! let shard = ShardId::new("job/pricing");
@@ -51,23 +51,23 @@
 //!     })
 //! };
 //!
-//! assert_eq!(ask(Operation::Begin(set)), Outcome::Begun);
-//! assert!(matches!(ask(Operation::Prepare(ballot(1, "first"))), Outcome::Promised { .. }));
-//! assert!(matches!(ask(Operation::Prepare(ballot(2, "second"))), Outcome::Promised { .. }));
+//! assert_eq!(ask(Operation::Begin(set)), ReplicaAnswer::Begun);
+//! assert!(matches!(ask(Operation::Prepare(ballot(1, "first"))), ReplicaAnswer::Promised { .. }));
+//! assert!(matches!(ask(Operation::Prepare(ballot(2, "second"))), ReplicaAnswer::Promised { .. }));
 //!
 //! // The first owner was paused, wakes, and still believes that it owns the shard.
 //! let promised = ballot(2, "second");
-//! assert_eq!(ask(append(ballot(1, "first"))), Outcome::Refused(Refusal::HigherBallot { promised }));
-//! assert!(matches!(ask(append(ballot(2, "second"))), Outcome::Accepted { .. }));
+//! assert_eq!(ask(append(ballot(1, "first"))), ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised }));
+//! assert!(matches!(ask(append(ballot(2, "second"))), ReplicaAnswer::Accepted { .. }));
 //! ```
 
 pub mod acceptor;
 pub mod ballot;
-pub mod bearing;
 pub mod claim_tally;
 pub mod claims;
 mod copy_target;
 pub mod entry;
+pub mod fault_tolerance;
 pub mod group;
 pub mod log;
 mod member_progress;
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -5,16 +5,16 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::bearing::Spread;
-pub use super::bearing::{Bearing, SetSize, Shortfall};
+use super::fault_tolerance::Spread;
+pub use super::fault_tolerance::{FaultTolerance, Shortfall, ToleranceTarget};
 use super::replica_set::{Generation, ReplicaSet, SetMember};
 use crate::identity::{NodeId, RegionName, ShardId, ZoneName};
 use crate::ingress::places::ZoneMap;
 
 /// Most members of a set: each one more costs a copy of every append.
-const MOST_MEMBERS: usize = 13;
+const MAX_MEMBERS: usize = 13;
 /// The regions with the most stores that a first set is spread over; more would be weighed without an end.
-const MOST_REGIONS: usize = 6;
+const MAX_REGIONS: usize = 6;
 
 /// Fewer stores than the smallest set that may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPolicy {
     /// What a set should bear.
-    pub size: SetSize,
+    pub size: ToleranceTarget,
     /// Which region each zone lies in; where it is empty, all stores stand in one.
     pub places: ZoneMap,
     /// The region in which members are preferred; where none is given, the one with the most stores.
@@ -73,8 +73,8 @@
     }
 
     /// What these members bear.
-    pub fn bearing(&self, members: &[SetMember]) -> Bearing {
-        Bearing::of(members, &self.places)
+    pub fn fault_tolerance(&self, members: &[SetMember]) -> FaultTolerance {
+        FaultTolerance::of(members, &self.places)
     }
 
     /// Whether these members bear what they should.
@@ -82,9 +82,9 @@
     /// # Errors
     /// Where they bear less.
     pub fn check(&self, members: &[SetMember]) -> Result<(), Shortfall> {
-        let (bearing, wanted) = (self.bearing(members), self.size);
-        let shortfall = Shortfall { members: members.len(), bearing, wanted };
-        if bearing.covers(wanted) { Ok(()) } else { Err(shortfall) }
+        let (tolerance, wanted) = (self.fault_tolerance(members), self.size);
+        let shortfall = Shortfall { members: members.len(), tolerance, wanted };
+        if tolerance.covers(wanted) { Ok(()) } else { Err(shortfall) }
     }
 
     /// The best store to add to `members`: one by which the least is lost of what should be borne, then one in the region
@@ -168,12 +168,12 @@
     fn choose(&self, shard: &ShardId, candidates: &[SetMember]) -> Vec<SetMember> {
         let stores = one_for_each_node(shard, candidates);
         let mut regions = self.regions(&stores);
-        regions.truncate(MOST_REGIONS);
+        regions.truncate(MAX_REGIONS);
         let held: Vec<Vec<SetMember>> =
             regions.into_iter().map(|(_, stores)| in_order_of_choice(shard, &stores)).collect();
         let most: usize = held.iter().map(Vec::len).sum();
         let first = self.size.members().min(most);
-        let sizes = (first..=most.min(MOST_MEMBERS)).step_by(2);
+        let sizes = (first..=most.min(MAX_MEMBERS)).step_by(2);
         let mut best: Option<(usize, Vec<SetMember>)> = None;
         for members in sizes {
             let Some((excess, chosen)) = self.best_of_size(&held, members) else { continue };
@@ -211,7 +211,7 @@
 }
 
 /// The first replica set by the loss of disks alone, where all stores stand in one region. `None` where there are too few.
-pub fn first_set(shard: &ShardId, candidates: &[SetMember], size: SetSize) -> Option<ReplicaSet> {
+pub fn first_set(shard: &ShardId, candidates: &[SetMember], size: ToleranceTarget) -> Option<ReplicaSet> {
     let policy = PlacementPolicy { size, ..PlacementPolicy::default() };
     policy.first_set(shard, candidates).ok()
 }
--- a/crates/core/src/replication/proposer.rs
+++ b/crates/core/src/replication/proposer.rs
@@ -14,7 +14,7 @@
 use super::entry::{ENTRY_OVERHEAD_BYTES, LogIndex, Payload};
 use super::log::{KnownLog, RecoveredLog, assemble, split_snapshot};
 use super::member_progress::MemberProgress;
-use super::message::{Accept, Operation, Outcome, Read, Refusal, ReplicaRequest, ReplicaResponse};
+use super::message::{Accept, Operation, Read, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal};
 use super::quorum::majority;
 use super::recovery::Recovery;
 use super::replica_set::{Generation, ReplicaSet, StoreId};
@@ -270,23 +270,23 @@
         }
         let store = response.store;
         match response.outcome {
-            Outcome::Begun => self.member(&store, MemberProgress::begun),
-            Outcome::Promised { ballot, position, last, free_bytes } if ballot == self.ballot => {
+            ReplicaAnswer::Begun => self.member(&store, MemberProgress::begun),
+            ReplicaAnswer::Promised { ballot, position, last, free_bytes } if ballot == self.ballot => {
                 self.member(&store, |member| member.promised(position, last, free_bytes));
                 self.after_promise(&store);
             }
-            Outcome::Entries { ballot, from, through, entries } if ballot == self.ballot => {
+            ReplicaAnswer::Entries { ballot, from, through, entries } if ballot == self.ballot => {
                 self.member(&store, MemberProgress::answered);
                 if let Phase::Reading(recovery) = &mut self.phase {
                     recovery.add(&store, from, through, entries);
                 }
                 self.finish_reading();
             }
-            Outcome::Accepted { ballot, through, base, free_bytes, .. } if ballot == self.ballot => {
+            ReplicaAnswer::Accepted { ballot, through, base, free_bytes, .. } if ballot == self.ballot => {
                 self.member(&store, |member| member.accepted(through, base, free_bytes));
                 self.after_accept();
             }
-            Outcome::Refused(refusal) => self.refused(now, &store, refusal),
+            ReplicaAnswer::Refused(refusal) => self.refused(now, &store, refusal),
             _ => {}
         }
     }
@@ -507,15 +507,15 @@
         }
     }
 
-    fn refused(&mut self, now: Timestamp, store: &StoreId, refusal: Refusal) {
+    fn refused(&mut self, now: Timestamp, store: &StoreId, refusal: StoreRefusal) {
         let retry_at = now + self.config.retransmit_after;
         match refusal {
-            Refusal::HigherBallot { promised } if !promised.admits(&self.ballot) => {
+            StoreRefusal::HigherBallot { promised } if !promised.admits(&self.ballot) => {
                 self.outbid(promised.epoch)
             }
-            Refusal::SealedFor { next } => self.end(EndReason::Replaced { next }),
-            Refusal::NewerGeneration { current } => self.end(EndReason::Replaced { next: current }),
-            Refusal::NotInstalled => {
+            StoreRefusal::SealedFor { next } => self.end(EndReason::Replaced { next }),
+            StoreRefusal::NewerGeneration { current } => self.end(EndReason::Replaced { next: current }),
+            StoreRefusal::NotInstalled => {
                 self.member(store, |member| member.not_installed(retry_at));
                 self.check_installed();
             }
--- a/crates/core/src/replication/reconfigurer.rs
+++ b/crates/core/src/replication/reconfigurer.rs
@@ -15,8 +15,8 @@
 use super::entry::LogIndex;
 use super::group::LogPosition;
 use super::message::{
-    InstallBasis, Operation, Outcome, PagePosition, Refusal, ReplicaRequest, ReplicaResponse, StatePage,
-    TransferId,
+    InstallBasis, Operation, PagePosition, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StatePage,
+    StoreRefusal, TransferId,
 };
 use super::proposer::Transmit;
 use super::quorum::VoteCount;
@@ -229,16 +229,20 @@
         }
         let store = response.store;
         match response.outcome {
-            Outcome::Sealed { next, position } if next == self.next => self.after_seal(&store, position),
-            Outcome::Begun => self.begun(&store),
-            Outcome::StatePage { from, page } => self.page_read(&store, response.generation, &from, &page),
-            Outcome::Copied { transfer, source, next } if transfer.is_pass_of(&self.transfer) => {
+            ReplicaAnswer::Sealed { next, position } if next == self.next => {
+                self.after_seal(&store, position)
+            }
+            ReplicaAnswer::Begun => self.begun(&store),
+            ReplicaAnswer::StatePage { from, page } => {
+                self.page_read(&store, response.generation, &from, &page)
+            }
+            ReplicaAnswer::Copied { transfer, source, next } if transfer.is_pass_of(&self.transfer) => {
                 self.copied(&store, &source, next);
             }
-            Outcome::Installed(generation) if generation == self.next.generation => {
+            ReplicaAnswer::Installed(generation) if generation == self.next.generation => {
                 self.after_install(&store);
             }
-            Outcome::Refused(refusal) => self.refused(&store, refusal),
+            ReplicaAnswer::Refused(refusal) => self.refused(&store, refusal),
             _ => {}
         }
     }
@@ -377,14 +381,14 @@
         }
     }
 
-    fn refused(&mut self, store: &StoreId, refusal: Refusal) {
+    fn refused(&mut self, store: &StoreId, refusal: StoreRefusal) {
         match refusal {
-            Refusal::NewerGeneration { current } if current == self.next => self.found_installed(store),
-            Refusal::NewerGeneration { current } if current.generation > self.next.generation => {
+            StoreRefusal::NewerGeneration { current } if current == self.next => self.found_installed(store),
+            StoreRefusal::NewerGeneration { current } if current.generation > self.next.generation => {
                 self.end(ReconfigurerEvent::Overtaken(current));
             }
-            Refusal::NotInstalled if self.may_begin_old => self.not_installed(store),
-            Refusal::OutOfOrder => {
+            StoreRefusal::NotInstalled if self.may_begin_old => self.not_installed(store),
+            StoreRefusal::OutOfOrder => {
                 if let Some(target) = self.targets.get_mut(store) {
                     target.restart(target.retry_at);
                 }
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -5,7 +5,8 @@
 use super::entry::{IndexedEntry, LogIndex};
 use super::group::{AcceptedRun, CopyProgress, GroupPhase, GroupRecord, LogPosition, SourceProgress};
 use super::message::{
-    CopiedSource, CopyPage, Install, InstallBasis, Outcome, PagePosition, Refusal, StatePage, TransferId,
+    CopiedSource, CopyPage, Install, InstallBasis, PagePosition, ReplicaAnswer, StatePage, StoreRefusal,
+    TransferId,
 };
 use super::replica_set::{ReplicaSet, StoreId};
 use super::storage::ShardStorage;
@@ -24,17 +25,17 @@
     shard: &ShardId,
     mut record: GroupRecord,
     next: ReplicaSet,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     if next.generation != record.set.generation.next() {
-        return Ok(Outcome::Refused(Refusal::OutOfOrder));
+        return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
     }
     if record.phase == GroupPhase::Active {
         record.phase = GroupPhase::Sealed { next };
         storage.put_group(shard, &record)?;
     }
     Ok(match record.phase {
-        GroupPhase::Sealed { next } => Outcome::Sealed { next, position: record.position },
-        GroupPhase::Active | GroupPhase::Joining => Outcome::Refused(Refusal::NotInstalled),
+        GroupPhase::Sealed { next } => ReplicaAnswer::Sealed { next, position: record.position },
+        GroupPhase::Active | GroupPhase::Joining => ReplicaAnswer::Refused(StoreRefusal::NotInstalled),
     })
 }
 
@@ -44,7 +45,7 @@
     shard: &ShardId,
     position: &LogPosition,
     from: PagePosition,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     let position = position.clone();
     let page = match &from {
         PagePosition::Entries(first) => {
@@ -59,7 +60,7 @@
             StatePage { position, entries: Vec::new(), claims, next }
         }
     };
-    Ok(Outcome::StatePage { from, page })
+    Ok(ReplicaAnswer::StatePage { from, page })
 }
 
 /// Takes a page into a member of the next generation that doesn't take part in it yet.
@@ -71,14 +72,14 @@
     shard: &ShardId,
     record: Option<GroupRecord>,
     copy: CopyPage,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     let mut record = match joining_record(record, &copy.set) {
         Ok(record) => record,
         Err(outcome) => return Ok(*outcome),
     };
     let progress = progress_of(&mut record, &copy.transfer, &copy.source);
     if copy.number > progress.next {
-        return Ok(Outcome::Refused(Refusal::OutOfOrder));
+        return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
     }
     if copy.number == progress.next {
         progress.next += 1;
@@ -86,7 +87,7 @@
     }
     let next = progress.next;
     storage.put_group(shard, &record)?;
-    Ok(Outcome::Copied { transfer: copy.transfer, source: copy.source, next })
+    Ok(ReplicaAnswer::Copied { transfer: copy.transfer, source: copy.source, next })
 }
 
 /// Makes the member take part in the next generation, if it has every page from a majority of the last one.
@@ -97,13 +98,13 @@
     record: Option<GroupRecord>,
     install: Install,
     checks: AcceptorChecks,
-) -> Result<Outcome, S::Error> {
+) -> Result<ReplicaAnswer, S::Error> {
     let mut record = match joining_record(record, &install.set) {
         Ok(record) => record,
         Err(outcome) => return Ok(*outcome),
     };
     if checks.check_copied && !has_all_pages(&record, store, &install) {
-        return Ok(Outcome::Refused(Refusal::OutOfOrder));
+        return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
     }
     let generation = install.set.generation;
     let promised = record.position.promised.clone();
@@ -121,24 +122,24 @@
     storage.remove_entries_before(shard, record.position.first())?;
     storage.remove_claims_issued_before(shard, record.position.claims_forgotten_before_unix_ms)?;
     storage.put_group(shard, &record)?;
-    Ok(Outcome::Installed(generation))
+    Ok(ReplicaAnswer::Installed(generation))
 }
 
 /// The record into which state of a later generation may be copied. That generation `n` is pending says that `n - 1`
 /// was installed, so that every earlier one is sealed for good; and its state is copied only once a majority of
 /// `n - 1` is sealed. So a replica that missed its sealing may make up for it here.
-fn joining_record(record: Option<GroupRecord>, set: &ReplicaSet) -> Result<GroupRecord, Box<Outcome>> {
+fn joining_record(record: Option<GroupRecord>, set: &ReplicaSet) -> Result<GroupRecord, Box<ReplicaAnswer>> {
     let Some(mut record) = record else {
         return Ok(GroupRecord::joining(set.clone()));
     };
     if record.set.generation > set.generation {
-        return Err(Box::new(Outcome::Refused(Refusal::NewerGeneration { current: record.set })));
+        return Err(Box::new(ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current: record.set })));
     }
     if &record.set == set {
         return match record.phase {
             GroupPhase::Joining => Ok(record),
             GroupPhase::Active | GroupPhase::Sealed { .. } => {
-                Err(Box::new(Outcome::Installed(set.generation)))
+                Err(Box::new(ReplicaAnswer::Installed(set.generation)))
             }
         };
     }
--- a/crates/core/src/request/execution/ending.rs
+++ b/crates/core/src/request/execution/ending.rs
@@ -4,7 +4,7 @@
 
 use super::{Execution, Leaving, State, Step};
 use crate::request::assembly::Assembly;
-use crate::request::outcome::{Doubt, Evidence, GiveUpReason, Ledger, Outcome, RefusalReason};
+use crate::request::outcome::{Doubt, Evidence, GiveUpReason, Ledger, RefusalReason, RequestOutcome};
 use crate::routing::pool::Pool;
 use crate::time::Timestamp;
 
@@ -18,7 +18,7 @@
         let ledger = std::mem::replace(&mut self.ledger, Ledger::Unclaimed);
         let assembly = std::mem::replace(&mut self.assembly, Assembly::new(0));
         let outcome = match (state, assembly.into_answer()) {
-            (State::Whole, Ok(answer)) => Outcome::Completed { answer, attempts: self.attempts },
+            (State::Whole, Ok(answer)) => RequestOutcome::Completed { answer, attempts: self.attempts },
             (State::Refused(reason), _) => self.refusal(ledger, reason, retry_after),
             (State::GivenUp(reason), _) => self.failure(ledger, reason, retry_after),
             _ => self.failure(ledger, GiveUpReason::AnswerNotWhole, retry_after),
@@ -31,15 +31,15 @@
         ledger: Ledger,
         reason: RefusalReason,
         retry_after: Option<Duration>,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         let retry_after = retry_after.filter(|_| reason.is_worth_repeating());
         self.decide("refused", reason.as_str(), |decision| {
             decision.with("retry_after_ms", retry_after.map_or(0, |wait| wait.as_millis()))
         });
         match ledger.into_evidence() {
-            Evidence::NotRun(proof) => Outcome::NotRun { proof, reason, retry_after },
+            Evidence::NotRun(proof) => RequestOutcome::NotRun { proof, reason, retry_after },
             Evidence::InDoubt(doubt) => {
-                Outcome::Unknown { doubt, reason: GiveUpReason::Unclaimed(reason), retry_after }
+                RequestOutcome::Unknown { doubt, reason: GiveUpReason::Unclaimed(reason), retry_after }
             }
         }
     }
@@ -50,7 +50,7 @@
         ledger: Ledger,
         reason: GiveUpReason,
         retry_after: Option<Duration>,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         let attempts = self.attempts;
         self.decide("given_up", reason.as_str(), |decision| decision.with("attempts", attempts));
         let doubt = match ledger.into_evidence() {
@@ -58,6 +58,6 @@
             Evidence::NotRun(_) => Doubt::EarlierSubmission,
         };
         let retry_after = retry_after.filter(|_| reason.is_worth_repeating());
-        Outcome::Unknown { doubt, reason, retry_after }
+        RequestOutcome::Unknown { doubt, reason, retry_after }
     }
 }
--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -3,7 +3,7 @@
 use crate::identity::{AttemptId, ReplicaId, RequestId, WeightVersion};
 use crate::request::answer::{FinishReason, Priority};
 use crate::request::assembly::Chunk;
-use crate::request::outcome::Outcome;
+use crate::request::outcome::RequestOutcome;
 use crate::routing::load::LoadReport;
 use crate::time::Timestamp;
 
@@ -73,7 +73,7 @@
         until: Timestamp,
     },
     /// The request is over.
-    Finish(Box<Outcome>),
+    Finish(Box<RequestOutcome>),
 }
 
 /// What became of the claim on a request's id.
--- a/crates/core/src/request/outcome.rs
+++ b/crates/core/src/request/outcome.rs
@@ -13,7 +13,7 @@
 
 /// What became of a request.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// The whole answer, and how many attempts were sent to engines for it.
     Completed {
         /// The answer.
@@ -357,11 +357,15 @@
 }
 
 /// The outcome of a request that is refused before anything was done for it.
-pub fn refuse_at_once(repeatable: bool, reason: RefusalReason, retry_after: Option<Duration>) -> Outcome {
+pub fn refuse_at_once(
+    repeatable: bool,
+    reason: RefusalReason,
+    retry_after: Option<Duration>,
+) -> RequestOutcome {
     match Ledger::new(repeatable).into_evidence() {
-        Evidence::NotRun(proof) => Outcome::NotRun { proof, reason, retry_after },
+        Evidence::NotRun(proof) => RequestOutcome::NotRun { proof, reason, retry_after },
         Evidence::InDoubt(doubt) => {
-            Outcome::Unknown { doubt, reason: GiveUpReason::Unclaimed(reason), retry_after }
+            RequestOutcome::Unknown { doubt, reason: GiveUpReason::Unclaimed(reason), retry_after }
         }
     }
 }
--- a/crates/core/src/routing/concurrency.rs
+++ b/crates/core/src/routing/concurrency.rs
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 
 /// The largest share of a limit that live requests may keep to themselves: rollouts must not starve.
-pub const MOST_RESERVED_PERCENT: u8 = 90;
+pub const MAX_RESERVED_PERCENT: u8 = 90;
 
 /// Bounds and pace of a concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,7 +72,7 @@
         if minimum == 0 || initial < minimum || maximum < initial {
             return Err(ConcurrencyConfigError::Bounds { minimum, initial, maximum });
         }
-        if self.live_reserve_percent > MOST_RESERVED_PERCENT {
+        if self.live_reserve_percent > MAX_RESERVED_PERCENT {
             return Err(ConcurrencyConfigError::LiveReserve(self.live_reserve_percent));
         }
         if self.congestion_ratio.is_nan() || self.congestion_ratio <= 1.0 {
--- a/crates/core/src/weights/controller.rs
+++ b/crates/core/src/weights/controller.rs
@@ -8,7 +8,7 @@
 
 use super::WaveConfig;
 use super::ledger::{WeightsLedger, WeightsRecord, WeightsRecordError};
-use super::replica::{OrderResult, ReplicaState, Report};
+use super::replica::{OrderResult, ReplicaState, WeightReport};
 
 /// The log is compacted after this many records.
 const RECORDS_BETWEEN_SNAPSHOTS: u64 = 1_000;
@@ -39,7 +39,7 @@
         /// The replica.
         replica: ReplicaId,
         /// What it said.
-        report: Report,
+        report: WeightReport,
     },
     /// An order ended.
     OrderEnded {
@@ -272,7 +272,7 @@
         }
     }
 
-    fn handle_report(&mut self, replica: &ReplicaId, report: Report, now: Timestamp) {
+    fn handle_report(&mut self, replica: &ReplicaId, report: WeightReport, now: Timestamp) {
         let Some(state) = self.replicas.get_mut(replica) else { return };
         state.asked_at = Some(now);
         state.report = Some(report);
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -10,7 +10,7 @@
 
 pub use controller::{Action, Event, OrderCommand, WaveProgress, WeightsController};
 pub use ledger::{WeightsLedger, WeightsRecord, WeightsRecordError};
-pub use replica::{OrderResult, Report};
+pub use replica::{OrderResult, WeightReport};
 
 use std::time::Duration;
 
--- a/crates/core/src/weights/replica.rs
+++ b/crates/core/src/weights/replica.rs
@@ -5,7 +5,7 @@
 
 /// What a replica said about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct WeightReport {
     /// Its loaded weights; `None` while a swap runs or after one failed partway.
     pub weight_version: Option<WeightVersion>,
     /// Whether it takes new streams.
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
     /// The replica took it.
-    Accepted(Report),
+    Accepted(WeightReport),
     /// The replica has seen a higher epoch: this owner is superseded.
     Refused {
         /// The epoch it has seen.
@@ -38,7 +38,7 @@
     /// Orders in a row that were not confirmed in time.
     pub(super) failures: u32,
     /// Its last report.
-    pub(super) report: Option<Report>,
+    pub(super) report: Option<WeightReport>,
     /// Whether this owner has ordered its role since the last change of it.
     pub(super) role_ordered: bool,
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -9,7 +9,7 @@
 use lichenpulley_core::configuration::schema::{self, STALENESS_BOUND};
 use lichenpulley_core::configuration::tree::SettingsTree;
 use lichenpulley_core::configuration::writer::{
-    Action, ChangeWriter, Config, Outcome, StoredRegister, WriteReply,
+    Action, ChangeOutcome, ChangeWriter, Config, StoredRegister, WriteReply,
 };
 use lichenpulley_core::identity::{JobId, PoolName, Revision};
 use lichenpulley_core::time::Timestamp;
@@ -204,7 +204,7 @@
     writer.write_finished(WriteReply::NoReply, at(2));
     assert_eq!(writer.poll(at(1_000)), Some(Action::Read));
     writer.read_finished(stored(Some(1), written.clone()), at(1_001));
-    let accepted = Outcome::Accepted { revision: Revision(1), register: written };
+    let accepted = ChangeOutcome::Accepted { revision: Revision(1), register: written };
     assert_eq!(writer.poll(at(1_001)), Some(Action::Finish(accepted)));
 }
 
@@ -217,7 +217,7 @@
     let other = register(&[("/", "staleness_bound", json!(9))]);
     writer.read_finished(stored(Some(1), other), at(1_001));
     let conflict = ChangeRefused::Conflict { base: Revision(0), current: Revision(1) };
-    assert_eq!(writer.poll(at(1_001)), Some(Action::Finish(Outcome::Refused(conflict))));
+    assert_eq!(writer.poll(at(1_001)), Some(Action::Finish(ChangeOutcome::Refused(conflict))));
 }
 
 #[test]
@@ -230,7 +230,7 @@
     assert!(matches!(writer.poll(at(4_000)), Some(Action::Wait(_))), "settling takes longer than reaching");
     assert_eq!(writer.poll(at(9_000)), Some(Action::Read));
     writer.read_finished(None, at(9_000));
-    assert_eq!(writer.poll(at(9_000)), Some(Action::Finish(Outcome::InDoubt)));
+    assert_eq!(writer.poll(at(9_000)), Some(Action::Finish(ChangeOutcome::InDoubt)));
 }
 
 #[test]
@@ -241,7 +241,7 @@
     assert_eq!(writer.poll(at(2)), Some(Action::Wait(at(1) + Duration::from_millis(200))));
     assert_eq!(writer.poll(at(3_500)), Some(Action::Read));
     writer.read_finished(None, at(3_501));
-    assert_eq!(writer.poll(at(3_501)), Some(Action::Finish(Outcome::Unavailable)));
+    assert_eq!(writer.poll(at(3_501)), Some(Action::Finish(ChangeOutcome::Unavailable)));
 }
 
 #[test]
@@ -257,6 +257,6 @@
     writer.write_finished(WriteReply::Conflict, at(1_002));
     assert_eq!(writer.poll(at(1_002)), Some(Action::Read));
     writer.read_finished(stored(Some(1), first.clone()), at(1_003));
-    let accepted = Outcome::Accepted { revision: Revision(1), register: first };
+    let accepted = ChangeOutcome::Accepted { revision: Revision(1), register: first };
     assert_eq!(writer.poll(at(1_003)), Some(Action::Finish(accepted)));
 }
--- a/crates/core/tests/end_pursuit.rs
+++ b/crates/core/tests/end_pursuit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use lichenpulley_core::batch::end_pursuit::{
-    EXPIRES_AFTER, EndAnswer, EndKey, EndOutcome, EndPursuit, EndSource, MOST_ASKED, MOST_PENDING,
-    TOLD_DELAY, UNKNOWN_FOR,
+    EXPIRES_AFTER, EndAnswer, EndKey, EndOutcome, EndPursuit, EndSource, MAX_ASKED, MAX_PENDING, TOLD_DELAY,
+    UNKNOWN_FOR,
 };
 use lichenpulley_core::identity::BatchId;
 use lichenpulley_core::time::Timestamp;
@@ -91,13 +91,13 @@
 #[test]
 fn the_oldest_end_gives_way_where_too_many_are_held() {
     let mut pursuit = EndPursuit::default();
-    for number in 0..MOST_PENDING {
+    for number in 0..MAX_PENDING {
         assert_eq!(pursuit.hold(at(number as u64), key(number), EndSource::Caller), None);
     }
-    let displaced = pursuit.hold(at(10_000), key(MOST_PENDING), EndSource::Caller).expect("one gives way");
+    let displaced = pursuit.hold(at(10_000), key(MAX_PENDING), EndSource::Caller).expect("one gives way");
     assert_eq!((displaced.key, displaced.outcome), (key(0), EndOutcome::Displaced));
-    assert_eq!(pursuit.count(), MOST_PENDING);
-    assert_eq!(pursuit.due(at(10_000)).len(), MOST_ASKED);
+    assert_eq!(pursuit.count(), MAX_PENDING);
+    assert_eq!(pursuit.due(at(10_000)).len(), MAX_ASKED);
     assert_eq!(pursuit.deadline(), None);
 }
 
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -5,7 +5,7 @@
 
 use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
 use lichenpulley_core::ingress::places::AllowedRegions;
-use lichenpulley_core::ingress::replicas::{Experience, ReplicaChooser, ReplicaRecord, ReplicaTable};
+use lichenpulley_core::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord, ReplicaTable};
 use lichenpulley_core::ingress::routes::{Limits, Route, RouteKind, RouteTable, WeightedService};
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
@@ -126,13 +126,13 @@
     let table = replicas(vec![replica("silent"), replica("slow"), replica("good"), leaving]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
-    for (id, experience) in [
-        ("silent", Experience::Silent),
-        ("slow", Experience::Answered(Duration::from_millis(200))),
-        ("good", Experience::Answered(Duration::from_millis(20))),
+    for (id, feedback) in [
+        ("silent", ReplicaFeedback::Silent),
+        ("slow", ReplicaFeedback::Answered(Duration::from_millis(200))),
+        ("good", ReplicaFeedback::Answered(Duration::from_millis(20))),
     ] {
         chooser.sent(id);
-        chooser.ended(id, experience, now);
+        chooser.ended(id, feedback, now);
     }
     for random in 0..16 {
         let chosen = chooser.choose(&table, "a", &[], now, random).expect("a replica");
@@ -162,11 +162,11 @@
     let table = replicas(vec![replica("cold"), replica("other")]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
-    chooser.ended("other", Experience::Answered(Duration::from_millis(30)), now);
-    chooser.ended("cold", Experience::Silent, now);
+    chooser.ended("other", ReplicaFeedback::Answered(Duration::from_millis(30)), now);
+    chooser.ended("cold", ReplicaFeedback::Silent, now);
     let chosen =
         |chooser: &ReplicaChooser| chooser.choose(&table, "a", &[], now, 0).map(|record| record.id.clone());
     assert_eq!(chosen(&chooser).as_deref(), Some("other"));
-    chooser.ended("cold", Experience::AnsweredCold, now);
+    chooser.ended("cold", ReplicaFeedback::AnsweredCold, now);
     assert_eq!(chosen(&chooser).as_deref(), Some("cold"), "as one that was never measured");
 }
--- a/crates/core/tests/replication_placement.rs
+++ b/crates/core/tests/replication_placement.rs
@@ -5,7 +5,7 @@
 use lichenpulley_core::identity::{NodeId, RegionName, ShardId, ZoneName};
 use lichenpulley_core::ingress::places::ZoneMap;
 use lichenpulley_core::replication::placement::{
-    Bearing, Improvement, PlacementPolicy, SetSize, TooFewStores, first_set,
+    FaultTolerance, Improvement, PlacementPolicy, ToleranceTarget, TooFewStores, first_set,
 };
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
 
 fn members_by_zone(
     candidates: &[SetMember],
-    size: SetSize,
+    size: ToleranceTarget,
     shard: &str,
 ) -> Option<BTreeMap<ZoneName, usize>> {
     let set = first_set(&ShardId::new(shard), candidates, size)?;
@@ -41,9 +41,9 @@
 
 #[test]
 fn a_set_that_bears_two_losses_has_five_members_of_which_three_decide() {
-    let size = SetSize::tolerating(2);
+    let size = ToleranceTarget::tolerating(2);
     assert_eq!((size.members(), size.majority()), (5, 3));
-    assert_eq!((SetSize::default().members(), SetSize::default().majority()), (3, 2));
+    assert_eq!((ToleranceTarget::default().members(), ToleranceTarget::default().majority()), (3, 2));
     let candidates = stores(&[("a", 4), ("b", 4), ("c", 3), ("d", 3)]);
     let counts = members_by_zone(&candidates, size, "batch/main").unwrap();
     assert_eq!(counts.values().sum::<usize>(), 5);
@@ -54,7 +54,7 @@
     let candidates = stores(&[("a", 5), ("b", 3), ("c", 2)]);
     for number in 0..200 {
         let counts =
-            members_by_zone(&candidates, SetSize::tolerating(2), &format!("shard-{number}")).unwrap();
+            members_by_zone(&candidates, ToleranceTarget::tolerating(2), &format!("shard-{number}")).unwrap();
         assert!(counts.values().all(|count| *count < 3), "shard-{number}: {counts:?}");
     }
 }
@@ -62,12 +62,12 @@
 /// A set of a majority of the wanted members is the smallest that is made.
 #[test]
 fn fewer_stores_than_wanted_give_a_set_of_all_of_them_and_too_few_give_none() {
-    let size = SetSize::tolerating(2);
+    let size = ToleranceTarget::tolerating(2);
     for (count, bears) in [(3, 1), (4, 1), (5, 2), (9, 2)] {
         let candidates = stores(&[("a", count)]);
         let set = first_set(&ShardId::new("batch/main"), &candidates, size).expect("a set");
         assert_eq!(set.members.len(), count.min(5));
-        assert_eq!(Bearing::of(&set.members, &ZoneMap::default()).disks, bears);
+        assert_eq!(FaultTolerance::of(&set.members, &ZoneMap::default()).disks, bears);
     }
     let policy = PlacementPolicy { size, ..PlacementPolicy::default() };
     let refused = policy.first_set(&ShardId::new("batch/main"), &stores(&[("a", 1), ("b", 1)]));
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_set_grows_one_member_at_a_time_and_then_rests() {
-    let policy = PlacementPolicy { size: SetSize::tolerating(2), ..PlacementPolicy::default() };
+    let policy = PlacementPolicy { size: ToleranceTarget::tolerating(2), ..PlacementPolicy::default() };
     let all = stores(&[("a", 3), ("b", 3)]);
     let mut set = policy.first_set(&ShardId::new("batch/main"), &all[..3]).expect("a set");
     for members in 4..=5 {
@@ -95,10 +95,10 @@
     let shard = ShardId::new("batch/main");
     let candidates = stores(&layout);
     let home = Some(RegionName::new("s"));
-    let policy = PlacementPolicy { size: SetSize::tolerating(2), places, home };
+    let policy = PlacementPolicy { size: ToleranceTarget::tolerating(2), places, home };
     let set = policy.first_set(&shard, &candidates).expect("a set");
     assert!(set.members.iter().all(|member| member.zone.as_str().starts_with('s')), "{set:?}");
-    assert_eq!(policy.bearing(&set.members), Bearing { disks: 2, zones: 1, regions: 0 });
+    assert_eq!(policy.fault_tolerance(&set.members), FaultTolerance { disks: 2, zones: 1, regions: 0 });
     // Who takes a member's place stands there as well, wherever this node would have placed a first set.
     let from_afar = PlacementPolicy { home: Some(RegionName::new("n")), ..policy.clone() };
     let joining = from_afar.best_addition(&shard, &set.members[1..], &candidates).expect("a store");
@@ -112,7 +112,7 @@
     let size = policy.size.with_regions(1);
     let policy = PlacementPolicy { size, places: ZoneMap::new(regions), ..policy };
     let set = policy.first_set(&shard, &candidates).expect("a set");
-    assert_eq!((set.members.len(), policy.bearing(&set.members).regions), (5, 1));
+    assert_eq!((set.members.len(), policy.fault_tolerance(&set.members).regions), (5, 1));
 }
 
 fn places(zones: &[(&str, &str)]) -> ZoneMap {
@@ -139,7 +139,7 @@
         stores(&zones)
     }
 
-    fn policy(&self, size: SetSize, home: usize) -> PlacementPolicy {
+    fn policy(&self, size: ToleranceTarget, home: usize) -> PlacementPolicy {
         let regions = self.0.iter().enumerate();
         let regions = regions.map(|(zone, (_, region))| (format!("z{zone}"), region_name(*region)));
         PlacementPolicy { size, places: ZoneMap::new(regions.collect()), home: Some(region_name(home)) }
@@ -207,14 +207,14 @@
     fn a_set_bears_what_it_says_and_no_smaller_one_does(
         layout in layouts(), wanted in (0_usize..=2, 0_usize..=2, 0_usize..=1), home in 0_usize..3
     ) {
-        let size = SetSize::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
+        let size = ToleranceTarget::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
         let (policy, candidates) = (layout.policy(size, home), layout.stores());
         let Ok(set) = policy.first_set(&ShardId::new("batch/main"), &candidates) else {
             prop_assert!(candidates.len() < size.least_members());
             return Ok(());
         };
         let counts = layout.counts(&set);
-        let said = policy.bearing(&set.members);
+        let said = policy.fault_tolerance(&set.members);
         prop_assert_eq!(policy.check(&set.members).is_ok(), layout.bears(&counts, wanted));
         prop_assert!(layout.bears(&counts, (said.disks, 0, 0)));
         prop_assert!(layout.bears(&counts, (0, said.zones, 0)));
@@ -233,7 +233,7 @@
     fn a_set_grows_until_it_bears_what_the_layout_can(
         layout in layouts(), wanted in (0_usize..=2, 0_usize..=2, 0_usize..=1), known in 1_usize..8, shift in 0_usize..18
     ) {
-        let size = SetSize::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
+        let size = ToleranceTarget::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
         let (policy, candidates) = (layout.policy(size, 0), layout.stores());
         let first: Vec<SetMember> = candidates.iter().cycle().skip(shift).take(known.min(candidates.len())).cloned().collect();
         let shard = ShardId::new("batch/main");
@@ -245,7 +245,7 @@
         }
         prop_assert_eq!(step(&policy, &set, &candidates), None, "it rests");
         let best = policy.first_set(&shard, &candidates).expect("more stores");
-        let (has, could) = (policy.bearing(&set.members), policy.bearing(&best.members));
+        let (has, could) = (policy.fault_tolerance(&set.members), policy.fault_tolerance(&best.members));
         prop_assert!(has.covers(size) || !could.covers(size), "{has} where {could} could be");
     }
 }
--- a/crates/core/tests/replication_reconfiguration.rs
+++ b/crates/core/tests/replication_reconfiguration.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::replication::entry::LogIndex;
 use lichenpulley_core::replication::log::KnownLog;
 use lichenpulley_core::replication::memory_storage::MemoryStorage;
-use lichenpulley_core::replication::message::{Operation, Outcome, Refusal, TransferId};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, StoreRefusal, TransferId};
 use lichenpulley_core::replication::proposer::{Proposer, ProposerConfig, ProposerEvent};
 use lichenpulley_core::replication::reconfigurer::{Reconfigurer, ReconfigurerChecks, ReconfigurerEvent};
 use lichenpulley_core::replication::replica_set::StoreId;
@@ -140,9 +140,9 @@
     stores.own(&old, "first", &[b"kept"]).expect("taken over");
     assert!(stores.change(&old, &next, ReconfigurerChecks::default()));
     let by_c = stores.claim(&old, "c", "one", NOW_UNIX_MS);
-    assert_eq!(by_c, Outcome::Refused(Refusal::SealedFor { next: next.clone() }));
+    assert_eq!(by_c, ReplicaAnswer::Refused(StoreRefusal::SealedFor { next: next.clone() }));
     let by_a = stores.claim(&old, "a", "one", NOW_UNIX_MS);
-    assert_eq!(by_a, Outcome::Refused(Refusal::NewerGeneration { current: next }));
+    assert_eq!(by_a, ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current: next }));
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let empty = Acceptor::new(StoreId::new("a again"), ClaimWindow::default());
     stores.acceptors.insert(StoreId::new("a"), (empty, MemoryStorage::default()));
     let refused = stores.ask(&set, "a", Operation::Begin(set.clone()));
-    assert_eq!(refused, Outcome::Refused(Refusal::WrongStore { store: StoreId::new("a again") }));
+    assert_eq!(refused, ReplicaAnswer::Refused(StoreRefusal::WrongStore { store: StoreId::new("a again") }));
 }
 
 #[test]
@@ -162,7 +162,7 @@
     let set = first_set();
     stores.ask(&set, "a", Operation::Begin(set.clone()));
     let vote = |outcome| match outcome {
-        Outcome::Voted { vote, .. } => vote,
+        ReplicaAnswer::Voted { vote, .. } => vote,
         other => panic!("no vote: {other:?}"),
     };
     assert_eq!(vote(stores.claim(&set, "a", "one", NOW_UNIX_MS)), ClaimVote::Granted);
--- a/crates/core/tests/replication_same_ballot.rs
+++ b/crates/core/tests/replication_same_ballot.rs
@@ -9,7 +9,9 @@
 use lichenpulley_core::replication::acceptor::AcceptorChecks;
 use lichenpulley_core::replication::ballot::ProposerId;
 use lichenpulley_core::replication::entry::{LogIndex, Payload};
-use lichenpulley_core::replication::message::{Accept, Operation, Outcome, ReplicaResponse, TransferId};
+use lichenpulley_core::replication::message::{
+    Accept, Operation, ReplicaAnswer, ReplicaResponse, TransferId,
+};
 use lichenpulley_core::replication::proposer::{
     EndReason, Proposer, ProposerChecks, ProposerConfig, ProposerEvent, Transmit,
 };
@@ -338,7 +340,7 @@
     stores.reach(&["a", "b", "c"]);
     let set = first_set();
     let decided = stores.ask(&set, "a", Operation::ReadDecided(LogIndex(1)));
-    let Outcome::Decided { entries, .. } = decided else { panic!("{decided:?}") };
+    let ReplicaAnswer::Decided { entries, .. } = decided else { panic!("{decided:?}") };
     let (acceptor, storage) = stores.acceptors.get_mut(&StoreId::new("c")).expect("a store");
     let Ok(_) = acceptor.repair(storage, &set.shard, set.generation, entries);
     stores.ask(&set, "c", late);
--- a/crates/core/tests/replication_support/mod.rs
+++ b/crates/core/tests/replication_support/mod.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::replication::claims::ClaimWindow;
 use lichenpulley_core::replication::memory_storage::MemoryStorage;
 use lichenpulley_core::replication::message::{
-    Claim, Operation, Outcome, ReplicaRequest, ReplicaResponse, TransferId,
+    ClaimRequest, Operation, ReplicaAnswer, ReplicaRequest, ReplicaResponse, TransferId,
 };
 use lichenpulley_core::replication::proposer::{Proposer, ProposerConfig, ProposerEvent};
 use lichenpulley_core::replication::reconfigurer::{Reconfigurer, ReconfigurerChecks, ReconfigurerEvent};
@@ -87,8 +87,14 @@
         installed
     }
 
-    pub fn claim(&mut self, set: &ReplicaSet, store: &str, attempt: &str, issued_at_unix_ms: u64) -> Outcome {
-        let claim = Claim {
+    pub fn claim(
+        &mut self,
+        set: &ReplicaSet,
+        store: &str,
+        attempt: &str,
+        issued_at_unix_ms: u64,
+    ) -> ReplicaAnswer {
+        let claim = ClaimRequest {
             request: RequestId::new("ticket-7"),
             issued_at_unix_ms,
             attempt: AttemptId::new(attempt),
@@ -96,7 +102,7 @@
         self.ask(set, store, Operation::Claim(claim))
     }
 
-    pub fn ask(&mut self, set: &ReplicaSet, store: &str, operation: Operation) -> Outcome {
+    pub fn ask(&mut self, set: &ReplicaSet, store: &str, operation: Operation) -> ReplicaAnswer {
         let (shard, generation, store) = (set.shard.clone(), set.generation, StoreId::new(store));
         let request = ReplicaRequest { shard, generation, store, operation };
         self.answer(request).expect("a reachable store").outcome
--- a/crates/core/tests/request_outcome.rs
+++ b/crates/core/tests/request_outcome.rs
@@ -2,7 +2,7 @@
 
 use lichenpulley_core::identity::AttemptId;
 use lichenpulley_core::request::outcome::{
-    ClaimGranted, Doubt, EngineRefusal, Evidence, Ledger, Outcome, RefusalReason, refuse_at_once,
+    ClaimGranted, Doubt, EngineRefusal, Evidence, Ledger, RefusalReason, RequestOutcome, refuse_at_once,
 };
 use proptest::prelude::*;
 
@@ -51,7 +51,7 @@
 #[test]
 fn a_request_that_may_run_at_most_once_is_not_promised_before_its_claim() {
     let repeatable = refuse_at_once(true, RefusalReason::NodeDraining, None);
-    assert!(matches!(repeatable, Outcome::NotRun { .. }));
+    assert!(matches!(repeatable, RequestOutcome::NotRun { .. }));
     let once = refuse_at_once(false, RefusalReason::NodeDraining, None);
-    assert!(matches!(once, Outcome::Unknown { doubt: Doubt::EarlierSubmission, .. }));
+    assert!(matches!(once, RequestOutcome::Unknown { doubt: Doubt::EarlierSubmission, .. }));
 }
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -10,7 +10,7 @@
 use lichenpulley_core::batch::ledger_follower::{DecidedPage, LedgerFollower};
 use lichenpulley_core::identity::NodeId;
 use lichenpulley_core::replication::entry::LogIndex;
-use lichenpulley_core::replication::message::{Operation, Outcome, ReplicaRequest};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest};
 use lichenpulley_core::replication::replica_set::ReplicaSet;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -190,7 +190,7 @@
         let timeout = self.scope.context.settings.store.call_timeout;
         let response = exchange::ask(&self.scope.context, member, request, timeout).await;
         match response.map(|response| response.outcome) {
-            Some(Outcome::Decided { entries, base, decided_through, .. }) => {
+            Some(ReplicaAnswer::Decided { entries, base, decided_through, .. }) => {
                 Some(DecidedPage { entries, base, decided_through })
             }
             Some(_) => {
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -11,8 +11,8 @@
 use lichenpulley_core::batch::regional;
 use lichenpulley_core::identity::{NodeId, ShardId};
 use lichenpulley_core::replication::entry::LogIndex;
-use lichenpulley_core::replication::message::{Operation, Outcome, ReplicaRequest};
-use lichenpulley_core::replication::placement::{Bearing, Improvement};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest};
+use lichenpulley_core::replication::placement::{FaultTolerance, Improvement};
 use lichenpulley_core::replication::quorum::majority;
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use tokio::sync::{mpsc, watch};
@@ -57,7 +57,7 @@
         self.task.abort();
         // Another owner shows it from now on.
         let shard = self.sets.borrow().shard.clone();
-        self.scope.context.metrics.placement().show(&shard, 0, Bearing::default());
+        self.scope.context.metrics.placement().show(&shard, 0, FaultTolerance::default());
     }
 }
 
@@ -100,8 +100,8 @@
 
 /// Tells what a set bears.
 fn show(scope: &Scope, set: &ReplicaSet) {
-    let bearing = placement::policy(&scope.context).bearing(&set.members);
-    scope.context.metrics.placement().show(&set.shard, set.members.len(), bearing);
+    let tolerance = placement::policy(&scope.context).fault_tolerance(&set.members);
+    scope.context.metrics.placement().show(&set.shard, set.members.len(), tolerance);
     placement::tell(&scope.context, set, "kept_by", "set_in_force");
 }
 
@@ -188,7 +188,7 @@
         };
         let timeout = self.scope.context.settings.store.call_timeout;
         match exchange::ask(&self.scope.context, member, request, timeout).await?.outcome {
-            Outcome::Decided { decided_through, .. } => Some(decided_through),
+            ReplicaAnswer::Decided { decided_through, .. } => Some(decided_through),
             _ => None,
         }
     }
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -15,7 +15,7 @@
 use lichenpulley_core::identity::Epoch;
 use lichenpulley_core::ingress::replicas::ReplicaRecord;
 use lichenpulley_platform::headers;
-use lichenpulley_platform::replica::{LoadMode, LoadOrder, ORDER_PATH, REPORT_PATH, Report};
+use lichenpulley_platform::replica::{LoadMode, LoadOrder, ORDER_PATH, REPORT_PATH, ReplicaReport};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -172,13 +172,14 @@
         None
     }
 
-    fn is_done(&self, report: &Report) -> bool {
+    fn is_done(&self, report: &ReplicaReport) -> bool {
         report.versions().get(&self.load.model).is_some_and(|version| *version >= self.load.version)
     }
 
-    async fn report(&self, replica: &ReplicaRecord) -> Option<Report> {
+    async fn report(&self, replica: &ReplicaRecord) -> Option<ReplicaReport> {
         let request = build(replica, Method::GET, REPORT_PATH, Bytes::new())?;
-        let report: Report = self.http.request_json(replica.address, request, CALL_TIMEOUT).await.ok()?;
+        let report: ReplicaReport =
+            self.http.request_json(replica.address, request, CALL_TIMEOUT).await.ok()?;
         // What a later life reports says nothing of this one: its orders are counted anew.
         report.is_of(replica).then_some(report)
     }
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -5,7 +5,7 @@
 use lichenpulley_core::batch::ledger_follower::{DecidedPage, LedgerFollower};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::replication::entry::LogIndex;
-use lichenpulley_core::replication::message::{Operation, Outcome, Refusal, ReplicaRequest};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest, StoreRefusal};
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -286,10 +286,10 @@
         Reading::Whole => exchange::ask(&scope.context, member, request, timeout).await,
     };
     match response.map(|response| response.outcome) {
-        Some(Outcome::Decided { entries, base, decided_through, .. }) => {
+        Some(ReplicaAnswer::Decided { entries, base, decided_through, .. }) => {
             Some(DecidedPage { entries, base, decided_through })
         }
-        Some(Outcome::Refused(Refusal::NewerGeneration { current })) => {
+        Some(ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current })) => {
             scope.context.replica_sets.put(&current);
             None
         }
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use lichenpulley_core::batch::regional::{self, MOST_SHARDS};
+use lichenpulley_core::batch::regional::{self, MAX_SHARDS};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{BatchId, ShardId};
 use lichenpulley_core::ingress::places::AllowedRegions;
@@ -66,10 +66,10 @@
         }
         let sets = regional::bound_sets(table);
         let count = sets.len();
-        if count > MOST_SHARDS {
-            log::error!(target: "batch", "The configuration binds batch jobs to {count} sets of regions; {MOST_SHARDS} are kept: name fewer sets in `allowed_regions`.");
+        if count > MAX_SHARDS {
+            log::error!(target: "batch", "The configuration binds batch jobs to {count} sets of regions; {MAX_SHARDS} are kept: name fewer sets in `allowed_regions`.");
         }
-        for regions in sets.into_iter().take(MOST_SHARDS) {
+        for regions in sets.into_iter().take(MAX_SHARDS) {
             self.shard(&regions);
         }
     }
@@ -81,7 +81,7 @@
         if let Some(shard) = known.shards.get(&id) {
             return Some(shard.clone());
         }
-        if known.shards.len() >= MOST_SHARDS {
+        if known.shards.len() >= MAX_SHARDS {
             return None;
         }
         let scope = Scope::within(&self.context, regions.clone());
--- a/crates/daemon/src/configuration/change.rs
+++ b/crates/daemon/src/configuration/change.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::configuration::register::{Change, ChangeRefused, OBJECT_KEY, Register};
 use lichenpulley_core::configuration::writer::{
-    Action, ChangeWriter, Config, Outcome, StoredRegister, WriteReply,
+    Action, ChangeOutcome, ChangeWriter, Config, StoredRegister, WriteReply,
 };
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::Revision;
@@ -94,7 +94,7 @@
     let client = ObjectClient::from_settings(&context.settings).ok_or(ChangeError::NoObjectApi)?;
     let change_id = change.change_id.clone();
     match write(&client, change).await {
-        Outcome::Accepted { revision, register } => {
+        ChangeOutcome::Accepted { revision, register } => {
             let event = Event::FromPlatform(register.document().clone());
             context.documents.send(DocumentName::Configuration, event);
             let in_force = context.documents.wait_for(DocumentName::Configuration, revision, SPREAD_PATIENCE);
@@ -104,13 +104,13 @@
                 Err(ChangeError::NotYetInForce { change_id, revision })
             }
         }
-        Outcome::Refused(refused) => Err(refused.into()),
-        Outcome::Unavailable => Err(ChangeError::Unavailable),
-        Outcome::InDoubt => Err(ChangeError::InDoubt { change_id }),
+        ChangeOutcome::Refused(refused) => Err(refused.into()),
+        ChangeOutcome::Unavailable => Err(ChangeError::Unavailable),
+        ChangeOutcome::InDoubt => Err(ChangeError::InDoubt { change_id }),
     }
 }
 
-async fn write(client: &ObjectClient, change: Change) -> Outcome {
+async fn write(client: &ObjectClient, change: Change) -> ChangeOutcome {
     let started = Instant::now();
     let now = || Timestamp::ORIGIN + started.elapsed();
     let mut writer = ChangeWriter::new(change, Config::default(), now());
@@ -127,7 +127,7 @@
             Some(Action::Wait(until)) => tokio::time::sleep(until.saturating_since(now())).await,
             Some(Action::Finish(outcome)) => return outcome,
             // Every call has been finished above, so there is always something to do.
-            None => return Outcome::InDoubt,
+            None => return ChangeOutcome::InDoubt,
         }
     }
 }
--- a/crates/daemon/src/coordinator/attempt.rs
+++ b/crates/daemon/src/coordinator/attempt.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::identity::RequestId;
 use lichenpulley_core::request::answer::{Answer, Priority};
-use lichenpulley_core::request::outcome::Outcome;
+use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::rollout::{AttemptOutcome, AttemptStart, JobSpecification};
 use lichenpulley_protocol::platform::{ScoreRequest, ScoreResponse};
 
@@ -44,11 +44,11 @@
         };
         let prompt = generation.prompt.clone();
         match self.dispatcher.generate(generation).await {
-            Outcome::Completed { answer, .. } => self.score(start, prompt, answer).await,
-            Outcome::NotRun { reason, retry_after, .. } => {
+            RequestOutcome::Completed { answer, .. } => self.score(start, prompt, answer).await,
+            RequestOutcome::NotRun { reason, retry_after, .. } => {
                 AttemptOutcome::Refused { reason: reason.as_str().to_owned(), retry_after }
             }
-            Outcome::Unknown { reason, retry_after, .. } => {
+            RequestOutcome::Unknown { reason, retry_after, .. } => {
                 AttemptOutcome::Failed { reason: reason.as_str().to_owned(), retry_after }
             }
         }
--- a/crates/daemon/src/coordinator/engines.rs
+++ b/crates/daemon/src/coordinator/engines.rs
@@ -5,7 +5,7 @@
 
 use hyper::StatusCode;
 use lichenpulley_core::identity::{Epoch, ShardId};
-use lichenpulley_core::weights::{OrderCommand, OrderResult, Report};
+use lichenpulley_core::weights::{OrderCommand, OrderResult, WeightReport};
 use lichenpulley_protocol::engine::{Command, EngineRole, LoadReport, Order, OrderAccepted, OrderRefused};
 
 use crate::http::client::{ClientError, HttpClient};
@@ -37,7 +37,7 @@
     }
 
     /// Asks for an engine's state.
-    pub(super) async fn ask(&self, address: SocketAddr) -> Option<Report> {
+    pub(super) async fn ask(&self, address: SocketAddr) -> Option<WeightReport> {
         let load: Result<LoadReport, ClientError> =
             self.http.get_json(address, "/v1/load", self.deadline).await;
         load.ok().map(|load| report(&load))
@@ -52,6 +52,6 @@
     Some(OrderResult::Refused { highest_epoch })
 }
 
-fn report(load: &LoadReport) -> Report {
-    Report { weight_version: load.weight_version, draining: load.role == EngineRole::Draining }
+fn report(load: &LoadReport) -> WeightReport {
+    WeightReport { weight_version: load.weight_version, draining: load.role == EngineRole::Draining }
 }
--- a/crates/daemon/src/gateway/completions.rs
+++ b/crates/daemon/src/gateway/completions.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::identity::{PoolName, RequestId};
 use lichenpulley_core::request::answer::{Answer, FinishReason};
 use lichenpulley_core::request::assembly::Chunk;
-use lichenpulley_core::request::outcome::{Outcome, RefusalReason};
+use lichenpulley_core::request::outcome::{RefusalReason, RequestOutcome};
 use lichenpulley_protocol::caller::{
     CompletionChunk, CompletionRequest, CompletionResponse, IDEMPOTENCY_KEY_HEADER,
 };
@@ -22,7 +22,7 @@
 use crate::http::{Body, response};
 
 /// Most tokens that may be asked for.
-const MOST_TOKENS: u32 = 1 << 20;
+const MAX_TOKENS: u32 = 1 << 20;
 /// Shortest and longest deadline, in milliseconds.
 const DEADLINE_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
 /// Chunks that a slow reader may fall behind before its stream is held up.
@@ -59,8 +59,8 @@
 ) -> Result<Generation, ErrorBody> {
     let named = request_id(&completion, headers)?;
     let deadline = deadline(completion.deadline_ms, default_deadline(dispatcher, &completion.pool))?;
-    if !(1..=MOST_TOKENS).contains(&completion.max_tokens) {
-        return Err(bad_field("max_tokens", &format!("set it from 1 to {MOST_TOKENS}")));
+    if !(1..=MAX_TOKENS).contains(&completion.max_tokens) {
+        return Err(bad_field("max_tokens", &format!("set it from 1 to {MAX_TOKENS}")));
     }
     let repetition = match (completion.repeatable, &named, completion.issued_at_unix_ms) {
         (true, _, _) => Repetition::Repeatable,
@@ -134,7 +134,7 @@
 async fn answer_whole(dispatcher: &Dispatcher, generation: Generation) -> Response<Body> {
     let request_id = generation.request.clone();
     match dispatcher.generate(generation).await {
-        Outcome::Completed { answer, attempts } => {
+        RequestOutcome::Completed { answer, attempts } => {
             response::json(StatusCode::OK, &whole(request_id, answer, attempts))
         }
         failed => failure(&failed),
@@ -152,16 +152,16 @@
     }
 }
 
-fn failure(outcome: &Outcome) -> Response<Body> {
+fn failure(outcome: &RequestOutcome) -> Response<Body> {
     let (status, body) = error_of(outcome);
     response::error(status, &body)
 }
 
-fn error_of(outcome: &Outcome) -> (StatusCode, ErrorBody) {
+fn error_of(outcome: &RequestOutcome) -> (StatusCode, ErrorBody) {
     match outcome {
-        Outcome::NotRun { reason, retry_after, .. } => refusal::not_run(*reason, *retry_after),
-        Outcome::Unknown { reason, retry_after, .. } => refusal::unknown(*reason, *retry_after),
-        Outcome::Completed { .. } => {
+        RequestOutcome::NotRun { reason, retry_after, .. } => refusal::not_run(*reason, *retry_after),
+        RequestOutcome::Unknown { reason, retry_after, .. } => refusal::unknown(*reason, *retry_after),
+        RequestOutcome::Completed { .. } => {
             let body = ErrorBody::new("already_answered", "the answer is whole", "read the answer");
             (StatusCode::INTERNAL_SERVER_ERROR, body)
         }
@@ -213,7 +213,7 @@
     request_id: RequestId,
     first: Chunk,
     mut chunks: mpsc::Receiver<Chunk>,
-    outcome: Outcome,
+    outcome: RequestOutcome,
 ) -> Response<Body> {
     let (events, response) = event_stream(STREAM_BACKLOG);
     tokio::spawn(async move {
@@ -230,8 +230,8 @@
 }
 
 /// An answer without tokens, or none at all.
-fn empty_or_failed(request_id: RequestId, outcome: Outcome) -> Response<Body> {
-    if !matches!(outcome, Outcome::Completed { .. }) {
+fn empty_or_failed(request_id: RequestId, outcome: RequestOutcome) -> Response<Body> {
+    if !matches!(outcome, RequestOutcome::Completed { .. }) {
         return failure(&outcome);
     }
     let (events, response) = event_stream(STREAM_BACKLOG);
@@ -244,9 +244,9 @@
 }
 
 /// The last event: how the answer ended, or why it could not be made whole.
-async fn send_end(events: EventSender, request_id: RequestId, outcome: Outcome) {
+async fn send_end(events: EventSender, request_id: RequestId, outcome: RequestOutcome) {
     let sent = match outcome {
-        Outcome::Completed { answer, .. } => {
+        RequestOutcome::Completed { answer, .. } => {
             let last = answer.spans.last();
             let end = Chunk {
                 first_token: u32::try_from(answer.tokens.len()).unwrap_or(u32::MAX),
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -8,7 +8,9 @@
 use lichenpulley_core::identity::{PoolName, ReplicaId, RequestId, WeightVersion};
 use lichenpulley_core::request::answer::Priority;
 use lichenpulley_core::request::assembly::Chunk;
-use lichenpulley_core::request::outcome::{Doubt, GiveUpReason, Outcome, RefusalReason, refuse_at_once};
+use lichenpulley_core::request::outcome::{
+    Doubt, GiveUpReason, RefusalReason, RequestOutcome, refuse_at_once,
+};
 use lichenpulley_protocol::operator::PoolStatus;
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
@@ -107,13 +109,17 @@
 
     /// Runs a generation to its outcome. May be awaited on any runtime; the work is done on the traffic runtime.
     /// Dropping the future cancels the stream at the engine.
-    pub async fn generate(&self, generation: Generation) -> Outcome {
+    pub async fn generate(&self, generation: Generation) -> RequestOutcome {
         self.run(generation, None).await
     }
 
     /// Like [`Dispatcher::generate`]; also sends the answer's tokens as they come, in order and without gaps.
     /// Ends when the receiver is dropped.
-    pub async fn generate_stream(&self, generation: Generation, chunks: mpsc::Sender<Chunk>) -> Outcome {
+    pub async fn generate_stream(
+        &self,
+        generation: Generation,
+        chunks: mpsc::Sender<Chunk>,
+    ) -> RequestOutcome {
         self.run(generation, Some(chunks)).await
     }
 
@@ -123,7 +129,7 @@
         self.shared.pools.status(self.shared.clock.now())
     }
 
-    async fn run(&self, generation: Generation, chunks: Option<mpsc::Sender<Chunk>>) -> Outcome {
+    async fn run(&self, generation: Generation, chunks: Option<mpsc::Sender<Chunk>>) -> RequestOutcome {
         let Some(pool) = self.shared.pool(&generation.pool) else {
             return self.refuse(&generation, RefusalReason::UnknownPool);
         };
@@ -136,7 +142,7 @@
     }
 
     /// Refuses a generation for which nothing was done.
-    pub(super) fn refuse(&self, generation: &Generation, reason: RefusalReason) -> Outcome {
+    pub(super) fn refuse(&self, generation: &Generation, reason: RefusalReason) -> RequestOutcome {
         let decision = Decision::new(Component::Request, "refused", reason.as_str(), &generation.request);
         self.shared.context.decisions.record(decision.with("pool", &generation.pool));
         let retry_after = reason.is_worth_repeating().then_some(Duration::from_secs(1));
@@ -200,8 +206,8 @@
 }
 
 /// A run whose task panicked or was shut down may have dispatched: nothing is known about it.
-const fn lost_run() -> Outcome {
-    Outcome::Unknown {
+const fn lost_run() -> RequestOutcome {
+    RequestOutcome::Unknown {
         doubt: Doubt::EarlierSubmission,
         reason: GiveUpReason::AnswerNotWhole,
         retry_after: None,
--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -9,7 +9,7 @@
 use lichenpulley_core::request::execution::{ANSWER_TIMEOUT, EngineEvent, RefusalCause};
 use lichenpulley_core::request::outcome::EngineRefusal;
 use lichenpulley_core::routing::LoadReport;
-use lichenpulley_protocol::engine::{Refusal, RefusalReason, StreamEvent, StreamRequest};
+use lichenpulley_protocol::engine::{RefusalBody, RefusalReason, StreamEvent, StreamRequest};
 
 use crate::http::client::{ClientError, HttpClient};
 use crate::http::events::{EventReader, EventStreamError};
@@ -96,7 +96,7 @@
     if error.status() != Some(StatusCode::SERVICE_UNAVAILABLE) {
         return None;
     }
-    let refusal: Refusal = error.body()?;
+    let refusal: RefusalBody = error.body()?;
     let cause = match refusal.reason {
         RefusalReason::Overloaded => RefusalCause::Overloaded,
         RefusalReason::Draining | RefusalReason::NoWeights => RefusalCause::NotServing,
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::configuration::schema::{LIVE_RESERVED_PERCENT, RETRY_BUDGET_PERCENT};
 use lichenpulley_core::identity::{NodeId, PoolName, ReplicaId};
 use lichenpulley_core::retry::budget::BudgetConfig;
-use lichenpulley_core::routing::concurrency::{ConcurrencyConfig, MOST_RESERVED_PERCENT};
+use lichenpulley_core::routing::concurrency::{ConcurrencyConfig, MAX_RESERVED_PERCENT};
 use lichenpulley_core::routing::eligibility::Eligibility;
 use lichenpulley_core::routing::pool::ListedReplica;
 use lichenpulley_core::routing::{Pool, PoolConfig};
@@ -156,7 +156,7 @@
         confirmation_holds: context.settings.gateway.eligibility,
         budget: BudgetConfig { deposit_ratio: retry_percent as f64 / 100.0, ..defaults.budget },
         concurrency: ConcurrencyConfig {
-            live_reserve_percent: u8::try_from(live_percent).unwrap_or(u8::MAX).min(MOST_RESERVED_PERCENT),
+            live_reserve_percent: u8::try_from(live_percent).unwrap_or(u8::MAX).min(MAX_RESERVED_PERCENT),
             ..defaults.concurrency
         },
         ..defaults
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -5,7 +5,7 @@
 use lichenpulley_core::identity::{AttemptId, ReplicaId};
 use lichenpulley_core::request::assembly::Chunk;
 use lichenpulley_core::request::execution::{ClaimVerdict, Execution, ExecutionSpec, Step};
-use lichenpulley_core::request::outcome::Outcome;
+use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::routing::Pool;
 use lichenpulley_core::routing::prefix::prefix_group;
 use lichenpulley_core::time::Timestamp;
@@ -25,7 +25,7 @@
     pool: Arc<SharedPool>,
     generation: Generation,
     chunks: Option<mpsc::Sender<Chunk>>,
-) -> Outcome {
+) -> RequestOutcome {
     let mut runner = Runner::new(shared, pool, generation, chunks);
     loop {
         match runner.advance(|execution, now, pool, random| execution.next(now, pool, random)) {
--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -24,7 +24,7 @@
 /// The longest request head, in bytes.
 const HEAD_BYTES: usize = 64 << 10;
 /// The least that the library takes as the longest head, in bytes.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+const MIN_HEAD_BYTES: usize = 8 << 10;
 /// The most fields of a request head.
 const HEAD_FIELDS: usize = 256;
 /// Pause after the system refused a connection, for instance because no file descriptor is free.
@@ -134,7 +134,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(heads.timeout)
-        .max_buf_size(heads.bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(heads.bytes.max(MIN_HEAD_BYTES))
         .max_headers(HEAD_FIELDS)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
--- a/crates/daemon/src/ingress/ends.rs
+++ b/crates/daemon/src/ingress/ends.rs
@@ -20,7 +20,7 @@
 use crate::http::Body;
 
 /// Ends that wait for this node's first configuration at most.
-pub(super) const MOST_EARLY: usize = 256;
+pub(super) const MAX_EARLY: usize = 256;
 /// How long they wait. A node that starts has a configuration within seconds of reaching the platform or a peer.
 const EARLY_FOR: Duration = Duration::from_secs(120);
 
@@ -68,7 +68,7 @@
 /// A node that has no configuration yet can't tell who its callers are. It asks them to come back, and holds the end once it can.
 fn hold_early(ingress: &Ingress, batch: BatchId, fields: &HeaderMap) {
     let Ok(place) = Arc::clone(&ingress.early_ends).try_acquire_owned() else {
-        log::warn!(target: "batch", "The end of {batch} is not held: {MOST_EARLY} wait for a configuration already.");
+        log::warn!(target: "batch", "The end of {batch} is not held: {MAX_EARLY} wait for a configuration already.");
         return;
     };
     let trace = EndTrace::begin(&ingress.context, &batch);
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -32,7 +32,7 @@
 /// The part of the remaining time that one replica is given while others may still be tried.
 const PATIENCE_SHARE: f64 = 0.35;
 /// The least time that one replica is given.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+const MIN_PATIENCE: Duration = Duration::from_millis(300);
 
 /// A caller's request, read whole.
 pub(super) struct Call {
@@ -280,7 +280,7 @@
     if !route.is_repeatable() || attempts.is_last() {
         return remaining;
     }
-    remaining.mul_f64(PATIENCE_SHARE).max(LEAST_PATIENCE).min(remaining)
+    remaining.mul_f64(PATIENCE_SHARE).max(MIN_PATIENCE).min(remaining)
 }
 
 async fn send(
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -22,7 +22,7 @@
 use lichenpulley_core::identity::NodeId;
 use lichenpulley_core::ingress::admission::{Admission, AdmissionGate};
 use lichenpulley_core::ingress::attempts::SendOutcome;
-use lichenpulley_core::ingress::replicas::{Experience, ReplicaChooser, ReplicaRecord, ReplicaTable};
+use lichenpulley_core::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord, ReplicaTable};
 use lichenpulley_core::ingress::routes::{Limits, RouteKind, RouteTable};
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
 use lichenpulley_core::ingress::warmups::Warmups;
@@ -92,7 +92,7 @@
     /// replicas on the current runtime until the node has stopped.
     pub fn spawn(context: Context, pool: ReplicaPool, batch: BatchJobs) -> Self {
         let choice = Arc::new(Mutex::new(ReplicaChoice::new(&context.node)));
-        let early_ends = Arc::new(Semaphore::new(ends::MOST_EARLY));
+        let early_ends = Arc::new(Semaphore::new(ends::MAX_EARLY));
         let ingress = Self { context, pool, batch, choice, early_ends, origin: Instant::now() };
         tokio::spawn(warming::watch(ingress.clone()));
         ingress
@@ -189,7 +189,7 @@
         let is_cold = choice.gate.is_cold(&replica.id, now);
         let (ingress, began) = (self.clone(), Instant::now());
         let run = TracedRun::begin(&self.context, call.fingerprint, &replica, RunSender::Gateway);
-        Ok(Visit { ingress, replica, is_cold, began, experience: Experience::Abandoned, run })
+        Ok(Visit { ingress, replica, is_cold, began, feedback: ReplicaFeedback::Abandoned, run })
     }
 
     fn reported(&self, replica: &str, busy: u32) {
@@ -234,7 +234,7 @@
     /// Whether the replica was cold when it was chosen.
     is_cold: bool,
     began: Instant,
-    experience: Experience,
+    feedback: ReplicaFeedback,
     /// What becomes of it, for the quarantine.
     run: TracedRun,
 }
@@ -242,16 +242,17 @@
 impl Visit {
     fn answered(&mut self) {
         let took = self.began.elapsed();
-        self.experience = if self.is_cold { Experience::AnsweredCold } else { Experience::Answered(took) };
+        self.feedback =
+            if self.is_cold { ReplicaFeedback::AnsweredCold } else { ReplicaFeedback::Answered(took) };
     }
 
     fn was_full(&mut self) {
         self.run.has_not_run();
-        self.experience = Experience::Full;
+        self.feedback = ReplicaFeedback::Full;
     }
 
     fn was_silent(&mut self) {
-        self.experience = Experience::Silent;
+        self.feedback = ReplicaFeedback::Silent;
     }
 
     /// No head of an answer came.
@@ -270,7 +271,7 @@
 
 impl Drop for Visit {
     fn drop(&mut self) {
-        self.ingress.choice().chooser.ended(&self.replica.id, self.experience, self.ingress.now());
+        self.ingress.choice().chooser.ended(&self.replica.id, self.feedback, self.ingress.now());
     }
 }
 
--- a/crates/daemon/src/settings/parts.rs
+++ b/crates/daemon/src/settings/parts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::replication::claims::ClaimWindow;
-use lichenpulley_core::replication::placement::SetSize;
+use lichenpulley_core::replication::placement::ToleranceTarget;
 use lichenpulley_core::scaling::ScalingPolicy;
 use lichenpulley_core::usage::reporter::ReporterConfig;
 use lichenpulley_core::usage::window::WindowLength;
@@ -209,7 +209,7 @@
     /// Where fewer stores stand than a replica set should have, a smaller one is made once no other has come for so long.
     pub small_set_after: Duration,
     /// What the replica sets that this node chooses should bear.
-    pub set_size: SetSize,
+    pub set_size: ToleranceTarget,
 }
 
 impl StoreSettings {
@@ -227,7 +227,7 @@
             replace_after: reader.milliseconds("store.replace_after_ms", 600_000, 1_000..=86_400_000),
             // Stores of one deployment start within seconds of each other, and nothing is served meanwhile.
             small_set_after: reader.milliseconds("store.small_set_after_ms", 5_000, 0..=3_600_000),
-            set_size: SetSize::tolerating(to_usize(reader.number("store.tolerated_losses", &losses)))
+            set_size: ToleranceTarget::tolerating(to_usize(reader.number("store.tolerated_losses", &losses)))
                 .with_zones(to_usize(reader.number("store.tolerated_zones", &groups)))
                 .with_regions(to_usize(reader.number("store.tolerated_regions", &groups))),
         }
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -6,7 +6,9 @@
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{AttemptId, RequestId, ShardId};
 use lichenpulley_core::replication::claim_tally::{ClaimTally, ClaimVerdict};
-use lichenpulley_core::replication::message::{Claim, Operation, Outcome, Refusal, ReplicaRequest};
+use lichenpulley_core::replication::message::{
+    ClaimRequest, Operation, ReplicaAnswer, ReplicaRequest, StoreRefusal,
+};
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, StoreId};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -57,7 +59,7 @@
     attempt: &AttemptId,
 ) -> ClaimOutcome {
     let shard = claim_shard(request);
-    let claim = Claim { request: request.clone(), issued_at_unix_ms, attempt: attempt.clone() };
+    let claim = ClaimRequest { request: request.clone(), issued_at_unix_ms, attempt: attempt.clone() };
     let deadline = Instant::now() + context.settings.store.call_timeout * PATIENCE;
     let outcome = tokio::time::timeout_at(deadline, claim_on(context, &shard, &claim)).await;
     let outcome = outcome.unwrap_or(ClaimOutcome::NoMajority);
@@ -77,7 +79,7 @@
 }
 
 /// Claims in one generation after the other, until one decides or the caller's time is up.
-async fn claim_on(context: &Context, shard: &ShardId, claim: &Claim) -> ClaimOutcome {
+async fn claim_on(context: &Context, shard: &ShardId, claim: &ClaimRequest) -> ClaimOutcome {
     loop {
         let set = match replica_sets::find(context, shard).await {
             Ok(set) => set,
@@ -103,7 +105,7 @@
     Replaced(ReplicaSet),
 }
 
-async fn collect_votes(context: &Context, set: &ReplicaSet, claim: &Claim) -> Votes {
+async fn collect_votes(context: &Context, set: &ReplicaSet, claim: &ClaimRequest) -> Votes {
     let mut exchange = Exchange::new(context.clone());
     let mut tally = ClaimTally::new(set);
     let mut operations = BTreeMap::new();
@@ -116,14 +118,16 @@
             return Votes::Decided(ClaimOutcome::NoMajority);
         };
         match response.map(|response| response.outcome) {
-            Some(Outcome::Voted { vote, .. }) => tally.add(&store, &vote),
-            Some(Outcome::Begun) => {
+            Some(ReplicaAnswer::Voted { vote, .. }) => tally.add(&store, &vote),
+            Some(ReplicaAnswer::Begun) => {
                 operations.insert(store.clone(), Operation::Claim(claim.clone()));
                 send(&exchange, set, &store, &operations);
             }
-            Some(Outcome::Refused(Refusal::SealedFor { next })) => return Votes::Replaced(next),
-            Some(Outcome::Refused(Refusal::NewerGeneration { current })) => return Votes::Replaced(current),
-            Some(Outcome::Refused(Refusal::NotInstalled)) if may_begin(set, &tally) => {
+            Some(ReplicaAnswer::Refused(StoreRefusal::SealedFor { next })) => return Votes::Replaced(next),
+            Some(ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current })) => {
+                return Votes::Replaced(current);
+            }
+            Some(ReplicaAnswer::Refused(StoreRefusal::NotInstalled)) if may_begin(set, &tally) => {
                 operations.insert(store.clone(), Operation::Begin(set.clone()));
                 send(&exchange, set, &store, &operations);
             }
--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -27,7 +27,7 @@
 use lichenpulley_core::batch::outline;
 use lichenpulley_core::replication::acceptor::Acceptor;
 use lichenpulley_core::replication::claims::ClaimWindow;
-use lichenpulley_core::replication::message::Outcome;
+use lichenpulley_core::replication::message::ReplicaAnswer;
 use lichenpulley_core::replication::replica_set::{ReplicaSet, StoreId};
 use lichenpulley_protocol::internal::{StoreRequest, StoreResponse};
 use tokio::sync::{mpsc, oneshot};
@@ -107,7 +107,7 @@
         };
         match self.work(work).await {
             Done::Response(StoreResponse::Replica(mut response)) if is_outline => {
-                if let Outcome::Decided { entries, .. } = &mut response.outcome {
+                if let ReplicaAnswer::Decided { entries, .. } = &mut response.outcome {
                     outline::outline_entries(entries);
                 }
                 StoreResponse::Replica(response)
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{RegionName, ShardId, ZoneName};
-use lichenpulley_core::replication::placement::{Bearing, PlacementPolicy};
+use lichenpulley_core::replication::placement::{FaultTolerance, PlacementPolicy};
 use lichenpulley_core::replication::quorum::majority;
 use lichenpulley_core::replication::replica_set::ReplicaSet;
 use prometheus::{IntGaugeVec, Opts, Registry};
@@ -33,13 +33,13 @@
 /// Tells what a set bears in a decision and, where it is less than the settings want, in the log.
 pub(crate) fn tell(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
     let policy = policy(context);
-    let bearing = policy.bearing(&set.members);
+    let tolerance = policy.fault_tolerance(&set.members);
     let wanted = policy.size.members();
     let nodes: Vec<&str> = set.members.iter().map(|member| member.node.as_str()).collect();
     let decision = Decision::new(Component::Replication, action, reason, &set.shard);
     let decision = decision.with("nodes", nodes.join(" ")).with("members", nodes.len());
-    let decision = decision.with("least_wanted", wanted).with("bears_disks", bearing.disks);
-    let decision = decision.with("bears_zones", bearing.zones).with("bears_regions", bearing.regions);
+    let decision = decision.with("least_wanted", wanted).with("bears_disks", tolerance.disks);
+    let decision = decision.with("bears_zones", tolerance.zones).with("bears_regions", tolerance.regions);
     context.decisions.record(decision);
     if let Err(shortfall) = policy.check(&set.members) {
         log::warn!(target: "store", "Shard {}: {shortfall}.", set.shard);
@@ -93,13 +93,13 @@
     }
 
     /// Shows a set.
-    pub(crate) fn show(&self, shard: &ShardId, members: usize, bearing: Bearing) {
+    pub(crate) fn show(&self, shard: &ShardId, members: usize, tolerance: FaultTolerance) {
         let shard = shard.as_str();
         let set = |of: &str, count: usize| self.borne.with_label_values(&[shard, of]).set(to_gauge(count));
         self.members.with_label_values(&[shard]).set(to_gauge(members));
-        set("disks", bearing.disks);
-        set("zones", bearing.zones);
-        set("regions", bearing.regions);
+        set("disks", tolerance.disks);
+        set("zones", tolerance.zones);
+        set("regions", tolerance.regions);
     }
 }
 
--- a/crates/daemon/src/store/repair.rs
+++ b/crates/daemon/src/store/repair.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::replication::group::{GroupPhase, GroupRecord};
-use lichenpulley_core::replication::message::{Operation, Outcome, Refusal, ReplicaRequest};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest, StoreRefusal};
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, SetMember};
 use rand::seq::IndexedRandom;
 
@@ -70,8 +70,10 @@
         };
         let response = ask(context, source, request, context.settings.store.call_timeout).await;
         let entries = match response.map(|response| response.outcome) {
-            Some(Outcome::Decided { entries, .. }) => entries,
-            Some(Outcome::Refused(Refusal::NotInstalled)) if group.set.generation > Generation::FIRST => {
+            Some(ReplicaAnswer::Decided { entries, .. }) => entries,
+            Some(ReplicaAnswer::Refused(StoreRefusal::NotInstalled))
+                if group.set.generation > Generation::FIRST =>
+            {
                 return reconfiguration::catch_up(context, &group.set).await;
             }
             _ => return,
--- a/crates/daemon/src/store/worker.rs
+++ b/crates/daemon/src/store/worker.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::replication::ballot::Ballot;
 use lichenpulley_core::replication::entry::{IndexedEntry, LogIndex};
 use lichenpulley_core::replication::group::{GroupPhase, GroupRecord};
-use lichenpulley_core::replication::message::{Outcome, Refusal, ReplicaRequest, ReplicaResponse};
+use lichenpulley_core::replication::message::{ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal};
 use lichenpulley_core::replication::replica_set::Generation;
 use lichenpulley_core::replication::storage::ShardStorage;
 use lichenpulley_protocol::internal::StoreResponse;
@@ -91,9 +91,9 @@
     /// Learns from what was answered to a proposer.
     fn learn(&mut self, done: &Done) {
         let Done::Response(StoreResponse::Replica(response)) = done else { return };
-        let (Outcome::Promised { ballot, .. }
-        | Outcome::Entries { ballot, .. }
-        | Outcome::Accepted { ballot, .. }) = &response.outcome
+        let (ReplicaAnswer::Promised { ballot, .. }
+        | ReplicaAnswer::Entries { ballot, .. }
+        | ReplicaAnswer::Accepted { ballot, .. }) = &response.outcome
         else {
             return;
         };
@@ -223,14 +223,14 @@
     fn failed(&self, work: &Work, error: &DiskError) -> Done {
         let Work::Replica(request) = work else { return Done::Failed };
         let refusal = match error {
-            DiskError::Full => Refusal::DiskFull,
-            DiskError::Damaged(_) | DiskError::Failed(_) => Refusal::Damaged,
+            DiskError::Full => StoreRefusal::DiskFull,
+            DiskError::Damaged(_) | DiskError::Failed(_) => StoreRefusal::Damaged,
         };
         Done::Response(StoreResponse::Replica(Box::new(ReplicaResponse {
             shard: request.shard.clone(),
             generation: request.generation,
             store: self.acceptor.store().clone(),
-            outcome: Outcome::Refused(refusal),
+            outcome: ReplicaAnswer::Refused(refusal),
         })))
     }
 }
--- a/crates/daemon/src/store/worker/tests.rs
+++ b/crates/daemon/src/store/worker/tests.rs
@@ -15,7 +15,7 @@
 
 fn entries_read_under(ballot: Ballot) -> Done {
     let (from, through) = (LogIndex(1), LogIndex(1));
-    let outcome = Outcome::Entries { ballot, from, through, entries: Vec::new() };
+    let outcome = ReplicaAnswer::Entries { ballot, from, through, entries: Vec::new() };
     let (generation, store) = (Generation::FIRST, StoreId::new("a"));
     let response = ReplicaResponse { shard: shard(), generation, store, outcome };
     Done::Response(StoreResponse::Replica(Box::new(response)))
--- a/crates/daemon/src/suspension.rs
+++ b/crates/daemon/src/suspension.rs
@@ -16,7 +16,7 @@
 /// The pause between two looks at both clocks.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
 /// Clocks that are read one after the other differ by less than this, also on a busy machine.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(250);
+const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
 /// Looks until the node has stopped.
 pub fn start(context: &Context) {
@@ -33,7 +33,7 @@
             let now = ClockPair::read(&context.boot_clock);
             let suspended = now.suspended_since(&clocks);
             clocks = now;
-            if suspended >= LEAST_SUSPENSION {
+            if suspended >= MIN_SUSPENSION {
                 resumed(&context, suspended);
             }
         }
--- a/crates/lab/src/configuration_simulation/changes.rs
+++ b/crates/lab/src/configuration_simulation/changes.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::configuration::document::Document;
 use lichenpulley_core::configuration::register::{Change, ChangeRefused, Register};
 use lichenpulley_core::configuration::writer::{
-    Action, ChangeWriter, Config, Outcome, StoredRegister, WriteReply,
+    Action, ChangeOutcome, ChangeWriter, Config, StoredRegister, WriteReply,
 };
 use lichenpulley_core::identity::Revision;
 use lichenpulley_core::time::Timestamp;
@@ -152,19 +152,19 @@
         None
     }
 
-    fn finish(&mut self, outcome: Outcome, now: Timestamp, step: &mut Step) -> Option<ChangeAnswer> {
+    fn finish(&mut self, outcome: ChangeOutcome, now: Timestamp, step: &mut Step) -> Option<ChangeAnswer> {
         match outcome {
-            Outcome::Accepted { revision, register } => {
+            ChangeOutcome::Accepted { revision, register } => {
                 step.written.push(register.document().clone());
                 self.state = State::Spreading { revision, until: now + SPREAD_PATIENCE };
                 None
             }
-            Outcome::Refused(ChangeRefused::Conflict { current, .. }) => {
+            ChangeOutcome::Refused(ChangeRefused::Conflict { current, .. }) => {
                 Some(ChangeAnswer::Conflict(current))
             }
-            Outcome::Refused(_) => Some(ChangeAnswer::Refused),
-            Outcome::Unavailable => Some(ChangeAnswer::Unavailable),
-            Outcome::InDoubt => Some(ChangeAnswer::InDoubt),
+            ChangeOutcome::Refused(_) => Some(ChangeAnswer::Refused),
+            ChangeOutcome::Unavailable => Some(ChangeAnswer::Unavailable),
+            ChangeOutcome::InDoubt => Some(ChangeAnswer::InDoubt),
         }
     }
 }
--- a/crates/lab/src/engine/api.rs
+++ b/crates/lab/src/engine/api.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use lichenpulley_core::identity::AttemptId;
 use lichenpulley_daemon::http::request::{percent_decode, query_parameter};
-use lichenpulley_protocol::engine::{Order, Refusal, RefusalReason, StreamRequest};
+use lichenpulley_protocol::engine::{Order, RefusalBody, RefusalReason, StreamRequest};
 use lichenpulley_protocol::error::ErrorBody;
 
 use super::event_source::EventSource;
@@ -113,7 +113,7 @@
 }
 
 fn refused(attempt: AttemptId, reason: RefusalReason) -> Response<Body> {
-    let refusal = Refusal { attempt, reason, retry_after_ms: Some(RETRY_AFTER_MS) };
+    let refusal = RefusalBody { attempt, reason, retry_after_ms: Some(RETRY_AFTER_MS) };
     let mut response = json(StatusCode::SERVICE_UNAVAILABLE, &refusal);
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(RETRY_AFTER_MS.div_ceil(1_000)));
     response
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -12,10 +12,10 @@
 use hyper::body::{Frame, Incoming};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use lichenpulley_core::ingress::replicas::ReplicaLife;
+use lichenpulley_core::ingress::replicas::ReplicaIncarnation;
 use lichenpulley_daemon::decisions::unix_milliseconds;
 use lichenpulley_platform::headers;
-use lichenpulley_platform::replica::{LoadOrder, ModelState, ORDER_PATH, REPORT_PATH, Report};
+use lichenpulley_platform::replica::{LoadOrder, ModelState, ORDER_PATH, REPORT_PATH, ReplicaReport};
 
 use crate::error::LabError;
 use crate::http::{self, Body, Reply, Server};
@@ -197,7 +197,7 @@
     /// The id of this life as nodes know it.
     pub fn life(&self) -> String {
         let state = lock(&self.state);
-        ReplicaLife { name: &state.plan.id, born_ms: Some(state.born_ms) }.to_string()
+        ReplicaIncarnation { name: &state.plan.id, born_ms: Some(state.born_ms) }.to_string()
     }
 
     /// Events of each stream.
@@ -269,7 +269,7 @@
 
 fn report(state: &Mutex<State>) -> Response<Body> {
     let state = lock(state);
-    let report = Report {
+    let report = ReplicaReport {
         models: models(&state.plan),
         num_busy: false,
         seq: state.orders.len() as u64,
--- a/crates/lab/src/requests/checks.rs
+++ b/crates/lab/src/requests/checks.rs
@@ -6,7 +6,7 @@
 
 use lichenpulley_core::identity::ReplicaId;
 use lichenpulley_core::request::answer::Answer;
-use lichenpulley_core::request::outcome::Outcome;
+use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::routing::eligibility::DEFAULT_CONFIRMATION_HOLDS;
 use lichenpulley_core::time::Timestamp;
 
@@ -93,14 +93,14 @@
         self.faults += other.faults;
     }
 
-    pub(super) fn count_outcome(&mut self, outcome: &Outcome) {
+    pub(super) fn count_outcome(&mut self, outcome: &RequestOutcome) {
         match outcome {
-            Outcome::Completed { attempts, .. } => {
+            RequestOutcome::Completed { attempts, .. } => {
                 self.completed += 1;
                 self.completed_in_many_attempts += u64::from(*attempts > 1);
             }
-            Outcome::NotRun { .. } => self.not_run += 1,
-            Outcome::Unknown { .. } => self.unknown += 1,
+            RequestOutcome::NotRun { .. } => self.not_run += 1,
+            RequestOutcome::Unknown { .. } => self.unknown += 1,
         }
     }
 }
@@ -131,8 +131,8 @@
     violations: &mut Vec<Violation>,
 ) {
     match &*told.outcome {
-        Outcome::Completed { answer, .. } => check_answer(told, answer, submission, violations),
-        Outcome::NotRun { .. } => {
+        RequestOutcome::Completed { answer, .. } => check_answer(told, answer, submission, violations),
+        RequestOutcome::NotRun { .. } => {
             // The attempts of this submission bear its number; a claimed id belongs to this submission alone, so
             // that no other may have run it either.
             let own = format!("-{}.", submission.number);
@@ -144,7 +144,7 @@
                 violations.push(Violation::RanThoughToldNotRun { submission: told.number });
             }
         }
-        Outcome::Unknown { .. } => {}
+        RequestOutcome::Unknown { .. } => {}
     }
 }
 
--- a/crates/lab/src/requests/schedule.rs
+++ b/crates/lab/src/requests/schedule.rs
@@ -6,7 +6,7 @@
 
 use lichenpulley_core::identity::{AttemptId, Epoch, ReplicaId, RequestId, ShardId, WeightVersion};
 use lichenpulley_core::request::answer::Priority;
-use lichenpulley_core::request::outcome::Outcome;
+use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::{Command, EngineRole, Order, StreamRequest};
 use lichenpulley_simulation::{Fault, FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation};
@@ -38,7 +38,7 @@
 /// After the last fault, everything must come to its end within this time.
 const SETTLING: Duration = Duration::from_secs(45);
 /// Most tokens of an answer.
-const MOST_TOKENS: u32 = 400;
+const MAX_TOKENS: u32 = 400;
 
 /// What happens from outside, in the order of time.
 #[derive(Clone, Debug)]
@@ -168,7 +168,7 @@
                 attempt: AttemptId::new(""),
                 prompt: format!("seed {seed} request {number}"),
                 prior_tokens: Vec::new(),
-                max_tokens: MOST_TOKENS,
+                max_tokens: MAX_TOKENS,
                 priority: Priority::Live,
                 seed: random.random(),
             };
@@ -200,7 +200,7 @@
                 attempt: AttemptId::new(""),
                 prompt,
                 prior_tokens: Vec::new(),
-                max_tokens: random.random_range(1..=MOST_TOKENS),
+                max_tokens: random.random_range(1..=MAX_TOKENS),
                 priority,
                 seed: random.random(),
             };
@@ -465,7 +465,7 @@
             for told in &gateway.told {
                 told_count += 1;
                 self.tally.count_outcome(&told.outcome);
-                if let Outcome::Completed { answer, .. } = &*told.outcome {
+                if let RequestOutcome::Completed { answer, .. } = &*told.outcome {
                     cost.tokens_answered += answer.tokens.len() as u64;
                     cost.waits.push(told.took);
                 }
--- a/crates/lab/src/requests/submission.rs
+++ b/crates/lab/src/requests/submission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::{ReplicaId, RequestId};
-use lichenpulley_core::request::outcome::Outcome;
+use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::StreamRequest;
 
@@ -29,7 +29,7 @@
     /// Which submission.
     pub number: usize,
     /// The outcome.
-    pub outcome: Rc<Outcome>,
+    pub outcome: Rc<RequestOutcome>,
     /// Chunks as they were streamed.
     pub streamed: Vec<u32>,
     /// How long the caller waited.
--- a/crates/lab/src/simulate_replication/claimant.rs
+++ b/crates/lab/src/simulate_replication/claimant.rs
@@ -5,7 +5,7 @@
 use lichenpulley_core::identity::{AttemptId, RequestId, ShardId};
 use lichenpulley_core::replication::claim_tally::{ClaimTally, ClaimVerdict};
 use lichenpulley_core::replication::message::{
-    Claim, Operation, Outcome, Refusal, ReplicaRequest, ReplicaResponse,
+    ClaimRequest, Operation, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal,
 };
 use lichenpulley_core::replication::proposer::Transmit;
 use lichenpulley_core::replication::reconfigurer::ReconfigurerChecks;
@@ -45,11 +45,11 @@
 enum Activity {
     Waiting { until: Timestamp },
     Claiming(Claiming),
-    Changing(Box<Change>, Claim, Timestamp),
+    Changing(Box<Change>, ClaimRequest, Timestamp),
 }
 
 struct Claiming {
-    claim: Claim,
+    claim: ClaimRequest,
     tally: ClaimTally,
     began: Timestamp,
     deadline: Timestamp,
@@ -143,7 +143,7 @@
         self.attempts += 1;
         let issues = now.as_micros() / 1_000 / ISSUE_INTERVAL_MS;
         let issue = issues.saturating_sub(self.random.random_range(0..RECENT_ISSUES));
-        let claim = Claim {
+        let claim = ClaimRequest {
             request: RequestId::new(format!("request-{issue}")),
             issued_at_unix_ms: EPOCH_UNIX_MS + issue * ISSUE_INTERVAL_MS,
             attempt: AttemptId::new(format!("{}/{}", self.name, self.attempts)),
@@ -151,7 +151,7 @@
         self.claim(now, claim, now);
     }
 
-    fn claim(&mut self, now: Timestamp, claim: Claim, began: Timestamp) {
+    fn claim(&mut self, now: Timestamp, claim: ClaimRequest, began: Timestamp) {
         let tally = ClaimTally::new(&self.set);
         let deadline = began + PATIENCE;
         self.activity = Activity::Claiming(Claiming { claim, tally, began, deadline, next_send: now });
@@ -173,7 +173,7 @@
             return;
         }
         match response.outcome {
-            Outcome::Voted { request, attempt, vote }
+            ReplicaAnswer::Voted { request, attempt, vote }
                 if request == claiming.claim.request && attempt == claiming.claim.attempt =>
             {
                 claiming.tally.add(&response.store, &vote);
@@ -182,9 +182,9 @@
                     verdict => self.finish(now, verdict == ClaimVerdict::Granted),
                 }
             }
-            Outcome::Refused(Refusal::SealedFor { next }) => self.replaced(now, next),
-            Outcome::Refused(Refusal::NewerGeneration { current }) => self.replaced(now, current),
-            Outcome::Refused(Refusal::NotInstalled) => {
+            ReplicaAnswer::Refused(StoreRefusal::SealedFor { next }) => self.replaced(now, next),
+            ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current }) => self.replaced(now, current),
+            ReplicaAnswer::Refused(StoreRefusal::NotInstalled) => {
                 let majority_takes_part = claiming.tally.answered() >= self.set.majority();
                 if self.set.generation == Generation::FIRST || majority_takes_part {
                     let operation = Operation::Begin(self.set.clone());
--- a/crates/lab/src/simulate_replication/store.rs
+++ b/crates/lab/src/simulate_replication/store.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::replication::entry::IndexedEntry;
 use lichenpulley_core::replication::group::{GroupPhase, GroupRecord};
 use lichenpulley_core::replication::memory_storage::MemoryStorage;
-use lichenpulley_core::replication::message::{Operation, Outcome, ReplicaRequest, ReplicaResponse};
+use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest, ReplicaResponse};
 use lichenpulley_core::replication::replica_set::{Generation, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{Outbox, ProcessId};
@@ -152,7 +152,7 @@
     }
 
     fn take_repair(&mut self, response: ReplicaResponse) {
-        if let Outcome::Decided { entries, .. } = response.outcome {
+        if let ReplicaAnswer::Decided { entries, .. } = response.outcome {
             self.repair(&response.shard, response.generation, entries);
         }
     }
--- a/crates/lab/src/simulate_replication/world.rs
+++ b/crates/lab/src/simulate_replication/world.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::identity::{NodeId, ShardId, ZoneName};
 use lichenpulley_core::replication::group::GroupPhase;
-use lichenpulley_core::replication::placement::{SetSize, first_set};
+use lichenpulley_core::replication::placement::{ToleranceTarget, first_set};
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{
@@ -121,7 +121,7 @@
         let stores: Vec<SetMember> = (0..STORES).map(|number| member(number, 0)).collect();
         let sets: Vec<ReplicaSet> = [&log_shard, &claim_shard]
             .into_iter()
-            .filter_map(|shard| first_set(shard, &stores, SetSize::default()))
+            .filter_map(|shard| first_set(shard, &stores, ToleranceTarget::default()))
             .collect();
         let mut simulation = Simulation::new(seed, LinkQuality::POOR);
         simulation.add(Member::Platform(Platform::new(&sets)));
--- a/crates/lab/src/weights_simulation/message.rs
+++ b/crates/lab/src/weights_simulation/message.rs
@@ -1,7 +1,7 @@
 //! What the simulated processes send each other.
 
 use lichenpulley_core::identity::{Epoch, WeightVersion};
-use lichenpulley_core::weights::{OrderCommand, OrderResult, Report};
+use lichenpulley_core::weights::{OrderCommand, OrderResult, WeightReport};
 use lichenpulley_simulation::ProcessId;
 
 /// The log.
@@ -37,7 +37,7 @@
     /// An owner asks a replica.
     Ask,
     /// The replica's state.
-    Reported { report: Report },
+    Reported { report: WeightReport },
     /// A replica begins to fetch; an earlier fetch of it, known by its lower number, ends.
     Fetch { number: u64 },
     /// A fetch is complete.
--- a/crates/lab/src/weights_simulation/replica.rs
+++ b/crates/lab/src/weights_simulation/replica.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::identity::{Epoch, WeightVersion};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_core::weights::{OrderCommand, OrderResult, Report};
+use lichenpulley_core::weights::{OrderCommand, OrderResult, WeightReport};
 use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -63,8 +63,8 @@
         self.went_back
     }
 
-    fn report(&self) -> Report {
-        Report { weight_version: self.loaded, draining: self.draining }
+    fn report(&self) -> WeightReport {
+        WeightReport { weight_version: self.loaded, draining: self.draining }
     }
 
     fn order(&mut self, epoch: Epoch, command: OrderCommand, now: Timestamp) -> OrderResult {
--- a/crates/lab/tests/engine_http.rs
+++ b/crates/lab/tests/engine_http.rs
@@ -10,7 +10,7 @@
 use lichenpulley_lab::engine::faults::{EngineCounters, EngineFault, WireFaults};
 use lichenpulley_lab::engine::{Engine, EngineOptions, start};
 use lichenpulley_protocol::caller::Priority;
-use lichenpulley_protocol::engine::{LoadReport, Refusal, RefusalReason, StreamEvent, StreamRequest};
+use lichenpulley_protocol::engine::{LoadReport, RefusalBody, RefusalReason, StreamEvent, StreamRequest};
 
 const DEADLINE: Duration = Duration::from_secs(30);
 const MAX_TOKENS: u32 = 48;
@@ -168,7 +168,7 @@
     let refused = client().post_events(engine.address(), "/v1/streams", &request("a"), DEADLINE).await;
     let refused = refused.expect_err("refused");
     assert_eq!(refused.status(), Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert_eq!(refused.body::<Refusal>().map(|refusal| refusal.reason), Some(RefusalReason::Overloaded));
+    assert_eq!(refused.body::<RefusalBody>().map(|refusal| refusal.reason), Some(RefusalReason::Overloaded));
     let counters = engine.counters();
     assert_eq!((counters.refused, counters.streams_admitted), (1, 0));
 }
--- a/crates/lab/tests/platform_system/mod.rs
+++ b/crates/lab/tests/platform_system/mod.rs
@@ -4,7 +4,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode};
 use lichenpulley_core::ingress::places::ZoneMap;
-use lichenpulley_core::replication::placement::SetSize;
+use lichenpulley_core::replication::placement::ToleranceTarget;
 use lichenpulley_daemon::cluster::Roles;
 use lichenpulley_daemon::http::client::{HttpClient, build};
 use lichenpulley_daemon::node::Node;
@@ -169,7 +169,7 @@
         for number in 0..replicas {
             system.add_replica(number, events).await;
         }
-        let wanted = SetSize::tolerating(system.plan.tolerated_losses).members();
+        let wanted = ToleranceTarget::tolerating(system.plan.tolerated_losses).members();
         for number in 0..system.plan.stores.unwrap_or(wanted) {
             system.folders.push(TempDir::new().expect("a folder"));
             system.start_store(number).await;
@@ -244,7 +244,7 @@
         settings.batch.follow_after = self.plan.follow_after;
         settings.store.small_set_after = Duration::from_millis(500);
         settings.store.replace_after = Duration::from_secs(3_600);
-        settings.store.set_size = SetSize::tolerating(self.plan.tolerated_losses);
+        settings.store.set_size = ToleranceTarget::tolerating(self.plan.tolerated_losses);
         let seeds = self.stores.iter().flatten().map(|node| node.addresses().peers);
         settings.peers.seeds = seeds.take(1).collect();
         settings
--- a/crates/lab/tests/replication.rs
+++ b/crates/lab/tests/replication.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::{AttemptId, NodeId, RequestId, ShardId};
-use lichenpulley_core::replication::placement::SetSize;
+use lichenpulley_core::replication::placement::ToleranceTarget;
 use lichenpulley_core::replication::replica_set::StoreId;
 use lichenpulley_daemon::cluster::Roles;
 use lichenpulley_daemon::configuration::platform::WriteError;
@@ -36,10 +36,10 @@
 
 impl Cluster {
     async fn start(size: usize) -> Self {
-        Self::start_tolerating(size, SetSize::default()).await
+        Self::start_tolerating(size, ToleranceTarget::default()).await
     }
 
-    async fn start_tolerating(size: usize, set_size: SetSize) -> Self {
+    async fn start_tolerating(size: usize, set_size: ToleranceTarget) -> Self {
         let api = object_api::start(object_api::Options::loopback()).await.expect("an object API");
         let mut cluster = Self { nodes: Vec::new(), settings: Vec::new(), folders: Vec::new(), api: None };
         for number in 0..size {
@@ -288,7 +288,7 @@
 
 #[tokio::test]
 async fn a_set_that_was_made_of_three_stores_grows_without_an_operator() {
-    let mut cluster = Cluster::start_tolerating(5, SetSize::tolerating(2)).await;
+    let mut cluster = Cluster::start_tolerating(5, ToleranceTarget::tolerating(2)).await;
     let shard = ShardId::new(SHARD);
     for number in 3..5 {
         cluster.kill(number).await;
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -2,7 +2,7 @@
 //!
 //! | method and path | body | answer |
 //! |---|---|---|
-//! | `POST /v1/streams` | [`StreamRequest`] | server-sent [`StreamEvent`]s; [`Refusal`] with 503 before admission |
+//! | `POST /v1/streams` | [`StreamRequest`] | server-sent [`StreamEvent`]s; [`RefusalBody`] with 503 before admission |
 //! | `GET /v1/streams/{attempt}?from={token}` | | server-sent [`StreamEvent`]s from that token on; 404 if unknown |
 //! | `DELETE /v1/streams/{attempt}` | | 204; stops generating and forgets the stream |
 //! | `GET /v1/load` | | [`LoadReport`] |
@@ -72,7 +72,7 @@
 
 /// The engine did not admit the request: proof that it did not run there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct RefusalBody {
     /// The attempt that was refused.
     pub attempt: AttemptId,
     /// Why.
