--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -5,6 +5,7 @@
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
+use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_protocol::operator::DecisionEvent;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -15,8 +16,9 @@
 use crate::output::Output;
 use crate::sequence::{Gap, SequenceTracker};
 
-const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(100);
-const GREATEST_RECONNECT_DELAY: Duration = Duration::from_secs(5);
+/// The pause before a broken stream is opened again: quick enough for a node that restarts, and no load on one that is away.
+/// Chosen, not measured.
+const RECONNECT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(5));
 
 /// Notices that may wait to be printed before the readers of streams wait too.
 const NOTICE_BACKLOG: usize = 1_024;
@@ -151,11 +153,11 @@
 }
 
 async fn follow(client: Client, address: SocketAddr, notices: mpsc::Sender<Notice>) {
-    let mut delay = FIRST_RECONNECT_DELAY;
+    let mut failures = 0;
     loop {
         let cause = match client.open_stream(address, "/v1/decisions").await {
             Ok(body) => {
-                delay = FIRST_RECONNECT_DELAY;
+                failures = 0;
                 if notices.send(Notice::Connected { address }).await.is_err() {
                     return;
                 }
@@ -166,8 +168,8 @@
         if notices.send(Notice::Broken { address, cause }).await.is_err() {
             return;
         }
-        tokio::time::sleep(delay).await;
-        delay = (delay * 2).min(GREATEST_RECONNECT_DELAY);
+        failures += 1;
+        tokio::time::sleep(RECONNECT_BACKOFF.pause(failures)).await;
     }
 }
 
--- a/crates/core/src/batch/controller/scoring.rs
+++ b/crates/core/src/batch/controller/scoring.rs
@@ -41,7 +41,7 @@
         for start in self.scores.next(&routes, ready, &mut self.gate, &self.quarantine, now) {
             let decision = Decision::new(Component::Rollout, "score_requested", "whole", &start.request.id);
             let decision = decision.with("replica", &start.replica.id).with("sending", start.id.0);
-            self.decide(decision.with("patience_ms", start.patience.as_millis()));
+            self.decide(decision.with("patience_ms", start.timeout.as_millis()));
             self.actions.push_back(Action::Score(Box::new(start)));
         }
     }
--- a/crates/core/src/batch/end_pursuit.rs
+++ b/crates/core/src/batch/end_pursuit.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use crate::identity::{BatchId, TenantName};
+use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
 /// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of a deployment.
@@ -15,10 +16,9 @@
 pub const MAX_ASKED: usize = 32;
 /// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its route allows.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
-/// The pause after the first question that was not answered for sure; doubled after each further one.
-const PAUSE_START: Duration = Duration::from_millis(100);
-/// The longest pause: well below the 3 s for which something of an ended job may still arrive.
-const PAUSE_LIMIT: Duration = Duration::from_millis(800);
+/// The pause after questions that were not answered for sure. The limit is well below the 3 s for which something of an ended job may
+/// still arrive.
+const BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), Duration::from_millis(800));
 /// An unknown job may be on its way: a submission that got no answer is repeated for about 3 s, by its gateway and by its caller.
 pub const UNKNOWN_FOR: Duration = Duration::from_secs(10);
 /// A node that was told of an end by the one that read it first asks after so long: mostly all is done by then.
@@ -107,7 +107,8 @@
     source: EndSource,
     since: Timestamp,
     next_at: Timestamp,
-    pause: Duration,
+    /// Answers that settled nothing.
+    unsettled: u32,
     questions: u32,
     is_asked: bool,
     unknown_since: Option<Timestamp>,
@@ -115,8 +116,7 @@
 
 impl PendingEnd {
     const fn new(source: EndSource, now: Timestamp, next_at: Timestamp) -> Self {
-        let (pause, questions, is_asked) = (PAUSE_START, 0, false);
-        Self { source, since: now, next_at, pause, questions, is_asked, unknown_since: None }
+        Self { source, since: now, next_at, unsettled: 0, questions: 0, is_asked: false, unknown_since: None }
     }
 }
 
@@ -197,8 +197,8 @@
     pub fn answered(&mut self, now: Timestamp, key: &EndKey, answer: EndAnswer) -> Option<SettledEnd> {
         let held = self.pending.get_mut(key)?;
         held.is_asked = false;
-        held.next_at = now + held.pause;
-        held.pause = (held.pause * 2).min(PAUSE_LIMIT);
+        held.unsettled += 1;
+        held.next_at = now + BACKOFF.pause(held.unsettled);
         let is_expired = now.saturating_since(held.since) >= EXPIRES_AFTER;
         let outcome = match answer {
             EndAnswer::Kept => EndOutcome::Kept,
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -11,23 +11,17 @@
 use crate::ingress::admission::AdmissionGate;
 use crate::ingress::places::AllowedRegions;
 use crate::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord};
-use crate::ingress::routes::{Route, RouteTable};
+use crate::ingress::routes::RouteTable;
 use crate::quarantine::Quarantine;
+use crate::retry::attempt_timeout;
+use crate::retry::backoff::Backoff;
 use crate::retry::budget::{BudgetConfig, RetryBudget};
 use crate::time::Timestamp;
 
 /// The part of a replica's slots that is left to live callers.
 const LIVE_SHARE: f64 = 0.25;
-/// How often the route's target a replica may take before the request goes elsewhere.
-const PATIENCE_TARGETS: u32 = 4;
-/// The least time that a replica is given.
-const MIN_PATIENCE: Duration = Duration::from_millis(300);
-/// The most time that a replica is given.
-const MAX_PATIENCE: Duration = Duration::from_millis(1_500);
-/// The pause after the second try in a row that gave no score; doubled after each further one.
-const RETRY_START: Duration = Duration::from_millis(40);
-/// The longest pause between two tries.
-const RETRY_LIMIT: Duration = Duration::from_secs(1);
+/// The pause before a retry; the first retry goes to another replica at once and is not counted.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(40), Duration::from_secs(1));
 /// Retries of one service: each first request pays in for a fifth of one.
 const BUDGET: BudgetConfig = BudgetConfig {
     deposit_ratio: 0.2,
@@ -50,7 +44,7 @@
     /// Where.
     pub replica: ReplicaRecord,
     /// How long the replica may take.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whose job the request belongs to.
     pub tenant: Option<TenantName>,
 }
@@ -205,12 +199,12 @@
         self.last += 1;
         self.chooser.sent(&chosen.id);
         gate.sent(&chosen, now);
-        let patience = patience(route);
+        let timeout = attempt_timeout::of_score_request(route.target, route.timeout);
         Some(ScoreStart {
             id: ScoreId(self.last),
             request: waiting.request.clone(),
             replica: chosen,
-            patience,
+            timeout,
             tenant: waiting.tenant.clone(),
         })
     }
@@ -266,7 +260,8 @@
         if !matches!(end, ScoreEnd::Scored(_)) {
             waiting.tries += 1;
             waiting.tried.push(replica);
-            waiting.not_before = now + pause(waiting.tries);
+            // The first retry goes at once to another replica; later ones wait.
+            waiting.not_before = now + RETRY_BACKOFF.pause(waiting.tries - 1);
             self.waiting.push_back(waiting);
         }
         Some(ended)
@@ -278,17 +273,3 @@
     let kept_free = (f64::from(slots) * LIVE_SHARE).ceil() as u32;
     slots.saturating_sub(kept_free).max(1)
 }
-
-/// How long one replica may take.
-fn patience(route: &Route) -> Duration {
-    let patience = (route.target * PATIENCE_TARGETS).clamp(MIN_PATIENCE, MAX_PATIENCE);
-    route.timeout.map_or(patience, |timeout| timeout.min(patience))
-}
-
-/// The first retry goes at once to another replica; later ones wait.
-fn pause(tries: u32) -> Duration {
-    match tries {
-        0 | 1 => Duration::ZERO,
-        _ => (RETRY_START * 2_u32.saturating_pow(tries.min(10) - 2)).min(RETRY_LIMIT),
-    }
-}
--- a/crates/core/src/ingress/replicas.rs
+++ b/crates/core/src/ingress/replicas.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
 /// Names one life of a replica: one that starts again under its name holds nothing of before, so that nothing that was believed of it may
@@ -85,10 +86,8 @@
 const UNMEASURED_LATENCY_MS: f64 = 20.0;
 /// A replica's own word of its load counts for so long.
 const REPORTED_LOAD_FOR: Duration = Duration::from_millis(400);
-/// A replica that gave no answer gets nothing new for so long, doubled with each further time in a row.
-const SUSPECT_START: Duration = Duration::from_millis(500);
-/// The longest time that a replica gets nothing new.
-const SUSPECT_LIMIT: Duration = Duration::from_secs(4);
+/// How long a replica that gave no answer gets nothing new, by the times in a row.
+const SUSPICION: Backoff = Backoff::new(Duration::from_millis(500), Duration::from_secs(4));
 
 /// What this node has seen of one replica.
 #[derive(Clone, Debug, Default)]
@@ -203,9 +202,8 @@
             }
             ReplicaFeedback::AnsweredCold => seen.clear_suspicion(),
             ReplicaFeedback::Silent => {
-                let pause = SUSPECT_START * 2_u32.saturating_pow(seen.failures_in_row.min(6));
                 seen.failures_in_row += 1;
-                seen.suspect_until = now + pause.min(SUSPECT_LIMIT);
+                seen.suspect_until = now + SUSPICION.pause(seen.failures_in_row);
             }
             ReplicaFeedback::Full => seen.reported = Some((now, u32::MAX / 2)),
             ReplicaFeedback::Failed | ReplicaFeedback::Abandoned => {}
--- a/crates/core/src/request/execution/recovery.rs
+++ b/crates/core/src/request/execution/recovery.rs
@@ -27,7 +27,7 @@
         }
         let wait = match self.resumes_without_progress {
             1 => Duration::ZERO,
-            further => pool.config().backoff.wait(further, random),
+            further => pool.config().backoff.jittered_pause(further, random),
         };
         let from = self.assembly.next_token();
         self.decide("resumed", reason, |decision| decision.with("from_token", from));
@@ -52,7 +52,7 @@
             return;
         }
         self.retries += 1;
-        let not_before = now + pool.config().backoff.wait(self.retries, random);
+        let not_before = now + pool.config().backoff.jittered_pause(self.retries, random);
         if not_before >= self.spec.deadline {
             self.give_up(RefusalReason::DeadlineTooNear, GiveUpReason::DeadlineExceeded);
             return;
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,5 +1,7 @@
-//! When to try again: budget, backoff and the time to come back.
+//! When to try again: the time for one attempt, the pause before the next, the budget of retries, and the time after
+//! which a caller may come back.
 
+pub mod attempt_timeout;
 pub mod backoff;
 pub mod budget;
 pub mod drain_rate;
--- a/crates/core/src/rollout/controller/attempts.rs
+++ b/crates/core/src/rollout/controller/attempts.rs
@@ -4,6 +4,7 @@
 
 use crate::decision::{Component, Decision};
 use crate::identity::{AttemptId, WeightVersion};
+use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
 use super::super::record::JobRecord;
@@ -17,11 +18,6 @@
 /// decided some day.
 const LONGEST_PAUSE: Duration = Duration::from_secs(30);
 
-/// The pause after so many failures in a row, doubled with each.
-fn pause_after(first: Duration, failures: u32) -> Duration {
-    (first * 2_u32.saturating_pow(failures.saturating_sub(1).min(16))).min(LONGEST_PAUSE.max(first))
-}
-
 /// An attempt that this owner started.
 #[derive(Clone, Debug)]
 pub(super) struct RunningAttempt {
@@ -149,7 +145,9 @@
             AttemptOutcome::Failed { reason, retry_after } => {
                 let failures = self.failures.entry(running.slot).or_default();
                 *failures += 1;
-                let delay = retry_after.unwrap_or(pause_after(self.config.retry_delay, *failures));
+                let start = self.config.retry_delay;
+                let backoff = Backoff::new(start, LONGEST_PAUSE.max(start));
+                let delay = retry_after.unwrap_or(backoff.pause(*failures));
                 self.queue.push_delayed(running.slot, now + delay);
                 let decision = Decision::new(Component::Rollout, "attempt_failed", &reason, attempt)
                     .with("slot", running.slot)
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -7,7 +7,7 @@
 
 use crate::identity::{NodeId, ReplicaId, WeightVersion, ZoneName};
 use crate::request::answer::Priority;
-use crate::retry::backoff::BackoffConfig;
+use crate::retry::backoff::Backoff;
 use crate::retry::budget::{BudgetConfig, RetryBudget};
 use crate::retry::drain_rate::DrainRate;
 use crate::routing::balancer::{self, BalancerConfig, Choice};
@@ -26,6 +26,10 @@
 /// Replicas that one node uses; docs/decisions/routing.md holds the measurement.
 pub const DEFAULT_SUBSET_SIZE: usize = 32;
 
+/// The pause before a retry, with full jitter. Chosen, not measured: a first retry comes at once for the caller, and even the tenth
+/// waits no longer than a second.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(10), Duration::from_secs(1));
+
 /// How a pool is routed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolConfig {
@@ -40,7 +44,7 @@
     /// How many retries are made.
     pub budget: BudgetConfig,
     /// How long to wait before a retry.
-    pub backoff: BackoffConfig,
+    pub backoff: Backoff,
 }
 
 impl Default for PoolConfig {
@@ -51,7 +55,7 @@
             balancer: BalancerConfig::default(),
             concurrency: ConcurrencyConfig::default(),
             budget: BudgetConfig::default(),
-            backoff: BackoffConfig::default(),
+            backoff: RETRY_BACKOFF,
         }
     }
 }
--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -8,6 +8,7 @@
 use super::true_time::TrueTime;
 use super::window::{WallTime, WindowLength, WindowNumber};
 use crate::identity::TenantName;
+use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
 /// The part of the time until a window is due after which it is closed: counts of nodes that were cut off for less come
@@ -15,10 +16,8 @@
 const CLOSE_SHARE: f64 = 0.4;
 /// Windows that are made up for after a long outage; earlier ones are too late by far.
 const MADE_UP_WINDOWS: u64 = 24;
-/// The pause after a call that the platform did not take; doubled after each further one.
-const RETRY_START: Duration = Duration::from_millis(300);
-/// The longest pause between two calls.
-const RETRY_LIMIT: Duration = Duration::from_secs(2);
+/// The pause after calls in a row that the platform did not take.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(300), Duration::from_secs(2));
 
 /// What the platform asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -140,8 +139,7 @@
             self.failures = 0;
         } else {
             self.failures += 1;
-            let pause = RETRY_START * 2_u32.saturating_pow(self.failures.min(6) - 1);
-            self.not_before = now + pause.min(RETRY_LIMIT);
+            self.not_before = now + RETRY_BACKOFF.pause(self.failures);
         }
     }
 }
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::retry::backoff::BackoffConfig;
+use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_core::retry::budget::{BudgetConfig, BudgetConfigError, RetryBudget};
 use lichenpulley_core::retry::drain_rate::DrainRate;
 use lichenpulley_core::time::Timestamp;
@@ -36,11 +36,11 @@
     }
 
     #[test]
-    fn backoff_grows_to_its_most_and_not_beyond(retry in 1_u32..100, seed in any::<u64>()) {
-        let config = BackoffConfig::default();
-        let wait = config.wait(retry, &mut Pcg64Mcg::seed_from_u64(seed));
-        prop_assert!(wait <= config.most);
-        prop_assert!(wait <= config.base * 2_u32.pow(retry.min(16) - 1));
+    fn backoff_grows_to_its_limit_and_not_beyond(retry in 1_u32..100, seed in any::<u64>()) {
+        let backoff = Backoff::new(Duration::from_millis(10), Duration::from_secs(1));
+        let pause = backoff.jittered_pause(retry, &mut Pcg64Mcg::seed_from_u64(seed));
+        prop_assert!(pause <= backoff.limit);
+        prop_assert!(pause <= backoff.start * 2_u32.pow(retry.min(16) - 1));
     }
 }
 
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -36,7 +36,7 @@
 ) {
     let began = Instant::now();
     let mut busy = None;
-    let answer = tokio::time::timeout(start.patience, send(&context, &pool, &start, &mut busy)).await;
+    let answer = tokio::time::timeout(start.timeout, send(&context, &pool, &start, &mut busy)).await;
     let end = answer.unwrap_or(ScoreEnd::Broken);
     context.metrics.observe(Latency::Score, end.as_str(), began.elapsed());
     // An error only says that the owner has ended.
@@ -48,7 +48,7 @@
     let fingerprint = start.request.fingerprint(start.tenant.as_ref());
     let mut traced = TracedRun::begin(context, fingerprint, &start.replica, RunSender::Owner);
     let may_send = || !context.metadata.is_closed(&start.replica);
-    let sent = pool.send(&start.replica, request, false, start.patience, may_send).await;
+    let sent = pool.send(&start.replica, request, false, start.timeout, may_send).await;
     let Exchange { response, connection } = match sent {
         Ok(exchange) => exchange,
         Err(error) => {
@@ -83,7 +83,7 @@
     head.insert(HOST, start.request.host.parse().ok()?);
     head.insert(headers::REQUEST_ID, start.request.id.parse().ok()?);
     callers::put_tenant(head, start.tenant.as_ref());
-    fields::address_to(head, &start.replica.name, start.patience);
+    fields::address_to(head, &start.replica.name, start.timeout);
     Some(request)
 }
 
--- a/crates/daemon/src/coordinator/attempt.rs
+++ b/crates/daemon/src/coordinator/attempt.rs
@@ -5,6 +5,7 @@
 use lichenpulley_core::identity::RequestId;
 use lichenpulley_core::request::answer::{Answer, Priority};
 use lichenpulley_core::request::outcome::RequestOutcome;
+use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_core::rollout::{AttemptOutcome, AttemptStart, JobSpecification};
 use lichenpulley_protocol::platform::{ScoreRequest, ScoreResponse};
 
@@ -12,10 +13,8 @@
 use crate::gateway::{Dispatcher, Generation, Repetition};
 use crate::http::client::HttpClient;
 
-/// Pause after the first failure to score; doubled after each further one.
-const SCORE_RETRY_START: Duration = Duration::from_millis(200);
-/// Longest pause between two tries to score.
-const SCORE_RETRY_LIMIT: Duration = Duration::from_secs(5);
+/// The pause after failures in a row to score.
+const SCORE_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
 
 /// What every attempt of a job needs.
 #[derive(Clone)]
@@ -61,7 +60,7 @@
         };
         let question = ScoreRequest { prompt, tokens: answer.tokens.clone() };
         let deadline = self.context.settings.coordinator.call_timeout;
-        let mut pause = SCORE_RETRY_START;
+        let mut failures = 0;
         loop {
             let scored = self.http.post_json::<_, ScoreResponse>(scorer, "/score", &question, deadline).await;
             match scored {
@@ -70,8 +69,8 @@
                 }
                 Err(error) => log::warn!(target: "rollout", "{}: not scored yet: {error}.", start.attempt),
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(SCORE_RETRY_LIMIT);
+            failures += 1;
+            tokio::time::sleep(SCORE_BACKOFF.pause(failures)).await;
         }
     }
 }
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -13,6 +13,7 @@
 use lichenpulley_core::ingress::places::AllowedRegions;
 use lichenpulley_core::ingress::routes::{Route, RouteTable};
 use lichenpulley_core::quarantine::{Fingerprint, RequestContent};
+use lichenpulley_core::retry::attempt_timeout;
 use lichenpulley_platform::headers as names;
 use tokio::time::Instant;
 
@@ -29,10 +30,6 @@
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 /// Longest answer that is passed back, in bytes.
 const ANSWER_LIMIT_BYTES: usize = 64 << 20;
-/// The part of the remaining time that one replica is given while others may still be tried.
-const PATIENCE_SHARE: f64 = 0.35;
-/// The least time that one replica is given.
-const MIN_PATIENCE: Duration = Duration::from_millis(300);
 
 /// A caller's request, read whole.
 pub(super) struct Call {
@@ -242,8 +239,9 @@
             Err(_) => return call.refuse(ingress, given_up(attempts.give_up(), &call)),
         };
         tried.push(visit.replica.id.clone());
-        let patience = patience(&call, &attempts, route);
-        let sent = send(ingress, &call, &mut visit, !route.is_repeatable(), patience).await;
+        let may_try_another = route.is_repeatable() && !attempts.is_last();
+        let timeout = attempt_timeout::of_request(call.remaining(), may_try_another);
+        let sent = send(ingress, &call, &mut visit, !route.is_repeatable(), timeout).await;
         let (outcome, answer) = sent;
         match (attempts.after(outcome, call.remaining()), answer) {
             (Next::Answer, Some(answer)) => {
@@ -274,26 +272,17 @@
     }
 }
 
-/// How long one replica may take: all that is left, unless another can still be tried.
-fn patience(call: &Call, attempts: &Attempts, route: &Route) -> Duration {
-    let remaining = call.remaining();
-    if !route.is_repeatable() || attempts.is_last() {
-        return remaining;
-    }
-    remaining.mul_f64(PATIENCE_SHARE).max(MIN_PATIENCE).min(remaining)
-}
-
 async fn send(
     ingress: &Ingress,
     call: &Call,
     visit: &mut Visit,
     needs_fresh: bool,
-    patience: Duration,
+    timeout: Duration,
 ) -> (SendOutcome, Option<WholeAnswer>) {
-    let limit = Instant::now() + patience;
+    let limit = Instant::now() + timeout;
     let request = call.build(&visit.replica.name, None);
     let mut count = RunCount::begin(&ingress.context, call.caller.tenant());
-    let connect_timeout = CONNECT_TIMEOUT.min(patience);
+    let connect_timeout = CONNECT_TIMEOUT.min(timeout);
     let replica = visit.replica.clone();
     let may_send = || ingress.may_send(call, &replica);
     let sent = ingress.pool.send(&replica, request, needs_fresh, connect_timeout, may_send);
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -2,6 +2,8 @@
 
 use std::time::Duration;
 
+use lichenpulley_core::retry::backoff::Backoff;
+
 use super::{RETRY_LIMIT, Watcher};
 use crate::cluster::Member;
 use crate::configuration::platform::PlatformError;
@@ -9,8 +11,8 @@
 use crate::metadata::news;
 use crate::metadata::peers::{self, Given};
 
-/// The pause after the first failure; doubled after each further one.
-const RETRY_START: Duration = Duration::from_millis(100);
+/// The pause after failures in a row.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), RETRY_LIMIT);
 /// The pause between two questions to peers while the store is silent: one that was asked may itself know nothing new.
 const AWAY_PAUSE: Duration = Duration::from_millis(250);
 
@@ -22,8 +24,7 @@
         self.failures += 1;
         self.note_silence();
         self.ask_peer().await;
-        let pause = RETRY_START * 2_u32.saturating_pow(self.failures.min(4) - 1);
-        tokio::time::sleep(pause.min(RETRY_LIMIT)).await;
+        tokio::time::sleep(RETRY_BACKOFF.pause(self.failures)).await;
     }
 
     /// The store gives this node nothing: peers are asked until the probe finds it again.
--- a/crates/daemon/src/peers/connection.rs
+++ b/crates/daemon/src/peers/connection.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
+use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_protocol::internal::PeerClient;
 use lichenpulley_protocol::transport;
 use tarpc::client::RpcError;
@@ -19,10 +20,8 @@
 use crate::http::socket::{self, SocketLimits};
 use crate::settings::PeerSettings;
 
-/// Pause after the first failure to connect; doubled after each further one.
-const BACKOFF_START: Duration = Duration::from_millis(50);
-/// Longest pause between two tries.
-const BACKOFF_LIMIT: Duration = Duration::from_millis(500);
+/// The pause after failures in a row to connect. Chosen, not measured: a member that restarts is reached again within half a second.
+const CONNECT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(50), Duration::from_millis(500));
 
 /// A peer's connection, or the intention to make one.
 pub(super) struct Connection {
@@ -32,15 +31,15 @@
     created: Instant,
     client: Arc<ArcSwapOption<PeerClient>>,
     /// Held by whoever connects; callers that find it open never wait here.
-    connecting: Mutex<Backoff>,
+    connecting: Mutex<ConnectFailures>,
     /// Milliseconds after `created`.
     last_used_ms: AtomicU64,
 }
 
 /// When the next try to connect may be made.
 #[derive(Default)]
-struct Backoff {
-    pause: Duration,
+struct ConnectFailures {
+    in_row: u32,
     next_try: Option<Instant>,
     last_failure: String,
 }
@@ -93,22 +92,22 @@
         if let Some(client) = self.client.load_full() {
             return Ok(client);
         }
-        let mut backoff = self.connecting.lock().await;
+        let mut failures = self.connecting.lock().await;
         if let Some(client) = self.client.load_full() {
             return Ok(client);
         }
-        if backoff.next_try.is_some_and(|next_try| Instant::now() < next_try) {
-            let reason = format!("waiting to connect again after: {}", backoff.last_failure);
+        if failures.next_try.is_some_and(|next_try| Instant::now() < next_try) {
+            let reason = format!("waiting to connect again after: {}", failures.last_failure);
             return Err(self.not_sent(&reason));
         }
         match self.connect().await {
             Ok(client) => {
-                *backoff = Backoff::default();
+                *failures = ConnectFailures::default();
                 Ok(client)
             }
             Err(reason) => {
                 let error = self.not_sent(&reason);
-                backoff.failed(reason);
+                failures.add(reason);
                 Err(error)
             }
         }
@@ -151,10 +150,10 @@
     }
 }
 
-impl Backoff {
-    fn failed(&mut self, reason: String) {
-        self.pause = (self.pause * 2).clamp(BACKOFF_START, BACKOFF_LIMIT);
-        self.next_try = Some(Instant::now() + self.pause);
+impl ConnectFailures {
+    fn add(&mut self, reason: String) {
+        self.in_row = self.in_row.saturating_add(1);
+        self.next_try = Some(Instant::now() + CONNECT_BACKOFF.pause(self.in_row));
         self.last_failure = reason;
     }
 }
