--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -5,8 +5,8 @@
 use crate::error::LabError;
 use crate::weights_simulation;
 use crate::{
-    bench, bench_replication, demo, engine, experiment, load, machine_list, object_api, requests,
-    rollout_simulation, scorer, simulate_replication, subsets, trainer, weight_store,
+    bench, bench_replication, demo, engine, load, machine_list, object_api, requests, rollout_simulation,
+    scorer, simulate_replication, subsets, trainer, weight_store,
 };
 
 /// What runs a command: takes the arguments after its name.
@@ -110,11 +110,6 @@
         help: "weight waves under seeded faults, or timed over replicas without engines",
         entry: |arguments| Box::pin(weights_simulation::run(arguments)),
     },
-    Command {
-        name: "experiment",
-        help: "run an experiment on a virtual clock",
-        entry: |arguments| Box::pin(experiment::run(arguments)),
-    },
     Command {
         name: "bench-replication",
         help: "measure appends, take-overs and claims on three stores with real files",
@@ -135,7 +130,7 @@
 /// The text of `lichenpulley-lab --help`.
 pub fn help() -> String {
     let mut text = "usage: lichenpulley-lab COMMAND [options]\n\n\
-                    Stand-ins for what surrounds lichenpulley, and experiments.\n\nCommands:\n"
+                    Stand-ins for what surrounds lichenpulley, and simulations.\n\nCommands:\n"
         .to_owned();
     let width = COMMANDS.iter().map(|command| command.name.len()).max().unwrap_or(0);
     for command in COMMANDS {
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -1,6 +1,6 @@
 //! The stand-in model engine: see [`lichenpulley_protocol::engine`] for its interface and [`faults`] for its faults.
 //!
-//! [`model`] is the engine without I/O, which simulations and experiments drive on a virtual clock; the rest
+//! [`model`] is the engine without I/O, which simulations drive on a virtual clock; the rest
 //! puts sockets and timers round it.
 
 pub mod answer;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The stand-ins, the load generator, experiments and simulations.
+//! The stand-ins, the load generator, the soak and the simulations.
 //!
-//! Each stand-in or experiment is one module with `pub async fn run(arguments: &[String]) -> Result<(), LabError>`
+//! Each stand-in is one module with `pub async fn run(arguments: &[String]) -> Result<(), LabError>`
 //! and one line in [`commands::COMMANDS`].
 
 pub mod addresses;
@@ -12,7 +12,6 @@
 pub mod demo;
 pub mod engine;
 pub mod error;
-pub mod experiment;
 pub mod http;
 pub mod load;
 pub mod machine_list;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `lichenpulley-lab`: one command for each stand-in or experiment.
+//! `lichenpulley-lab`: one command for each stand-in, simulation or check.
 
 use std::process::ExitCode;
 
