--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -6,7 +6,7 @@
 use crate::weights_simulation;
 use crate::{
     bench, bench_replication, demo, engine, load, machine_list, object_api, requests, rollout_simulation,
-    scorer, simulate_replication, subsets, trainer, weight_store,
+    scorer, simulate_replication, trainer, weight_store,
 };
 
 /// What runs a command: takes the arguments after its name.
@@ -85,11 +85,6 @@
         help: "requests under faults on a virtual clock, checked at every schedule",
         entry: |arguments| Box::pin(requests::run(arguments)),
     },
-    Command {
-        name: "compare-subsets",
-        help: "how evenly 410 gateways load 870 replicas, by the size of a gateway's subset",
-        entry: |arguments| Box::pin(subsets::run(arguments)),
-    },
     Command {
         name: "compare-requests",
         help: "resume against restart, and retries with and without a budget, on a virtual clock",
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -24,7 +24,6 @@
 pub mod scorer;
 pub mod simulate_replication;
 pub mod soak;
-pub mod subsets;
 pub mod trainer;
 pub mod weight_store;
 pub mod weights_simulation;
