--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -5,8 +5,8 @@
 use crate::error::LabError;
 use crate::weights_simulation;
 use crate::{
-    bench, bench_replication, demo, engine, load, machine_list, object_api, requests, rollout_simulation,
-    scorer, simulate_replication, trainer, weight_store,
+    demo, engine, load, machine_list, object_api, requests, rollout_simulation, scorer, simulate_replication,
+    trainer, weight_store,
 };
 
 /// What runs a command: takes the arguments after its name.
@@ -90,11 +90,6 @@
         help: "resume against restart, and retries with and without a budget, on a virtual clock",
         entry: |arguments| Box::pin(requests::compare(arguments)),
     },
-    Command {
-        name: "bench",
-        help: "measure what a gateway costs against callers straight at engines",
-        entry: |arguments| Box::pin(bench::run(arguments)),
-    },
     Command {
         name: "simulate-rollout",
         help: "rollout jobs under seeded faults on a virtual clock",
@@ -105,11 +100,6 @@
         help: "weight waves under seeded faults, or timed over replicas without engines",
         entry: |arguments| Box::pin(weights_simulation::run(arguments)),
     },
-    Command {
-        name: "bench-replication",
-        help: "measure appends, take-overs and claims on three stores with real files",
-        entry: |arguments| Box::pin(bench_replication::run(arguments)),
-    },
     Command {
         name: "simulate-replication",
         help: "try seeded schedules of faults on logs, claims and replica sets",
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,8 +5,6 @@
 
 pub mod addresses;
 pub mod arguments;
-pub mod bench;
-pub mod bench_replication;
 pub mod commands;
 pub mod configuration_simulation;
 pub mod demo;
