--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -5,7 +5,7 @@
 use crate::error::LabError;
 use crate::weights_simulation;
 use crate::{
-    demo, engine, load, machine_list, object_api, requests, rollout_simulation, scorer, simulate_replication,
+    demo, engine, machine_list, object_api, requests, rollout_simulation, scorer, simulate_replication,
     trainer, weight_store,
 };
 
@@ -75,11 +75,6 @@
         help: "stand-in for a trainer",
         entry: |arguments| Box::pin(trainer::run(arguments)),
     },
-    Command {
-        name: "load",
-        help: "send live requests and verify each answer",
-        entry: |arguments| Box::pin(load::run(arguments)),
-    },
     Command {
         name: "simulate-requests",
         help: "requests under faults on a virtual clock, checked at every schedule",
--- a/crates/lab/src/demo/live.rs
+++ b/crates/lab/src/demo/live.rs
@@ -43,7 +43,6 @@
                 max_tokens: MAX_TOKENS,
                 priority: Priority::Live,
                 deadline: DEADLINE,
-                repeatable: true,
             },
             pacing: Pacing::Open { per_second: REQUESTS_PER_SECOND },
             duration: longest,
--- a/crates/lab/src/demo/summary.rs
+++ b/crates/lab/src/demo/summary.rs
@@ -11,7 +11,7 @@
 use super::job::samples_per_step;
 use super::live::LiveSummary;
 use crate::error::LabError;
-use crate::load::Outcome;
+use crate::load::CallOutcome;
 use crate::trainer::TrainerReport;
 
 const MICROS_PER_MILLI: u64 = 1_000;
@@ -58,11 +58,11 @@
             (trainer.doubled, "samples were doubled"),
             (trainer.stale, "samples were older than the bound"),
             (trainer.without_versions, "samples did not name the weights of every token"),
-            (live(Outcome::Wrong), "live answers were wrong or cut short"),
+            (live(CallOutcome::Wrong), "live answers were wrong or cut short"),
         ];
         let failed = counts.iter().filter(|(count, _)| *count > 0);
         problems.extend(failed.map(|(count, what)| format!("{count} {what}")));
-        if live(Outcome::Completed) == 0 {
+        if live(CallOutcome::Completed) == 0 {
             problems.push("no live request was answered".to_owned());
         }
         problems
@@ -166,14 +166,14 @@
     }
 }
 
-const fn name(outcome: Outcome) -> &'static str {
+const fn name(outcome: CallOutcome) -> &'static str {
     match outcome {
-        Outcome::Completed => "completed",
-        Outcome::Wrong => "wrong",
-        Outcome::NotRun => "not run",
-        Outcome::Unknown => "unknown",
-        Outcome::Failed => "failed",
-        Outcome::NoAnswer => "unanswered",
+        CallOutcome::Completed => "completed",
+        CallOutcome::Wrong => "wrong",
+        CallOutcome::NotRun => "not run",
+        CallOutcome::Unknown => "unknown",
+        CallOutcome::Failed => "failed",
+        CallOutcome::NoAnswer => "unanswered",
     }
 }
 
--- a/crates/lab/src/load/call.rs
+++ b/crates/lab/src/load/call.rs
@@ -3,14 +3,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use lichenpulley_core::identity::{AttemptId, PoolName, RequestId};
-use lichenpulley_daemon::decisions::unix_milliseconds;
+use lichenpulley_core::identity::{AttemptId, PoolName};
 use lichenpulley_daemon::http::client::{ClientError, HttpClient};
 use lichenpulley_daemon::http::events::{EventReader, EventStreamError, ServerEvent};
 use lichenpulley_protocol::caller::{CompletionChunk, CompletionRequest, CompletionResponse, Priority};
 use lichenpulley_protocol::engine::{StreamEvent, StreamRequest};
 use lichenpulley_protocol::error::{ErrorBody, Execution};
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 
 use super::workload::Prompt;
 use crate::engine::answer::is_whole_answer;
@@ -40,14 +39,12 @@
     pub priority: Priority,
     /// The caller's deadline.
     pub deadline: Duration,
-    /// Whether running it twice does no harm.
-    pub repeatable: bool,
 }
 
 /// What became of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Outcome {
+pub enum CallOutcome {
     /// The whole answer came, and it was the right one.
     Completed,
     /// A success came with wrong or missing tokens: a broken promise.
@@ -64,26 +61,18 @@
 
 /// One request's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Called {
+pub struct CallRecord {
     /// What became of it.
-    pub outcome: Outcome,
-    /// Time to the first token, where one came by itself.
-    pub first_token: Option<Duration>,
+    pub outcome: CallOutcome,
     /// Time to the end.
     pub whole: Duration,
-    /// Tokens received.
-    pub tokens: u32,
-    /// Attempts, as the gateway reported.
-    pub attempts: u32,
 }
 
 /// An answer as it came.
 #[derive(Default)]
 struct Answer {
     tokens: Vec<u32>,
-    first_token: Option<Duration>,
     finished: bool,
-    attempts: u32,
 }
 
 /// Sends one request to `target` and verifies the answer. `scheduled` is when it was to be sent: the times count
@@ -95,24 +84,18 @@
     prompt: &Prompt,
     number: u64,
     scheduled: Instant,
-) -> Called {
+) -> CallRecord {
     let limit = options.deadline + GRACE;
-    let ask = ask(client, target, options, prompt, number, scheduled);
-    let asked = tokio::time::timeout(limit, ask).await.unwrap_or(Err(Outcome::NoAnswer));
+    let ask = ask(client, target, options, prompt, number);
+    let asked = tokio::time::timeout(limit, ask).await.unwrap_or(Err(CallOutcome::NoAnswer));
     let whole = scheduled.elapsed();
     let answer = match asked {
         Ok(answer) => answer,
-        Err(outcome) => return Called { outcome, first_token: None, whole, tokens: 0, attempts: 0 },
+        Err(outcome) => return CallRecord { outcome, whole },
     };
     let right =
         answer.finished && is_whole_answer(&prompt.text, prompt.seed, options.max_tokens, &answer.tokens);
-    Called {
-        outcome: if right { Outcome::Completed } else { Outcome::Wrong },
-        first_token: answer.first_token,
-        whole,
-        tokens: answer.tokens.len() as u32,
-        attempts: answer.attempts,
-    }
+    CallRecord { outcome: if right { CallOutcome::Completed } else { CallOutcome::Wrong }, whole }
 }
 
 async fn ask(
@@ -121,40 +104,38 @@
     options: &CallOptions,
     prompt: &Prompt,
     number: u64,
-    scheduled: Instant,
-) -> Result<Answer, Outcome> {
+) -> Result<Answer, CallOutcome> {
     let limit = options.deadline + GRACE;
     match target {
         Target::Gateway(address) => {
-            let request = completion(options, prompt, number, false);
+            let request = completion(options, prompt, false);
             let answered = client.post_json(address, "/v1/completions", &request, limit).await;
             let response: CompletionResponse = answered.map_err(|error| outcome_of(&error))?;
-            let CompletionResponse { tokens, attempts, .. } = response;
-            Ok(Answer { tokens, first_token: None, finished: true, attempts })
+            Ok(Answer { tokens: response.tokens, finished: true })
         }
         Target::GatewayStream(address) => {
-            let request = completion(options, prompt, number, true);
+            let request = completion(options, prompt, true);
             let opened = client.post_events(address, "/v1/completions", &request, limit).await;
-            read(opened, scheduled, read_chunk).await
+            read(opened, read_chunk).await
         }
         Target::Engine(address) => {
             let request = stream_request(options, prompt, number);
             let opened = client.post_events(address, "/v1/streams", &request, limit).await;
-            read(opened, scheduled, read_stream_event).await
+            read(opened, read_stream_event).await
         }
     }
 }
 
-fn completion(options: &CallOptions, prompt: &Prompt, number: u64, stream: bool) -> CompletionRequest {
+fn completion(options: &CallOptions, prompt: &Prompt, stream: bool) -> CompletionRequest {
     CompletionRequest {
         pool: options.pool.clone(),
         prompt: prompt.text.clone(),
         max_tokens: options.max_tokens,
         priority: options.priority,
         deadline_ms: Some(options.deadline.as_millis() as u64),
-        repeatable: options.repeatable,
-        request_id: (!options.repeatable).then(|| request_id(prompt, number)),
-        issued_at_unix_ms: (!options.repeatable).then(unix_milliseconds),
+        repeatable: true,
+        request_id: None,
+        issued_at_unix_ms: None,
         seed: prompt.seed,
         stream,
     }
@@ -162,7 +143,7 @@
 
 fn stream_request(options: &CallOptions, prompt: &Prompt, number: u64) -> StreamRequest {
     StreamRequest {
-        attempt: AttemptId::new(request_id(prompt, number).as_str()),
+        attempt: AttemptId::new(format!("load-{number}-{:016x}", prompt.seed)),
         prompt: prompt.text.clone(),
         prior_tokens: Vec::new(),
         max_tokens: options.max_tokens,
@@ -171,78 +152,70 @@
     }
 }
 
-fn request_id(prompt: &Prompt, number: u64) -> RequestId {
-    RequestId::new(format!("load-{number}-{:016x}", prompt.seed))
-}
-
 async fn read(
     opened: Result<EventReader, ClientError>,
-    scheduled: Instant,
-    take: fn(&ServerEvent, &mut Answer) -> Result<(), Outcome>,
-) -> Result<Answer, Outcome> {
+    take: fn(&ServerEvent, &mut Answer) -> Result<(), CallOutcome>,
+) -> Result<Answer, CallOutcome> {
     let mut reader = opened.map_err(|error| outcome_of(&error))?;
-    let mut answer = Answer { attempts: 1, ..Answer::default() };
-    while let Some(event) = reader.next().await.map_err(|_: EventStreamError| Outcome::NoAnswer)? {
+    let mut answer = Answer::default();
+    while let Some(event) = reader.next().await.map_err(|_: EventStreamError| CallOutcome::NoAnswer)? {
         take(&event, &mut answer)?;
-        if answer.first_token.is_none() && !answer.tokens.is_empty() {
-            answer.first_token = Some(scheduled.elapsed());
-        }
     }
     Ok(answer)
 }
 
-fn read_chunk(event: &ServerEvent, answer: &mut Answer) -> Result<(), Outcome> {
+fn read_chunk(event: &ServerEvent, answer: &mut Answer) -> Result<(), CallOutcome> {
     if event.name.as_deref() == Some("error") {
-        let error: ErrorBody = event.json().map_err(|_| Outcome::Failed)?;
+        let error: ErrorBody = event.json().map_err(|_| CallOutcome::Failed)?;
         return Err(outcome_of_body(&error));
     }
-    let chunk: CompletionChunk = event.json().map_err(|_| Outcome::Failed)?;
+    let chunk: CompletionChunk = event.json().map_err(|_| CallOutcome::Failed)?;
     append(answer, chunk.first_token, &chunk.tokens)?;
     answer.finished = chunk.finish_reason.is_some();
     Ok(())
 }
 
-fn read_stream_event(event: &ServerEvent, answer: &mut Answer) -> Result<(), Outcome> {
-    match event.json().map_err(|_| Outcome::Failed)? {
+fn read_stream_event(event: &ServerEvent, answer: &mut Answer) -> Result<(), CallOutcome> {
+    match event.json().map_err(|_| CallOutcome::Failed)? {
         StreamEvent::Admitted { .. } => Ok(()),
         StreamEvent::Tokens { first_token, tokens, .. } => append(answer, first_token, &tokens),
         StreamEvent::Finished { .. } => {
             answer.finished = true;
             Ok(())
         }
-        StreamEvent::Failed { .. } => Err(Outcome::Failed),
+        StreamEvent::Failed { .. } => Err(CallOutcome::Failed),
     }
 }
 
 /// Appends tokens that must follow those received, without gap or repeat.
-fn append(answer: &mut Answer, first_token: u32, tokens: &[u32]) -> Result<(), Outcome> {
+fn append(answer: &mut Answer, first_token: u32, tokens: &[u32]) -> Result<(), CallOutcome> {
     if first_token as usize != answer.tokens.len() && !tokens.is_empty() {
-        return Err(Outcome::Wrong);
+        return Err(CallOutcome::Wrong);
     }
     answer.tokens.extend_from_slice(tokens);
     Ok(())
 }
 
-fn outcome_of(error: &ClientError) -> Outcome {
+fn outcome_of(error: &ClientError) -> CallOutcome {
     log::debug!(target: "load", "{error}.");
     if error.nothing_sent() {
-        return Outcome::NotRun;
+        return CallOutcome::NotRun;
     }
     let Some(status) = error.status() else {
-        return Outcome::NoAnswer;
+        return CallOutcome::NoAnswer;
     };
     match error.body::<ErrorBody>() {
         Some(body) => outcome_of_body(&body),
         // An engine's refusal has a body of its own.
-        None if status == hyper::StatusCode::SERVICE_UNAVAILABLE => Outcome::NotRun,
-        None => Outcome::Failed,
+        None if status == hyper::StatusCode::SERVICE_UNAVAILABLE => CallOutcome::NotRun,
+        None => CallOutcome::Failed,
     }
 }
 
-const fn outcome_of_body(body: &ErrorBody) -> Outcome {
+const fn outcome_of_body(body: &ErrorBody) -> CallOutcome {
     match body.execution {
-        Some(Execution::NotRun) => Outcome::NotRun,
-        Some(Execution::Unknown) => Outcome::Unknown,
-        None => Outcome::Failed,
+        Some(Execution::NotRun) => CallOutcome::NotRun,
+        Some(Execution::Unknown) => CallOutcome::Unknown,
+        None => CallOutcome::Failed,
     }
 }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -5,22 +5,18 @@
 mod report;
 mod workload;
 
-use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use lichenpulley_core::identity::PoolName;
 use lichenpulley_daemon::http::client::HttpClient;
-use lichenpulley_protocol::caller::Priority;
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::arguments;
-use crate::error::LabError;
-
-pub use self::call::{CallOptions, Called, Outcome, Target, call};
-pub use self::report::{LoadReport, Quantiles, Recorder, histogram, record};
+use self::call::call;
+pub use self::call::{CallOptions, CallOutcome, Target};
+use self::report::Recorder;
+pub use self::report::{LoadReport, Quantiles};
 pub use self::workload::{Prompt, Workload, WorkloadConfig};
 
 /// How long a connection may take to be made.
@@ -79,8 +75,7 @@
         Pacing::Open { per_second } => send_open(&run, per_second, end, stop).await,
         Pacing::Closed { callers } => send_closed(&run, callers, end, stop).await,
     }
-    let elapsed = begin.elapsed();
-    lock(&run.recorder).report(elapsed)
+    lock(&run.recorder).report()
 }
 
 async fn send_open(run: &Arc<Run>, per_second: f64, end: Instant, stop: &CancellationToken) {
@@ -121,7 +116,7 @@
         let target = targets[number as usize % targets.len()];
         let prompt = lock(&self.workload).draw();
         let called = call(&self.client, target, &self.options.call, &prompt, number, scheduled).await;
-        if called.outcome == Outcome::Wrong {
+        if called.outcome == CallOutcome::Wrong {
             log::error!(target: "load", "A wrong answer to `{}`, seed {}.", prompt.text, prompt.seed);
         }
         lock(&self.recorder).record(called);
@@ -131,78 +126,3 @@
 fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
-
-/// `lichenpulley-lab load`: fails where an answer was wrong.
-///
-/// # Errors
-/// When the command line is wrong, or a success came with wrong or missing tokens.
-pub async fn run(arguments: &[String]) -> Result<(), LabError> {
-    let Some(options) = parse(arguments)? else {
-        return Ok(());
-    };
-    let report = generate(options, &CancellationToken::new()).await;
-    println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
-    match report.count(Outcome::Wrong) {
-        0 => Ok(()),
-        wrong => {
-            Err(LabError::CheckFailed(format!("{wrong} answers were wrong; the log names their prompts")))
-        }
-    }
-}
-
-fn parse(arguments: &[String]) -> Result<Option<LoadOptions>, LabError> {
-    let mut flags = getopts::Options::new();
-    flags.optmulti("", "gateway", "a gateway's callers' address; may be repeated", "IP:PORT");
-    flags.optmulti("", "engine", "an engine to send to without a gateway; may be repeated", "IP:PORT");
-    flags.optopt("", "pool", "the pool", "NAME");
-    flags.optopt("", "rate", "open loop: mean requests a second", "PER_SECOND");
-    flags.optopt("", "callers", "closed loop: callers that wait for their answer (default 8)", "COUNT");
-    flags.optopt("", "seconds", "how long requests are sent (default 10)", "SECONDS");
-    flags.optopt("", "max-tokens", "longest answer (default 256)", "TOKENS");
-    flags.optopt("", "deadline-ms", "deadline of each request (default 30000)", "MILLISECONDS");
-    flags.optopt("", "prefix-groups", "groups of prompts that share a prefix (default 32)", "COUNT");
-    flags.optopt("", "seed", "seed of prompts and arrivals (default 1)", "NUMBER");
-    flags.optflag("", "stream", "ask gateways for streamed answers");
-    flags.optflag("", "rollout", "send with the priority of rollouts");
-    flags.optflag("", "not-repeatable", "mark each request as not repeatable");
-    flags.optflag("h", "help", "print this help and end");
-    let Some(matches) = arguments::parse("load", &flags, arguments)? else {
-        return Ok(None);
-    };
-    let targets = parse_targets(&matches)?;
-    let pool: String = arguments::required(&matches, "pool")?;
-    let per_second: Option<f64> = arguments::optional(&matches, "rate")?;
-    let callers = arguments::value_or(&matches, "callers", "8")?;
-    let rollout = matches.opt_present("rollout");
-    let workload = WorkloadConfig {
-        prefix_groups: arguments::value_or(&matches, "prefix-groups", "32")?,
-        seed: arguments::value_or(&matches, "seed", "1")?,
-        ..WorkloadConfig::default()
-    };
-    Ok(Some(LoadOptions {
-        targets,
-        call: CallOptions {
-            pool: PoolName::new(pool),
-            max_tokens: arguments::value_or(&matches, "max-tokens", "256")?,
-            priority: if rollout { Priority::Rollout } else { Priority::Live },
-            deadline: Duration::from_millis(arguments::value_or(&matches, "deadline-ms", "30000")?),
-            repeatable: !matches.opt_present("not-repeatable"),
-        },
-        pacing: per_second.map_or(Pacing::Closed { callers }, |per_second| Pacing::Open { per_second }),
-        duration: Duration::from_secs(arguments::value_or(&matches, "seconds", "10")?),
-        workload,
-    }))
-}
-
-fn parse_targets(matches: &getopts::Matches) -> Result<Vec<Target>, LabError> {
-    let gateways: Vec<SocketAddr> = arguments::each(matches, "gateway")?;
-    let engines: Vec<SocketAddr> = arguments::each(matches, "engine")?;
-    let stream = matches.opt_present("stream");
-    let gateway = |address| if stream { Target::GatewayStream(address) } else { Target::Gateway(address) };
-    let mut targets: Vec<Target> = gateways.into_iter().map(gateway).collect();
-    targets.extend(engines.into_iter().map(Target::Engine));
-    if targets.is_empty() {
-        return Err(LabError::Usage("load: give --gateway or --engine".to_owned()));
-    }
-    Ok(targets)
-}
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -6,7 +6,7 @@
 use lichenpulley_lab::engine::faults::{EngineFault, WireFaults};
 use lichenpulley_lab::engine::{Engine, EngineOptions, start};
 use lichenpulley_lab::load::{
-    CallOptions, LoadOptions, LoadReport, Outcome, Pacing, Target, Workload, WorkloadConfig, generate,
+    CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, Workload, WorkloadConfig, generate,
 };
 use lichenpulley_protocol::caller::Priority;
 use tokio_util::sync::CancellationToken;
@@ -28,7 +28,6 @@
             max_tokens: 64,
             priority: Priority::Live,
             deadline: Duration::from_secs(30),
-            repeatable: true,
         },
         pacing: Pacing::Closed { callers: CALLERS },
         duration: Duration::from_millis(100),
@@ -41,9 +40,9 @@
 async fn whole_answers_are_counted_as_completed() {
     let engine = engine().await;
     let report = load(&engine).await;
-    assert!(report.count(Outcome::Completed) >= u64::from(CALLERS), "{report:?}");
+    assert!(report.count(CallOutcome::Completed) >= u64::from(CALLERS), "{report:?}");
     assert_eq!(report.outcomes.len(), 1, "{report:?}");
-    assert_eq!(engine.counters().streams_admitted, report.count(Outcome::Completed));
+    assert_eq!(engine.counters().streams_admitted, report.count(CallOutcome::Completed));
 }
 
 #[tokio::test]
@@ -51,17 +50,17 @@
     let engine = engine().await;
     engine.inject(EngineFault::Wire(WireFaults { duplicate_every: 2, ..WireFaults::default() })).await;
     let doubled = load(&engine).await;
-    assert_eq!(doubled.count(Outcome::Completed), 0, "{doubled:?}");
-    assert!(doubled.count(Outcome::Wrong) >= u64::from(CALLERS), "{doubled:?}");
+    assert_eq!(doubled.count(CallOutcome::Completed), 0, "{doubled:?}");
+    assert!(doubled.count(CallOutcome::Wrong) >= u64::from(CALLERS), "{doubled:?}");
     engine
         .inject(EngineFault::Wire(WireFaults { drop_after_tokens: Some(2), ..WireFaults::default() }))
         .await;
     let broken = load(&engine).await;
-    assert_eq!(broken.count(Outcome::Completed), 0, "{broken:?}");
-    assert!(broken.count(Outcome::NoAnswer) >= u64::from(CALLERS), "{broken:?}");
+    assert_eq!(broken.count(CallOutcome::Completed), 0, "{broken:?}");
+    assert!(broken.count(CallOutcome::NoAnswer) >= u64::from(CALLERS), "{broken:?}");
     engine.inject(EngineFault::RefuseAll { refuse: true }).await;
     let refused = load(&engine).await;
-    assert!(refused.count(Outcome::NotRun) >= u64::from(CALLERS), "{refused:?}");
+    assert!(refused.count(CallOutcome::NotRun) >= u64::from(CALLERS), "{refused:?}");
 }
 
 #[test]
--- a/crates/lab/tests/rolling_restart.rs
+++ b/crates/lab/tests/rolling_restart.rs
@@ -9,7 +9,7 @@
 use lichenpulley_daemon::node::Node;
 use lichenpulley_lab::demo::system::{PoolPlan, System, SystemPlan};
 use lichenpulley_lab::load::{
-    CallOptions, LoadOptions, LoadReport, Outcome, Pacing, Target, WorkloadConfig, generate,
+    CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, WorkloadConfig, generate,
 };
 use lichenpulley_protocol::caller::{JobSpecification, JobStatus, Priority, PullRequest, PullResponse, Slot};
 use tokio_util::sync::CancellationToken;
@@ -37,7 +37,6 @@
             max_tokens: 64,
             priority: Priority::Live,
             deadline: PATIENCE,
-            repeatable: true,
         },
         pacing: Pacing::Closed { callers: CALLERS },
         duration: PATIENCE,
@@ -127,7 +126,7 @@
 
 /// Requests that were cut or ended in doubt.
 fn cut(report: &LoadReport) -> u64 {
-    let kept = [Outcome::Completed, Outcome::NotRun];
+    let kept = [CallOutcome::Completed, CallOutcome::NotRun];
     report.outcomes.iter().filter(|(outcome, _)| !kept.contains(outcome)).map(|(_, count)| count).sum()
 }
 
@@ -169,7 +168,7 @@
 async fn planned_restarts_of_every_node_cut_nothing() {
     let (report, slots) = restart_all(End::Planned).await;
     assert_eq!(cut(&report), 0, "{:?}", report.outcomes);
-    assert!(report.count(Outcome::Completed) > 0);
+    assert!(report.count(CallOutcome::Completed) > 0);
     assert_exactly_once(&slots);
 }
 
@@ -179,6 +178,6 @@
 async fn killing_every_node_cuts_requests_and_says_so() {
     let (report, slots) = restart_all(End::Killed).await;
     assert!(cut(&report) > 0, "{:?}", report.outcomes);
-    assert_eq!(report.count(Outcome::Wrong), 0, "{:?}", report.outcomes);
+    assert_eq!(report.count(CallOutcome::Wrong), 0, "{:?}", report.outcomes);
     assert_exactly_once(&slots);
 }
