--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -80,11 +80,6 @@
         help: "requests under faults on a virtual clock, checked at every schedule",
         entry: |arguments| Box::pin(requests::run(arguments)),
     },
-    Command {
-        name: "compare-requests",
-        help: "resume against restart, and retries with and without a budget, on a virtual clock",
-        entry: |arguments| Box::pin(requests::compare(arguments)),
-    },
     Command {
         name: "simulate-rollout",
         help: "rollout jobs under seeded faults on a virtual clock",
--- a/crates/lab/src/requests/engine.rs
+++ b/crates/lab/src/requests/engine.rs
@@ -40,8 +40,6 @@
     next_connection: u64,
     /// Everything admitted in all incarnations.
     pub admissions: Vec<Admission>,
-    /// Tokens generated in earlier incarnations.
-    earlier_tokens: u64,
     /// Since when it takes no new streams, in this incarnation.
     pub draining_since: Option<Timestamp>,
 }
@@ -59,7 +57,6 @@
             first_connection: 0,
             next_connection: 0,
             admissions: Vec::new(),
-            earlier_tokens: 0,
             draining_since: None,
         }
     }
@@ -70,7 +67,6 @@
             incarnation: self.incarnation + 1,
             model: EngineModel::new(self.config.clone(), self.incarnation + 1, FIRST_VERSION),
             admissions: self.admissions.clone(),
-            earlier_tokens: self.tokens_generated(),
             first_connection: self.next_connection + 1,
             next_connection: self.next_connection,
             ..Self::new(self.config.clone())
@@ -87,11 +83,6 @@
         &mut self.model
     }
 
-    /// Tokens generated in all incarnations.
-    pub fn tokens_generated(&self) -> u64 {
-        self.earlier_tokens + self.model.tokens_generated()
-    }
-
     /// Takes an order that changes its role.
     pub fn order(&mut self, now: Timestamp, order: &Order) {
         if self.model.order(now, order).is_err() {
--- a/crates/lab/src/requests/gateway.rs
+++ b/crates/lab/src/requests/gateway.rs
@@ -45,8 +45,6 @@
     waiting: Waiting,
     wake_at: Timestamp,
     streamed: Vec<u32>,
-    begun_anew: u32,
-    submitted_at: Timestamp,
 }
 
 /// One gateway.
@@ -125,24 +123,16 @@
     /// Takes a request.
     pub fn submit(&mut self, submission: Submission, now: Timestamp, outbox: &mut Outbox<Message>) {
         let number = submission.number;
-        let execution = self.execution(&submission, 0, now);
-        let run = Run {
-            submission,
-            execution,
-            waiting: Waiting::Time,
-            wake_at: now,
-            streamed: Vec::new(),
-            begun_anew: 0,
-            submitted_at: now,
-        };
+        let execution = self.execution(&submission, now);
+        let run = Run { submission, execution, waiting: Waiting::Time, wake_at: now, streamed: Vec::new() };
         self.runs.insert(number, run);
         self.drive(number, now, outbox);
     }
 
-    fn execution(&mut self, submission: &Submission, begun_anew: u32, now: Timestamp) -> Execution {
+    fn execution(&mut self, submission: &Submission, now: Timestamp) -> Execution {
         let spec = ExecutionSpec {
             request: submission.request.clone(),
-            execution: format!("{}-{}-{}.{begun_anew}", self.name, self.life, submission.number),
+            execution: format!("{}-{}-{}.0", self.name, self.life, submission.number),
             prefix_group: submission.number as u64 % 7,
             priority: submission.stream.priority,
             max_tokens: submission.stream.max_tokens,
@@ -153,17 +143,6 @@
         Execution::new(spec, &mut self.pool, now)
     }
 
-    /// What a gateway without resumes does when a stream breaks.
-    fn begin_anew(&mut self, number: usize, now: Timestamp) {
-        let Some(mut run) = self.runs.remove(&number) else { return };
-        run.execution.abandon(now, &mut self.pool);
-        self.cancellations.extend(run.execution.take_cancellations());
-        run.begun_anew += 1;
-        run.streamed.clear();
-        run.execution = self.execution(&run.submission, run.begun_anew, now);
-        self.runs.insert(number, run);
-    }
-
     /// Requests that are not over.
     pub fn running(&self) -> usize {
         self.runs.len()
@@ -184,14 +163,6 @@
                     run.execution.refused(&refusal, cause, now, pool, random);
                 });
             }
-            Message::Event(attempt, EngineEvent::Failed) | Message::Broken(attempt)
-                if !self.mechanisms.resume && self.is_repeatable(&attempt) =>
-            {
-                if let Some(number) = self.find(&attempt) {
-                    self.begin_anew(number, now);
-                    self.drive(number, now, outbox);
-                }
-            }
             Message::Broken(attempt) => {
                 self.with_attempt(&attempt, now, outbox, |run, pool, random| {
                     run.execution.broken(now, pool, random);
@@ -242,9 +213,6 @@
             }
             Waiting::Claiming { .. } => run.execution.claimed(ClaimVerdict::NoMajority, now),
             Waiting::Event if !self.mechanisms.proof_of_not_run => self.tell_not_run(number, now),
-            Waiting::Event if !self.mechanisms.resume && run.submission.repeatable => {
-                self.begin_anew(number, now);
-            }
             Waiting::Event => run.execution.stalled(now, &mut self.pool, &mut self.random),
             Waiting::Time => {}
         }
@@ -256,8 +224,7 @@
         run.execution.abandon(now, &mut self.pool);
         self.cancellations.extend(run.execution.take_cancellations());
         let outcome = Rc::new(refuse_at_once(true, RefusalReason::EnginesRefused, None));
-        let took = now.saturating_since(run.submitted_at);
-        self.told.push(Told { number, outcome, streamed: run.streamed, took });
+        self.told.push(Told { number, outcome, streamed: run.streamed });
     }
 
     /// Does the steps of a run until it has to wait.
@@ -311,9 +278,8 @@
                     break;
                 }
                 Step::Finish(outcome) => {
-                    let took = now.saturating_since(run.submitted_at);
                     let outcome = Rc::from(outcome);
-                    self.told.push(Told { number, outcome, streamed: run.streamed, took });
+                    self.told.push(Told { number, outcome, streamed: run.streamed });
                     return;
                 }
             }
@@ -417,12 +383,6 @@
         rest.split('.').next()?.parse().ok()
     }
 
-    /// Whether the current attempt of a run is this one, and the run may begin anew.
-    fn is_repeatable(&self, attempt: &AttemptId) -> bool {
-        let run = self.find(attempt).and_then(|number| self.runs.get(&number));
-        run.is_some_and(|run| run.submission.repeatable && run.execution.current_attempt() == Some(attempt))
-    }
-
     fn wake_choosers(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
         let choosing = |run: &Run| matches!(run.waiting, Waiting::Time);
         let waiting: Vec<usize> =
--- a/crates/lab/src/requests/mechanisms.rs
+++ b/crates/lab/src/requests/mechanisms.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::retry::budget::BudgetConfig;
 use lichenpulley_core::routing::PoolConfig;
 
 /// Mechanisms that a schedule can switch off, to show that its checks find what they are there for.
@@ -16,41 +15,18 @@
     pub numbering: bool,
     /// A confirmation stands for the time of its question; off: for the time of its arrival, and holds for ever.
     pub expiring_confirmations: bool,
-    /// A stream that breaks is resumed, and goes on elsewhere from the tokens that came; off: the request begins
-    /// anew.
-    pub resume: bool,
-    /// Retries stay within the pool's budget; off: every refusal is retried until the deadline.
-    pub retry_budget: bool,
-    /// Requests at a replica are limited by how it answers; off: they are not limited.
-    pub concurrency_limits: bool,
 }
 
 impl Mechanisms {
     /// All of them.
-    pub const ON: Self = Self {
-        proof_of_not_run: true,
-        claims: true,
-        numbering: true,
-        expiring_confirmations: true,
-        resume: true,
-        retry_budget: true,
-        concurrency_limits: true,
-    };
+    pub const ON: Self =
+        Self { proof_of_not_run: true, claims: true, numbering: true, expiring_confirmations: true };
 
     pub(super) fn pool_config(&self) -> PoolConfig {
         let mut config = PoolConfig::default();
         if !self.expiring_confirmations {
             config.confirmation_holds = Duration::from_secs(1_000_000);
         }
-        if !self.retry_budget {
-            config.budget = BudgetConfig { deposit_ratio: 1.0, minimum_per_second: 1_000.0, ..config.budget };
-            config.budget.most_saved = 1e9;
-        }
-        if !self.concurrency_limits {
-            let unlimited = config.concurrency.maximum;
-            config.concurrency.minimum = unlimited;
-            config.concurrency.initial = unlimited;
-        }
         config
     }
 }
--- a/crates/lab/src/requests/mod.rs
+++ b/crates/lab/src/requests/mod.rs
@@ -2,7 +2,6 @@
 
 mod checks;
 mod claims;
-mod comparison;
 mod engine;
 mod gateway;
 mod mechanisms;
@@ -12,9 +11,8 @@
 mod submission;
 
 pub use checks::{Tally, Violation};
-pub use comparison::compare;
 pub use mechanisms::Mechanisms;
-pub use schedule::{Cost, Report, Schedule};
+pub use schedule::{Report, Schedule};
 
 use crate::arguments;
 use crate::error::LabError;
--- a/crates/lab/src/requests/schedule.rs
+++ b/crates/lab/src/requests/schedule.rs
@@ -1,12 +1,10 @@
 //! One schedule: callers, faults and orders drawn from a seed, run to its end and checked.
 
 use std::collections::BTreeMap;
-use std::ops::Range;
 use std::time::Duration;
 
 use lichenpulley_core::identity::{AttemptId, Epoch, ReplicaId, RequestId, ShardId, WeightVersion};
 use lichenpulley_core::request::answer::Priority;
-use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::{Command, EngineRole, Order, StreamRequest};
 use lichenpulley_simulation::{Fault, FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation};
@@ -27,10 +25,6 @@
 const CLAIM_REPLICAS: usize = 3;
 /// Requests of a schedule, without what callers send again.
 const REQUESTS: usize = 120;
-/// Requests of a schedule with a brown-out: about two thirds of what the engines can do.
-const BROWN_OUT_REQUESTS: usize = 800;
-/// When a brown-out lasts.
-const BROWN_OUT: Range<Timestamp> = Timestamp::from_millis(10_000)..Timestamp::from_millis(20_000);
 /// Faults and new requests fall within this time.
 const ACTIVE: Duration = Duration::from_secs(40);
 /// Longest time that a request may take.
@@ -68,45 +62,6 @@
     pub violations: Vec<Violation>,
     /// What was done.
     pub tally: Tally,
-    /// What it cost.
-    pub cost: Cost,
-}
-
-/// What a schedule cost engines and callers.
-#[derive(Clone, Debug, Default)]
-pub struct Cost {
-    /// Tokens that engines generated.
-    pub tokens_generated: u64,
-    /// Tokens of whole answers.
-    pub tokens_answered: u64,
-    /// Attempts that gateways made.
-    pub attempts: u64,
-    /// Of these, while a brown-out would last.
-    pub attempts_in_brown_out: u64,
-    /// Requests submitted while a brown-out would last.
-    pub submitted_in_brown_out: u64,
-    /// How long callers waited for whole answers.
-    pub waits: Vec<Duration>,
-}
-
-impl Cost {
-    /// Adds the figures of another schedule.
-    pub fn add(&mut self, other: &Self) {
-        self.tokens_generated += other.tokens_generated;
-        self.tokens_answered += other.tokens_answered;
-        self.attempts += other.attempts;
-        self.attempts_in_brown_out += other.attempts_in_brown_out;
-        self.submitted_in_brown_out += other.submitted_in_brown_out;
-        self.waits.extend_from_slice(&other.waits);
-    }
-
-    /// The wait below which `percent` of the waits lie.
-    pub fn wait_percentile(&self, percent: usize) -> Duration {
-        let mut waits = self.waits.clone();
-        waits.sort_unstable();
-        let index = (waits.len() * percent / 100).min(waits.len().saturating_sub(1));
-        waits.get(index).copied().unwrap_or_default()
-    }
 }
 
 impl Schedule {
@@ -136,48 +91,6 @@
         schedule
     }
 
-    /// Draws a schedule of repeatable requests on a good network whose engines fail, freeze and are cut off often.
-    pub fn draw_breaks(seed: u64) -> Self {
-        let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut schedule = Self::draw_repeatable(seed, &mut random, REQUESTS);
-        let targets: Vec<ProcessId> = (0..ENGINES).map(ProcessId).collect();
-        let rates =
-            FaultRates { mean_interval: Duration::from_millis(700), longest_outage: Duration::from_secs(4) };
-        let plan = FaultPlan::draw(random.random(), &targets, ACTIVE, rates);
-        schedule.acts.extend(plan.faults().iter().map(|(at, fault)| (*at, Act::Fault(fault.clone()))));
-        schedule.acts.sort_by_key(|(at, _)| *at);
-        schedule
-    }
-
-    /// Draws a schedule near the engines' capacity, in which all of them are ten times slower for ten seconds.
-    pub fn draw_brown_out(seed: u64) -> Self {
-        let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut schedule = Self::draw_repeatable(seed, &mut random, BROWN_OUT_REQUESTS);
-        for engine in 0..ENGINES {
-            schedule.acts.push((BROWN_OUT.start, Act::Slow(engine, 1_000)));
-            schedule.acts.push((BROWN_OUT.end, Act::Slow(engine, 100)));
-        }
-        schedule.acts.sort_by_key(|(at, _)| *at);
-        schedule
-    }
-
-    fn draw_repeatable(seed: u64, random: &mut Pcg64Mcg, requests: usize) -> Self {
-        let mut schedule = Self { seed, link: LinkQuality::GOOD, acts: Vec::new(), submissions: Vec::new() };
-        for number in 0..requests {
-            let stream = StreamRequest {
-                attempt: AttemptId::new(""),
-                prompt: format!("seed {seed} request {number}"),
-                prior_tokens: Vec::new(),
-                max_tokens: MAX_TOKENS,
-                priority: Priority::Live,
-                seed: random.random(),
-            };
-            let request = RequestId::new(format!("request-{number}"));
-            schedule.submit(draw_time(random, ACTIVE), &stream, &request, true, random);
-        }
-        schedule
-    }
-
     /// Runs it and checks it.
     pub fn run(&self, mechanisms: Mechanisms) -> Report {
         let mut world = World::new(self, mechanisms);
@@ -449,14 +362,6 @@
             .flat_map(|engine| engine.admissions.clone())
             .collect();
         self.tally.admissions = admissions.len() as u64;
-        let mut cost = Cost::default();
-        let engines = self.engines.iter().filter_map(|id| self.simulation.process(*id).engine());
-        cost.tokens_generated = engines.map(EngineProcess::tokens_generated).sum();
-        let submitted_at = submissions
-            .iter()
-            .map(|submission| submission.deadline.saturating_since(Timestamp::ORIGIN + DEADLINE));
-        cost.submitted_in_brown_out =
-            submitted_at.filter(|at| BROWN_OUT.contains(&(Timestamp::ORIGIN + *at))).count() as u64;
         let mut told_count = 0;
         let mut running = 0;
         for id in &self.gateways {
@@ -465,15 +370,8 @@
             for told in &gateway.told {
                 told_count += 1;
                 self.tally.count_outcome(&told.outcome);
-                if let RequestOutcome::Completed { answer, .. } = &*told.outcome {
-                    cost.tokens_answered += answer.tokens.len() as u64;
-                    cost.waits.push(told.took);
-                }
                 checks::check_told(told, &submissions[told.number], &admissions, &mut violations);
             }
-            cost.attempts += gateway.sent.len() as u64;
-            let in_brown_out = gateway.sent.iter().filter(|work| BROWN_OUT.contains(&work.at));
-            cost.attempts_in_brown_out += in_brown_out.count() as u64;
             checks::check_leaving(&gateway.sent, &self.absences, &mut violations);
         }
         if running > 0 {
@@ -481,7 +379,7 @@
         }
         self.tally.gateway_died = self.tally.submitted - told_count;
         checks::check_at_most_once(submissions, &admissions, &mut violations);
-        Report { violations, tally: self.tally, cost }
+        Report { violations, tally: self.tally }
     }
 }
 
--- a/crates/lab/src/requests/submission.rs
+++ b/crates/lab/src/requests/submission.rs
@@ -1,7 +1,6 @@
 //! What gateways are asked, what they tell, and what they send.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use lichenpulley_core::identity::{ReplicaId, RequestId};
 use lichenpulley_core::request::outcome::RequestOutcome;
@@ -32,8 +31,6 @@
     pub outcome: Rc<RequestOutcome>,
     /// Chunks as they were streamed.
     pub streamed: Vec<u32>,
-    /// How long the caller waited.
-    pub took: Duration,
 }
 
 /// New work sent to a replica.
