--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -45,11 +45,6 @@
         help: "run the configuration under seeded faults on a virtual clock",
         entry: |arguments| Box::pin(crate::configuration_simulation::run(arguments)),
     },
-    Command {
-        name: "measure-configuration",
-        help: "measure how fast a change spreads over many simulated nodes, and what it costs",
-        entry: |arguments| Box::pin(crate::configuration_simulation::scale::run(arguments)),
-    },
     Command {
         name: "machine-list",
         help: "stand-in for the platform's machine list",
--- a/crates/lab/src/configuration_simulation/mod.rs
+++ b/crates/lab/src/configuration_simulation/mod.rs
@@ -14,7 +14,6 @@
 pub mod operator;
 pub mod packet;
 pub mod platform;
-pub mod scale;
 pub mod world;
 
 use crate::arguments::{parse, value_or};
--- a/crates/lab/src/configuration_simulation/node.rs
+++ b/crates/lab/src/configuration_simulation/node.rs
@@ -10,7 +10,6 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use speedy::Writable;
 
 use super::changes::Changes;
 use super::packet::{PLATFORM, Packet, PlatformAnswer, PlatformRequest, node_process};
@@ -23,11 +22,6 @@
 const WATCH_HOLD: Duration = Duration::from_secs(5);
 /// Pause of a reader after the platform gave no answer.
 const READ_PAUSE: Duration = Duration::from_secs(1);
-/// Bytes of headers and of the call's frame round each message between nodes: TCP and IP for the message and its
-/// acknowledgement, the frame's length, the call's number, deadline and trace, and the sender's name.
-const MESSAGE_OVERHEAD_BYTES: u64 = 220;
-/// Bytes that the revision takes on a heartbeat: the document's name and its revision.
-const REVISION_BYTES: u64 = 26;
 
 /// How nodes of a run are built.
 #[derive(Clone, Debug, Default)]
@@ -68,8 +62,6 @@
     watch_after: Option<Revision>,
     changes: Changes,
     in_force_log: Vec<(Timestamp, Revision)>,
-    message_bytes: u64,
-    heartbeat_bytes: u64,
     life: u64,
 }
 
@@ -104,8 +96,6 @@
             follow_at: None,
             watch_after: None,
             in_force_log: Vec::new(),
-            message_bytes: 0,
-            heartbeat_bytes: 0,
             life,
         }
     }
@@ -140,16 +130,6 @@
         self.reading
     }
 
-    /// Bytes of dissemination messages sent in this life, with their headers.
-    pub fn message_bytes(&self) -> u64 {
-        self.message_bytes
-    }
-
-    /// Bytes that the revision added to the heartbeats sent in this life.
-    pub fn heartbeat_bytes(&self) -> u64 {
-        self.heartbeat_bytes
-    }
-
     /// The live members changed.
     pub fn set_members(&mut self, members: Vec<Peer>, now: Timestamp, outbox: &mut Outbox<Packet>) {
         if self.members != members {
@@ -176,7 +156,7 @@
             Packet::Probe { revision } => {
                 self.hear(from, revision, now);
                 let revision = self.revision();
-                self.send_heartbeat(from, Packet::ProbeAnswer { revision }, outbox);
+                outbox.send(from, Packet::ProbeAnswer { revision });
             }
             Packet::ProbeAnswer { revision } => self.hear(from, revision, now),
             Packet::PlatformAnswer { call, answer } => self.take_answer(call, answer, now),
@@ -229,19 +209,12 @@
         let target = others.choose(&mut self.random).and_then(|peer| process_of(&peer.node));
         let revision = self.revision();
         if let Some(target) = target {
-            self.send_heartbeat(target, Packet::Probe { revision }, outbox);
+            outbox.send(target, Packet::Probe { revision });
         }
     }
 
-    fn send_heartbeat(&mut self, to: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
-        self.heartbeat_bytes += REVISION_BYTES;
-        outbox.send(to, packet);
-    }
-
     fn send_message(&mut self, to: &NodeId, message: Message, outbox: &mut Outbox<Packet>) {
         let Some(process) = process_of(to) else { return };
-        let length = message.write_to_vec().map_or(0, |bytes| bytes.len());
-        self.message_bytes += u64::try_from(length).unwrap_or_default() + MESSAGE_OVERHEAD_BYTES;
         outbox.send(process, Packet::Spread(message));
     }
 
--- a/crates/lab/src/configuration_simulation/platform.rs
+++ b/crates/lab/src/configuration_simulation/platform.rs
@@ -38,7 +38,6 @@
     /// Every change that took effect, in order.
     committed: Vec<AppliedChange>,
     lost_replies: u64,
-    requests: u64,
     /// Whether the base version of a write is looked at. Off only in a proof.
     checks_base_version: bool,
 }
@@ -54,7 +53,6 @@
             late: VecDeque::new(),
             committed: Vec::new(),
             lost_replies: 0,
-            requests: 0,
             checks_base_version,
         }
     }
@@ -82,11 +80,6 @@
         self.lost_replies
     }
 
-    /// Requests received while up.
-    pub fn requests(&self) -> u64 {
-        self.requests
-    }
-
     /// The register with its version.
     pub fn register(&self) -> (Option<Revision>, Register) {
         let Some(object) = self.store.get(OBJECT_KEY) else { return (None, Register::default()) };
@@ -106,7 +99,6 @@
         if self.faults.down {
             return;
         }
-        self.requests += 1;
         match request {
             PlatformRequest::Read => self.answer_register(now, from, call, outbox),
             PlatformRequest::Watch { after } => {
--- a/crates/lab/src/configuration_simulation/world.rs
+++ b/crates/lab/src/configuration_simulation/world.rs
@@ -102,8 +102,6 @@
     pub faults: usize,
     /// Replies lost after a write took effect.
     pub lost_replies: u64,
-    /// Times from the operator's answer to the last running, connected node.
-    pub spread_times: Vec<Duration>,
     /// The most nodes of one region that read the platform at once, takeovers included.
     pub most_readers: usize,
 }
@@ -128,7 +126,6 @@
     /// Nodes that had it in force when it was accepted.
     sources: Vec<usize>,
     platform_up: bool,
-    reached_all: bool,
 }
 
 /// One run.
@@ -200,37 +197,6 @@
         world.finish()
     }
 
-    /// The simulation, for experiments that drive it themselves.
-    pub fn simulation(&self) -> &Simulation<Machine> {
-        &self.simulation
-    }
-
-    /// Cuts a group of nodes off from all others.
-    pub fn cut_off(&mut self, group: &[usize]) {
-        self.apply(&Fault::CutOff(group.iter().copied().map(node_process).collect()));
-    }
-
-    /// Ends every cut.
-    pub fn heal(&mut self) {
-        self.apply(&Fault::Heal);
-    }
-
-    /// Kills nodes; they stay dead.
-    pub fn kill(&mut self, node: usize) {
-        self.apply(&Fault::Kill(node_process(node)));
-    }
-
-    /// Runs without faults for a while.
-    pub fn run_quietly(&mut self, duration: Duration) {
-        let until = self.simulation.now() + duration;
-        self.run_until(until, &[], &[]);
-    }
-
-    /// What was seen so far.
-    pub fn report(&self) -> &Report {
-        &self.report
-    }
-
     fn draw_node_faults(&self, seed: u64) -> Vec<(Timestamp, Fault)> {
         let Some(rates) = self.options.rates else { return Vec::new() };
         let targets: Vec<ProcessId> = (0..self.options.nodes).map(node_process).collect();
@@ -433,13 +399,7 @@
         let sources = (0..self.options.nodes).filter(has).collect();
         let platform = self.simulation.process(PLATFORM).platform();
         let platform_up = platform.is_some_and(|platform| !platform.faults().down);
-        self.spreading.push(Spreading {
-            revision,
-            accepted_at: now,
-            sources,
-            platform_up,
-            reached_all: false,
-        });
+        self.spreading.push(Spreading { revision, accepted_at: now, sources, platform_up });
     }
 
     fn has(&self, number: usize, revision: Revision) -> bool {
@@ -448,16 +408,7 @@
 
     fn check_spreading(&mut self, now: Timestamp) {
         let within = self.options.in_force_within;
-        let mut spreading = std::mem::take(&mut self.spreading);
-        for change in &mut spreading {
-            let healthy = |number: &usize| self.healthy_since[*number].is_some();
-            let missing =
-                (0..self.options.nodes).filter(healthy).find(|number| !self.has(*number, change.revision));
-            if missing.is_none() && !change.reached_all {
-                change.reached_all = true;
-                self.report.spread_times.push(now.saturating_since(change.accepted_at));
-            }
-        }
+        let spreading = std::mem::take(&mut self.spreading);
         let due = |change: &Spreading| now.saturating_since(change.accepted_at) >= within;
         let (due, rest): (Vec<Spreading>, Vec<Spreading>) = spreading.into_iter().partition(due);
         self.spreading = rest;
