--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -3,11 +3,7 @@
 use futures::future::BoxFuture;
 
 use crate::error::LabError;
-use crate::weights_simulation;
-use crate::{
-    demo, engine, machine_list, object_api, requests, rollout_simulation, scorer, simulate_replication,
-    trainer, weight_store,
-};
+use crate::{demo, engine, machine_list, object_api, scorer, simulations, soak, trainer, weight_store};
 
 /// What runs a command: takes the arguments after its name.
 pub type Entry = for<'a> fn(&'a [String]) -> BoxFuture<'a, Result<(), LabError>>;
@@ -33,18 +29,18 @@
     Command {
         name: "soak",
         help: "run real processes under random faults from outside, and check the promises meanwhile",
-        entry: |arguments| Box::pin(crate::soak::run(arguments)),
+        entry: |arguments| Box::pin(soak::run(arguments)),
+    },
+    Command {
+        name: "simulate",
+        help: "try the schedules of many seeds on a virtual clock, and check the promises",
+        entry: |arguments| Box::pin(simulations::run(arguments)),
     },
     Command {
         name: "object-api",
         help: "stand-in for the platform's object API",
         entry: |arguments| Box::pin(object_api::run(arguments)),
     },
-    Command {
-        name: "simulate-configuration",
-        help: "run the configuration under seeded faults on a virtual clock",
-        entry: |arguments| Box::pin(crate::configuration_simulation::run(arguments)),
-    },
     Command {
         name: "machine-list",
         help: "stand-in for the platform's machine list",
@@ -70,26 +66,6 @@
         help: "stand-in for a trainer",
         entry: |arguments| Box::pin(trainer::run(arguments)),
     },
-    Command {
-        name: "simulate-requests",
-        help: "requests under faults on a virtual clock, checked at every schedule",
-        entry: |arguments| Box::pin(requests::run(arguments)),
-    },
-    Command {
-        name: "simulate-rollout",
-        help: "rollout jobs under seeded faults on a virtual clock",
-        entry: |arguments| Box::pin(rollout_simulation::run(arguments)),
-    },
-    Command {
-        name: "simulate-weights",
-        help: "weight waves under seeded faults, or timed over replicas without engines",
-        entry: |arguments| Box::pin(weights_simulation::run(arguments)),
-    },
-    Command {
-        name: "simulate-replication",
-        help: "try seeded schedules of faults on logs, claims and replica sets",
-        entry: |arguments| Box::pin(simulate_replication::run(arguments)),
-    },
 ];
 
 /// The command with this name.
--- a/crates/lab/src/configuration_simulation/node.rs
+++ b/crates/lab/src/simulations/configuration/node.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::configuration::dissemination::{Action, Config, Disseminator, Message, Peer};
 use lichenpulley_core::identity::{NodeId, Revision};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -139,60 +139,6 @@
         }
     }
 
-    /// Begins.
-    pub fn start(&mut self, now: Timestamp) {
-        let offset = self.random.random_range(Duration::ZERO..PROBE_INTERVAL);
-        self.probe_at = now + offset;
-    }
-
-    /// A message arrived.
-    pub fn receive(&mut self, now: Timestamp, from: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
-        match packet {
-            Packet::Spread(message) => {
-                if let Some(sender) = self.name_of(from) {
-                    self.disseminator.receive(sender, message, now);
-                }
-            }
-            Packet::Probe { revision } => {
-                self.hear(from, revision, now);
-                let revision = self.revision();
-                outbox.send(from, Packet::ProbeAnswer { revision });
-            }
-            Packet::ProbeAnswer { revision } => self.hear(from, revision, now),
-            Packet::PlatformAnswer { call, answer } => self.take_answer(call, answer, now),
-            Packet::AskRevision { question } => {
-                outbox.send(from, Packet::Revision { question, revision: self.revision() });
-            }
-            Packet::AskChange { question, change } => self.changes.begin(from, question, change, now),
-            Packet::PlatformCall { .. } | Packet::Revision { .. } | Packet::Changed { .. } => {}
-        }
-        self.act(now, outbox);
-    }
-
-    /// A time asked for has come.
-    pub fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
-        if self.probe_at <= now {
-            self.probe_at = now + PROBE_INTERVAL;
-            self.probe(outbox);
-        }
-        if self.follow_at.is_some_and(|at| at <= now) {
-            self.follow_at = None;
-            self.call(Purpose::Follow, PlatformRequest::Read, now, outbox);
-        }
-        self.give_up_calls(now);
-        if self.disseminator.next_wake().is_some_and(|at| at <= now) {
-            self.disseminator.wake(now);
-        }
-        self.act(now, outbox);
-    }
-
-    /// When to wake it.
-    pub fn next_wake(&self) -> Option<Timestamp> {
-        let calls = self.calls.values().map(|(_, deadline)| *deadline).min();
-        let others = [self.follow_at, calls, self.disseminator.next_wake(), self.changes.next_wake()];
-        others.into_iter().flatten().chain([self.probe_at]).min()
-    }
-
     fn name_of(&self, process: ProcessId) -> Option<NodeId> {
         process.0.checked_sub(1).map(node_name)
     }
@@ -303,3 +249,57 @@
         }
     }
 }
+
+impl Process for Node {
+    type Message = Packet;
+
+    fn start(&mut self, now: Timestamp, _outbox: &mut Outbox<Packet>) {
+        let offset = self.random.random_range(Duration::ZERO..PROBE_INTERVAL);
+        self.probe_at = now + offset;
+    }
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
+        match packet {
+            Packet::Spread(message) => {
+                if let Some(sender) = self.name_of(from) {
+                    self.disseminator.receive(sender, message, now);
+                }
+            }
+            Packet::Probe { revision } => {
+                self.hear(from, revision, now);
+                let revision = self.revision();
+                outbox.send(from, Packet::ProbeAnswer { revision });
+            }
+            Packet::ProbeAnswer { revision } => self.hear(from, revision, now),
+            Packet::PlatformAnswer { call, answer } => self.take_answer(call, answer, now),
+            Packet::AskRevision { question } => {
+                outbox.send(from, Packet::Revision { question, revision: self.revision() });
+            }
+            Packet::AskChange { question, change } => self.changes.begin(from, question, change, now),
+            Packet::PlatformCall { .. } | Packet::Revision { .. } | Packet::Changed { .. } => {}
+        }
+        self.act(now, outbox);
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
+        if self.probe_at <= now {
+            self.probe_at = now + PROBE_INTERVAL;
+            self.probe(outbox);
+        }
+        if self.follow_at.is_some_and(|at| at <= now) {
+            self.follow_at = None;
+            self.call(Purpose::Follow, PlatformRequest::Read, now, outbox);
+        }
+        self.give_up_calls(now);
+        if self.disseminator.next_wake().is_some_and(|at| at <= now) {
+            self.disseminator.wake(now);
+        }
+        self.act(now, outbox);
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        let calls = self.calls.values().map(|(_, deadline)| *deadline).min();
+        let others = [self.follow_at, calls, self.disseminator.next_wake(), self.changes.next_wake()];
+        others.into_iter().flatten().chain([self.probe_at]).min()
+    }
+}
--- a/crates/lab/src/configuration_simulation/operator.rs
+++ b/crates/lab/src/simulations/configuration/operator.rs
@@ -5,7 +5,7 @@
 use lichenpulley_core::configuration::register::Change;
 use lichenpulley_core::identity::Revision;
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::Outbox;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -54,15 +54,15 @@
     pub end: ChangeEnd,
 }
 
-#[derive(Debug)]
+#[derive(Clone, Debug)]
 enum State {
     Idle { until: Timestamp },
     AskingRevision { until: Timestamp },
     Changing { change: Change, called: Timestamp, until: Timestamp, tries: u32, only_unavailable: bool },
 }
 
-/// One operator.
-#[derive(Debug)]
+/// One operator. Never killed.
+#[derive(Clone, Debug)]
 pub struct Operator {
     number: u64,
     nodes: usize,
@@ -91,6 +91,11 @@
         }
     }
 
+    /// The operator after a restart: it remembers everything.
+    pub fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     /// Every change that has ended.
     pub fn records(&self) -> &[ChangeRecord] {
         &self.records
@@ -109,45 +114,6 @@
         self.active = false;
     }
 
-    /// Begins.
-    pub fn start(&mut self, now: Timestamp) {
-        self.rest(now);
-    }
-
-    /// An answer arrived.
-    pub fn receive(&mut self, now: Timestamp, packet: Packet, outbox: &mut Outbox<Packet>) {
-        match packet {
-            Packet::Revision { question, revision: Some(revision) } if question == self.question => {
-                if matches!(self.state, State::AskingRevision { .. }) {
-                    self.begin_change(revision, now, outbox);
-                }
-            }
-            Packet::Changed { question, answer } if question == self.question => {
-                self.take_answer(answer, now, outbox);
-            }
-            _ => {}
-        }
-    }
-
-    /// A time asked for has come.
-    pub fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
-        match &self.state {
-            State::Idle { until } | State::AskingRevision { until } if *until <= now && self.active => {
-                self.ask_revision(now, outbox);
-            }
-            State::Changing { until, .. } if *until <= now => self.repeat(false, now, outbox),
-            _ => {}
-        }
-    }
-
-    /// When to wake it.
-    pub fn next_wake(&self) -> Option<Timestamp> {
-        match &self.state {
-            State::Idle { until } | State::AskingRevision { until } => self.active.then_some(*until),
-            State::Changing { until, .. } => Some(*until),
-        }
-    }
-
     fn rest(&mut self, now: Timestamp) {
         let pause = self.random.random_range(Duration::ZERO..=self.mean_pause * 2);
         self.state = State::Idle { until: now + pause };
@@ -223,3 +189,42 @@
         self.rest(now);
     }
 }
+
+impl Process for Operator {
+    type Message = Packet;
+
+    fn start(&mut self, now: Timestamp, _outbox: &mut Outbox<Packet>) {
+        self.rest(now);
+    }
+
+    fn receive(&mut self, now: Timestamp, _from: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
+        match packet {
+            Packet::Revision { question, revision: Some(revision) } if question == self.question => {
+                if matches!(self.state, State::AskingRevision { .. }) {
+                    self.begin_change(revision, now, outbox);
+                }
+            }
+            Packet::Changed { question, answer } if question == self.question => {
+                self.take_answer(answer, now, outbox);
+            }
+            _ => {}
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
+        match &self.state {
+            State::Idle { until } | State::AskingRevision { until } if *until <= now && self.active => {
+                self.ask_revision(now, outbox);
+            }
+            State::Changing { until, .. } if *until <= now => self.repeat(false, now, outbox),
+            _ => {}
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        match &self.state {
+            State::Idle { until } | State::AskingRevision { until } => self.active.then_some(*until),
+            State::Changing { until, .. } => Some(*until),
+        }
+    }
+}
--- a/crates/lab/src/configuration_simulation/platform.rs
+++ b/crates/lab/src/simulations/configuration/platform.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::identity::Revision;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::platform::PutObject;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 /// The platform.
-#[derive(Debug)]
+#[derive(Clone, Debug)]
 pub struct Platform {
     store: ObjectStore,
     faults: PlatformFaults,
@@ -57,6 +57,11 @@
         }
     }
 
+    /// The platform after a restart: it keeps everything.
+    pub fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     /// Changes how it behaves. Watches break when it goes down.
     pub fn set_faults(&mut self, faults: PlatformFaults) {
         self.faults = faults;
@@ -88,7 +93,7 @@
     }
 
     /// Answers a call.
-    pub fn receive(
+    fn take_call(
         &mut self,
         now: Timestamp,
         from: ProcessId,
@@ -121,20 +126,6 @@
         }
     }
 
-    /// Sends the late answers that are due.
-    pub fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
-        while self.late.front().is_some_and(|(at, ..)| *at <= now) {
-            if let Some((_, to, packet)) = self.late.pop_front() {
-                outbox.send(to, packet);
-            }
-        }
-    }
-
-    /// When the next late answer is due.
-    pub fn next_wake(&self) -> Option<Timestamp> {
-        self.late.front().map(|(at, ..)| *at)
-    }
-
     fn write(&mut self, base_version: Option<Revision>, register: &Register) -> Written {
         let current = self.store.get(OBJECT_KEY).map(|object| object.version);
         let base_version = if self.checks_base_version { base_version } else { current };
@@ -180,6 +171,28 @@
     }
 }
 
+impl Process for Platform {
+    type Message = Packet;
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
+        if let Packet::PlatformCall { call, request } = packet {
+            self.take_call(now, from, call, request, outbox);
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
+        while self.late.front().is_some_and(|(at, ..)| *at <= now) {
+            if let Some((_, to, packet)) = self.late.pop_front() {
+                outbox.send(to, packet);
+            }
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        self.late.front().map(|(at, ..)| *at)
+    }
+}
+
 /// Whether a write took effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Written {
--- a/crates/lab/src/configuration_simulation/world.rs
+++ b/crates/lab/src/simulations/configuration/world.rs
@@ -17,6 +17,7 @@
 use super::operator::{ChangeEnd, ChangeRecord, Operator};
 use super::packet::{PLATFORM, node_process};
 use super::platform::{Platform, PlatformFaults};
+use super::report::RunReport;
 
 /// Time between two looks at the world.
 const STEP: Duration = Duration::from_millis(100);
@@ -91,34 +92,6 @@
     }
 }
 
-/// What a run showed.
-#[derive(Clone, Debug, Default)]
-pub struct Report {
-    /// What must never happen and did.
-    pub violations: Vec<Violation>,
-    /// Changes accepted, lost to a race, not written, and unknown to their operator.
-    pub ends: Ends,
-    /// Faults that fell on nodes, and on the platform.
-    pub faults: usize,
-    /// Replies lost after a write took effect.
-    pub lost_replies: u64,
-    /// The most nodes of one region that read the platform at once, takeovers included.
-    pub most_readers: usize,
-}
-
-/// How many changes ended in which way.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
-    /// Accepted.
-    pub accepted: usize,
-    /// Lost a race.
-    pub conflicts: usize,
-    /// Nothing written.
-    pub not_written: usize,
-    /// The operator does not know.
-    pub unknown: usize,
-}
-
 /// An accepted change on its way to every node.
 struct Spreading {
     revision: Revision,
@@ -130,6 +103,7 @@
 
 /// One run.
 pub struct World {
+    seed: u64,
     options: WorldOptions,
     simulation: Simulation<Machine>,
     views: Views,
@@ -144,7 +118,7 @@
     /// When a node or a cut last came or went.
     last_change: Timestamp,
     views_due: Timestamp,
-    report: Report,
+    report: RunReport,
 }
 
 impl World {
@@ -169,6 +143,7 @@
             ))
         };
         Self {
+            seed,
             views: Views::new((0..options.nodes).map(zone).collect()),
             reachability: Reachability { running: vec![true; options.nodes], cuts: Vec::new() },
             healthy_since: vec![Some(Timestamp::ORIGIN); options.nodes],
@@ -178,14 +153,14 @@
             seen_records: vec![0; usize::try_from(options.operators).unwrap_or_default()],
             last_change: Timestamp::ORIGIN,
             views_due: Timestamp::ORIGIN,
-            report: Report::default(),
+            report: RunReport::default(),
             simulation,
             options,
         }
     }
 
     /// Runs a seed to its end.
-    pub fn run(seed: u64, options: WorldOptions) -> Report {
+    pub fn run(seed: u64, options: WorldOptions) -> RunReport {
         let mut world = Self::new(seed, options);
         let node_faults = world.draw_node_faults(seed);
         let platform_faults = world.draw_platform_faults(seed);
@@ -266,10 +241,7 @@
             }
             Fault::Restart(_) | Fault::Kill(_) | Fault::Freeze(..) => {}
         }
-        self.simulation.apply(fault, |machine| match machine {
-            Machine::Node(node) => Machine::Node(Box::new(node.restarted())),
-            Machine::Platform(_) | Machine::Operator(_) => unreachable!("only nodes are restarted"),
-        });
+        self.simulation.apply(fault, Machine::restarted);
     }
 
     fn set_platform(&mut self, faults: PlatformFaults) {
@@ -369,7 +341,7 @@
     }
 
     fn violate(&mut self, violation: Violation) {
-        self.report.violations.push(violation);
+        self.report.violations.push((self.seed, violation));
     }
 
     /// Changes that operators were told are accepted begin to be watched.
@@ -380,15 +352,15 @@
             let news: Vec<ChangeRecord> = operator.records()[self.seen_records[number]..].to_vec();
             self.seen_records[number] += news.len();
             for record in news {
-                let ends = &mut self.report.ends;
+                let report = &mut self.report;
                 match record.end {
                     ChangeEnd::Accepted(revision) => {
-                        ends.accepted += 1;
+                        report.accepted += 1;
                         self.begin_spreading(revision, now);
                     }
-                    ChangeEnd::Conflict(_) => ends.conflicts += 1,
-                    ChangeEnd::NotWritten => ends.not_written += 1,
-                    ChangeEnd::Unknown => ends.unknown += 1,
+                    ChangeEnd::Conflict(_) => report.conflicts += 1,
+                    ChangeEnd::NotWritten => report.not_written += 1,
+                    ChangeEnd::Unknown => report.unknown += 1,
                 }
             }
         }
@@ -455,7 +427,7 @@
         }
     }
 
-    fn finish(mut self) -> Report {
+    fn finish(mut self) -> RunReport {
         let mut records: Vec<ChangeRecord> = Vec::new();
         for process in self.operator_processes() {
             let Some(operator) = self.simulation.process(process).operator() else { continue };
@@ -479,7 +451,7 @@
                 violations.push(Violation::NotConverged { node: number, in_force, expected });
             }
         }
-        self.report.violations.extend(violations);
+        violations.into_iter().for_each(|violation| self.violate(violation));
         self.report
     }
 }
--- a/crates/lab/src/simulate_replication/claimant.rs
+++ b/crates/lab/src/simulations/replication/claimant.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::replication::reconfigurer::ReconfigurerChecks;
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::Outbox;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -81,7 +81,7 @@
     }
 
     /// The claimant after a crash. What it was claiming is in doubt for ever.
-    pub(super) fn after_crash(&self) -> Self {
+    pub(super) fn restarted(&self) -> Self {
         let mut random = self.random.clone();
         let seed = random.random();
         let mut claimant = Self::new(self.name.clone(), seed, self.set.clone(), self.checks);
@@ -90,30 +90,7 @@
         claimant
     }
 
-    pub(super) fn next_wake(&self) -> Timestamp {
-        match &self.activity {
-            Activity::Waiting { until } => *until,
-            Activity::Claiming(claiming) => claiming.next_send.min(claiming.deadline),
-            Activity::Changing(change, ..) => change.next_wake(),
-        }
-    }
-
-    pub(super) fn receive(&mut self, now: Timestamp, message: Message, outbox: &mut Outbox<Message>) {
-        match message {
-            Message::Response(response) => self.answer(now, response, outbox),
-            Message::Document { document, .. }
-                if document.current.shard == self.set.shard
-                    && document.current.generation > self.set.generation =>
-            {
-                self.set = document.current;
-                self.restart_votes(now);
-            }
-            _ => {}
-        }
-        self.advance(now, outbox);
-    }
-
-    pub(super) fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+    fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
         match &mut self.activity {
             Activity::Waiting { until } if now >= *until => self.begin(now, outbox),
             Activity::Waiting { .. } => {}
@@ -233,3 +210,34 @@
         self.activity = Activity::Waiting { until: now + pause };
     }
 }
+
+impl Process for Claimant {
+    type Message = Message;
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        self.advance(now, outbox);
+    }
+
+    fn receive(&mut self, now: Timestamp, _from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Response(response) => self.answer(now, response, outbox),
+            Message::Document { document, .. }
+                if document.current.shard == self.set.shard
+                    && document.current.generation > self.set.generation =>
+            {
+                self.set = document.current;
+                self.restart_votes(now);
+            }
+            _ => {}
+        }
+        self.advance(now, outbox);
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        Some(match &self.activity {
+            Activity::Waiting { until } => *until,
+            Activity::Claiming(claiming) => claiming.next_send.min(claiming.deadline),
+            Activity::Changing(change, ..) => change.next_wake(),
+        })
+    }
+}
--- a/crates/lab/src/simulate_replication/mod.rs
+++ b/crates/lab/src/simulations/replication/mod.rs
@@ -23,8 +23,7 @@
 pub use claimant::ClaimRun;
 pub use owner::{Observation, ObservationKind};
 
-use crate::arguments::{help_option, parse, value_or};
-use crate::error::LabError;
+use crate::simulations::ScheduleReport;
 use message::Message;
 use world::World;
 
@@ -75,7 +74,7 @@
 
 /// What one run showed.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct RunReport {
     /// What must hold and did not.
     pub violations: Vec<String>,
     /// Whether the log could be taken over once all faults had ended.
@@ -101,12 +100,12 @@
 }
 
 /// Runs one schedule.
-pub fn simulate(seed: u64, mechanisms: Mechanisms) -> Report {
+pub fn simulate(seed: u64, mechanisms: Mechanisms) -> RunReport {
     simulate_changes(seed, mechanisms, Changes::ByOperators)
 }
 
 /// Runs one schedule with the changes of the log's stores by one or the other.
-pub fn simulate_changes(seed: u64, mechanisms: Mechanisms, changes: Changes) -> Report {
+pub fn simulate_changes(seed: u64, mechanisms: Mechanisms, changes: Changes) -> RunReport {
     let run = World::new(seed, mechanisms, changes).run(seed);
     let mut violations = run.violations;
     violations.extend(check::check_log(&run.observations));
@@ -117,7 +116,7 @@
         _ => 0,
     });
     let granted = run.claims.iter().filter(|claim| claim.granted).count();
-    Report {
+    RunReport {
         violations,
         came_back: run.came_back,
         acknowledged: acknowledged.sum(),
@@ -132,67 +131,34 @@
     }
 }
 
-/// Runs many schedules and prints what they amount to.
-///
-/// # Errors
-/// When the arguments can't be read or a violation is found.
-pub async fn run(arguments: &[String]) -> Result<(), LabError> {
-    let mut options = help_option();
-    options.optopt("", "seeds", "schedules to try (default 200)", "N");
-    options.optopt("", "first-seed", "the first seed (default 0)", "SEED");
-    options.optflag("", "by-owner", "have the log's owner change its stores");
-    let Some(matches) = parse("simulate-replication", &options, arguments)? else { return Ok(()) };
-    let seeds: u64 = value_or(&matches, "seeds", "200")?;
-    let first: u64 = value_or(&matches, "first-seed", "0")?;
-    let mut totals = Totals::default();
-    let changes = if matches.opt_present("by-owner") { Changes::ByOwner } else { Changes::ByOperators };
-    for seed in first..first + seeds {
-        totals.add(seed, &simulate_changes(seed, Mechanisms::default(), changes));
-    }
-    totals.print(seeds);
-    if totals.violations == 0 {
-        Ok(())
-    } else {
-        Err(LabError::CheckFailed(format!("{} violations", totals.violations)))
-    }
+/// Runs the schedule of a seed with every mechanism on, where operators change the log's stores.
+pub(crate) fn run_schedule(seed: u64) -> ScheduleReport {
+    simulate(seed, Mechanisms::default()).summarized()
 }
 
-#[derive(Default)]
-struct Totals {
-    violations: usize,
-    acknowledged: usize,
-    take_overs: usize,
-    granted: usize,
-    refused: usize,
-    replacements: u64,
-    continued: usize,
-    messages: u64,
+/// The same where the log's owner changes them.
+pub(crate) fn run_schedule_by_owner(seed: u64) -> ScheduleReport {
+    simulate_changes(seed, Mechanisms::default(), Changes::ByOwner).summarized()
 }
 
-impl Totals {
-    fn add(&mut self, seed: u64, report: &Report) {
-        for violation in &report.violations {
-            println!("seed {seed}: {violation}");
+impl RunReport {
+    fn summarized(self) -> ScheduleReport {
+        let mut violations = self.violations;
+        if !self.came_back {
+            violations.push("no owner could take the log over after all faults had ended".to_owned());
         }
-        if !report.came_back {
-            println!("seed {seed}: no owner could take the log over after all faults had ended");
+        ScheduleReport {
+            violations,
+            counts: vec![
+                ("records acknowledged", self.acknowledged as u64),
+                ("takeovers", self.take_overs as u64),
+                ("claims granted", self.granted as u64),
+                ("claims not granted", self.refused as u64),
+                ("owners that went on in another set", self.continued as u64),
+                ("replica sets replaced", self.replacements),
+                ("messages delivered", self.messages),
+            ],
         }
-        self.violations += report.violations.len() + usize::from(!report.came_back);
-        self.acknowledged += report.acknowledged;
-        self.take_overs += report.take_overs;
-        self.granted += report.granted;
-        self.refused += report.refused;
-        self.replacements += report.replacements;
-        self.continued += report.continued;
-        self.messages += report.messages;
-    }
-
-    fn print(&self, seeds: u64) {
-        println!("schedules tried: {seeds}, violations: {}", self.violations);
-        println!("records acknowledged: {}, take-overs: {}", self.acknowledged, self.take_overs);
-        println!("claims granted: {}, not granted: {}", self.granted, self.refused);
-        println!("owners that went on in another set: {}", self.continued);
-        println!("replica sets replaced: {}, messages delivered: {}", self.replacements, self.messages);
     }
 }
 
--- a/crates/lab/src/simulate_replication/operator.rs
+++ b/crates/lab/src/simulations/replication/operator.rs
@@ -7,7 +7,7 @@
 use lichenpulley_core::replication::reconfigurer::ReconfigurerChecks;
 use lichenpulley_core::replication::replica_set::{ReplicaSet, ReplicaSetDocument, SetMember};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::Outbox;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -46,7 +46,7 @@
     }
 
     /// The operator after a crash: a change that it had begun is found in the platform.
-    pub(super) fn after_crash(&self) -> Self {
+    pub(super) fn restarted(&self) -> Self {
         let mut random = self.random.clone();
         let seed = random.random();
         let (name, shards, stores) = (self.name.clone(), self.shards.clone(), self.stores.clone());
@@ -61,26 +61,7 @@
         self.stores = stores;
     }
 
-    pub(super) fn next_wake(&self) -> Timestamp {
-        self.change.as_ref().map_or(self.next_look, |(change, ..)| change.next_wake())
-    }
-
-    pub(super) fn receive(&mut self, now: Timestamp, message: Message, outbox: &mut Outbox<Message>) {
-        match message {
-            Message::Response(response) => {
-                if let Some((change, ..)) = &mut self.change {
-                    change.step(response);
-                }
-            }
-            Message::Document { version, document } if self.change.is_none() => {
-                self.look(now, version, document, outbox);
-            }
-            _ => {}
-        }
-        self.advance(now, outbox);
-    }
-
-    pub(super) fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+    fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
         if let Some((change, version, document)) = &mut self.change {
             let Some(end) = change.advance(now, true, outbox) else { return };
             if let (ChangeEnd::InForce(_), Some(_)) = (end, &document.pending) {
@@ -136,3 +117,30 @@
         set.with_replaced(&lost.store, joining)
     }
 }
+
+impl Process for Operator {
+    type Message = Message;
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        self.advance(now, outbox);
+    }
+
+    fn receive(&mut self, now: Timestamp, _from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Response(response) => {
+                if let Some((change, ..)) = &mut self.change {
+                    change.step(response);
+                }
+            }
+            Message::Document { version, document } if self.change.is_none() => {
+                self.look(now, version, document, outbox);
+            }
+            _ => {}
+        }
+        self.advance(now, outbox);
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        Some(self.change.as_ref().map_or(self.next_look, |(change, ..)| change.next_wake()))
+    }
+}
--- a/crates/lab/src/simulate_replication/owner.rs
+++ b/crates/lab/src/simulations/replication/owner.rs
@@ -14,7 +14,7 @@
 use lichenpulley_core::replication::reconfigurer::{ChangeOwner, ReconfigurerChecks};
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::Outbox;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -142,7 +142,7 @@
     }
 
     /// The owner after a crash: it knows nothing but where it once found the shard.
-    pub(super) fn after_crash(&self) -> Self {
+    pub(super) fn restarted(&self) -> Self {
         let mut random = self.random.clone();
         let seed = random.random();
         let mut owner = Self::new(self.name.clone(), seed, self.set.clone(), self.checks);
@@ -181,36 +181,7 @@
         self.activity = Activity::Waiting { until: now };
     }
 
-    pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        match &self.activity {
-            Activity::Waiting { until } => self.active.then_some(*until),
-            Activity::Proposing { proposer, deadline } => {
-                let due = proposer.poll_timeout().map_or(*deadline, |at| at.min(*deadline));
-                Some(if self.active { due.min(self.next_append.max(Timestamp::ORIGIN)) } else { due })
-            }
-            Activity::Changing { change, .. } => Some(change.next_wake()),
-        }
-    }
-
-    pub(super) fn receive(&mut self, now: Timestamp, message: Message, outbox: &mut Outbox<Message>) {
-        match message {
-            Message::Response(response) => match &mut self.activity {
-                Activity::Proposing { proposer, .. } => proposer.step(now, response),
-                Activity::Changing { change, .. } => change.step(response),
-                Activity::Waiting { .. } => {}
-            },
-            Message::Document { document, .. }
-                if document.current.shard == self.shard
-                    && document.current.generation > self.set.generation =>
-            {
-                self.set = document.current;
-            }
-            _ => {}
-        }
-        self.advance(now, outbox);
-    }
-
-    pub(super) fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+    fn advance(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
         self.begin_if_due(now, outbox);
         self.append_if_due(now);
         self.take_events(now);
@@ -423,6 +394,47 @@
     }
 }
 
+impl Process for Owner {
+    type Message = Message;
+
+    fn start(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        self.advance(now, outbox);
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        self.advance(now, outbox);
+    }
+
+    fn receive(&mut self, now: Timestamp, _from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Response(response) => match &mut self.activity {
+                Activity::Proposing { proposer, .. } => proposer.step(now, response),
+                Activity::Changing { change, .. } => change.step(response),
+                Activity::Waiting { .. } => {}
+            },
+            Message::Document { document, .. }
+                if document.current.shard == self.shard
+                    && document.current.generation > self.set.generation =>
+            {
+                self.set = document.current;
+            }
+            _ => {}
+        }
+        self.advance(now, outbox);
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        match &self.activity {
+            Activity::Waiting { until } => self.active.then_some(*until),
+            Activity::Proposing { proposer, deadline } => {
+                let due = proposer.poll_timeout().map_or(*deadline, |at| at.min(*deadline));
+                Some(if self.active { due.min(self.next_append.max(Timestamp::ORIGIN)) } else { due })
+            }
+            Activity::Changing { change, .. } => Some(change.next_wake()),
+        }
+    }
+}
+
 /// Tells the records of owners apart.
 fn name_bits(name: &str) -> u64 {
     name.bytes().last().map_or(0, |byte| u64::from(byte) << 56)
--- a/crates/lab/src/simulate_replication/platform.rs
+++ b/crates/lab/src/simulations/replication/platform.rs
@@ -4,11 +4,13 @@
 
 use lichenpulley_core::identity::{Revision, ShardId};
 use lichenpulley_core::replication::replica_set::{ReplicaSet, ReplicaSetDocument};
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_core::time::Timestamp;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::Message;
 
 /// The object API's state. Never killed; it is down for a while instead.
+#[derive(Clone)]
 pub(super) struct Platform {
     documents: BTreeMap<ShardId, (Revision, ReplicaSetDocument)>,
     down: bool,
@@ -23,6 +25,11 @@
         Self { documents: documents.collect(), down: false, lose_replies: false }
     }
 
+    /// The platform after a restart: it keeps everything.
+    pub(super) fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     /// Stops or resumes answering; `lose_replies` lets writes take effect without an answer.
     pub(super) fn set_faults(&mut self, down: bool, lose_replies: bool) {
         self.down = down;
@@ -34,7 +41,20 @@
         self.documents.get(shard).map(|(_, document)| document)
     }
 
-    pub(super) fn receive(&mut self, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+    fn write(&mut self, shard: &ShardId, base: Revision, document: ReplicaSetDocument) {
+        if let Some((version, current)) =
+            self.documents.get_mut(shard).filter(|(version, _)| *version == base)
+        {
+            *version = version.next();
+            *current = document;
+        }
+    }
+}
+
+impl Process for Platform {
+    type Message = Message;
+
+    fn receive(&mut self, _now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         if self.down {
             return;
         }
@@ -52,13 +72,4 @@
             outbox.send(from, Message::Document { version: *version, document: document.clone() });
         }
     }
-
-    fn write(&mut self, shard: &ShardId, base: Revision, document: ReplicaSetDocument) {
-        if let Some((version, current)) =
-            self.documents.get_mut(shard).filter(|(version, _)| *version == base)
-        {
-            *version = version.next();
-            *current = document;
-        }
-    }
 }
--- a/crates/lab/src/simulate_replication/store.rs
+++ b/crates/lab/src/simulations/replication/store.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::replication::message::{Operation, ReplicaAnswer, ReplicaRequest, ReplicaResponse};
 use lichenpulley_core::replication::replica_set::{Generation, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::Message;
 use super::process_of;
@@ -45,21 +45,20 @@
 
 impl Store {
     /// A store with an empty disk.
-    pub(super) fn new(id: StoreId, config: StoreConfig, now: Timestamp) -> Self {
-        Self::open(id, MemoryStorage::default(), config, now)
+    pub(super) fn new(id: StoreId, config: StoreConfig) -> Self {
+        Self::open(id, MemoryStorage::default(), config)
     }
 
-    fn open(id: StoreId, disk: MemoryStorage, config: StoreConfig, now: Timestamp) -> Self {
+    fn open(id: StoreId, disk: MemoryStorage, config: StoreConfig) -> Self {
         let acceptor = Acceptor::new(id, config.window.clone()).with_checks(config.checks);
-        let next_repair = now + REPAIR_INTERVAL;
-        let violations = Vec::new();
+        let (next_repair, violations) = (Timestamp::ORIGIN, Vec::new());
         Self { config, acceptor, disk, clock_offset_ms: 0, next_repair, rounds: 0, violations }
     }
 
     /// The store after a crash.
-    pub(super) fn after_crash(&self, now: Timestamp) -> Self {
+    pub(super) fn restarted(&self) -> Self {
         let disk = self.disk.after_crash();
-        let mut store = Self::open(self.acceptor.store().clone(), disk, self.config.clone(), now);
+        let mut store = Self::open(self.acceptor.store().clone(), disk, self.config.clone());
         store.clock_offset_ms = self.clock_offset_ms;
         store.violations.clone_from(&self.violations);
         store
@@ -79,40 +78,6 @@
         self.disk.groups().find(|group| &group.set.shard == shard)
     }
 
-    pub(super) fn next_wake(&self) -> Timestamp {
-        self.next_repair
-    }
-
-    pub(super) fn receive(
-        &mut self,
-        now: Timestamp,
-        from: ProcessId,
-        message: Message,
-        outbox: &mut Outbox<Message>,
-    ) {
-        match message {
-            Message::Request(request) => self.answer(now, from, request, outbox),
-            Message::Response(response) => self.take_repair(response),
-            _ => {}
-        }
-    }
-
-    pub(super) fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        self.next_repair = now + REPAIR_INTERVAL;
-        self.rounds += 1;
-        let groups: Vec<GroupRecord> = self.disk.groups().cloned().collect();
-        let unix_ms = self.unix_ms(now);
-        for group in groups {
-            let Ok(()) = self.acceptor.forget_expired_claims(&mut self.disk, unix_ms, &group.set.shard);
-            if group.phase == GroupPhase::Active {
-                self.ask_for_repair(&group, outbox);
-            }
-        }
-        if self.config.sync_before_reply || self.rounds.is_multiple_of(LAZY_SYNC_ROUNDS) {
-            self.disk.sync();
-        }
-    }
-
     fn answer(
         &mut self,
         now: Timestamp,
@@ -169,3 +134,39 @@
         milliseconds.saturating_add_signed(self.clock_offset_ms)
     }
 }
+
+impl Process for Store {
+    type Message = Message;
+
+    fn start(&mut self, now: Timestamp, _outbox: &mut Outbox<Message>) {
+        self.next_repair = now + REPAIR_INTERVAL;
+    }
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Request(request) => self.answer(now, from, request, outbox),
+            Message::Response(response) => self.take_repair(response),
+            _ => {}
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        self.next_repair = now + REPAIR_INTERVAL;
+        self.rounds += 1;
+        let groups: Vec<GroupRecord> = self.disk.groups().cloned().collect();
+        let unix_ms = self.unix_ms(now);
+        for group in groups {
+            let Ok(()) = self.acceptor.forget_expired_claims(&mut self.disk, unix_ms, &group.set.shard);
+            if group.phase == GroupPhase::Active {
+                self.ask_for_repair(&group, outbox);
+            }
+        }
+        if self.config.sync_before_reply || self.rounds.is_multiple_of(LAZY_SYNC_ROUNDS) {
+            self.disk.sync();
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        Some(self.next_repair)
+    }
+}
--- a/crates/lab/src/simulate_replication/world.rs
+++ b/crates/lab/src/simulations/replication/world.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{
-    Fault, FaultPlan, FaultRates, LinkQuality, Outbox, Process, ProcessId, Simulation,
+    Fault, FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation, process_kinds,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -42,57 +42,19 @@
 /// Most that a store's clock is off, in milliseconds.
 const CLOCK_OFFSET_MS: i64 = 3_000;
 
-/// A process of the run.
-pub(super) enum Member {
-    Platform(Platform),
-    Store(Box<Store>),
-    Operator(Box<Operator>),
-    Owner(Box<Owner>),
-    Claimant(Box<Claimant>),
-}
-
-impl Process for Member {
-    type Message = Message;
-
-    fn start(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        if let Self::Owner(owner) = self {
-            owner.advance(now, outbox);
-        }
-    }
-
-    fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
-        match self {
-            Self::Platform(platform) => platform.receive(from, message, outbox),
-            Self::Store(store) => store.receive(now, from, message, outbox),
-            Self::Operator(operator) => operator.receive(now, message, outbox),
-            Self::Owner(owner) => owner.receive(now, message, outbox),
-            Self::Claimant(claimant) => claimant.receive(now, message, outbox),
-        }
-    }
-
-    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        match self {
-            Self::Platform(_) => {}
-            Self::Store(store) => store.wake(now, outbox),
-            Self::Operator(operator) => operator.advance(now, outbox),
-            Self::Owner(owner) => owner.advance(now, outbox),
-            Self::Claimant(claimant) => claimant.advance(now, outbox),
-        }
-    }
-
-    fn next_wake(&self) -> Option<Timestamp> {
-        match self {
-            Self::Platform(_) => None,
-            Self::Store(store) => Some(store.next_wake()),
-            Self::Operator(operator) => Some(operator.next_wake()),
-            Self::Owner(owner) => owner.next_wake(),
-            Self::Claimant(claimant) => Some(claimant.next_wake()),
-        }
+process_kinds! {
+    /// A process of the run.
+    pub(super) enum Member(Message) {
+        Platform(Platform),
+        Store(Box<Store>),
+        Operator(Box<Operator>),
+        Owner(Box<Owner>),
+        Claimant(Box<Claimant>),
     }
 }
 
 /// What a run left behind.
-pub(super) struct Run {
+pub(super) struct RunTrace {
     pub(super) observations: Vec<(usize, Observation)>,
     pub(super) claims: Vec<ClaimRun>,
     pub(super) violations: Vec<String>,
@@ -127,7 +89,7 @@
         simulation.add(Member::Platform(Platform::new(&sets)));
         let config = mechanisms.store_config();
         for store in &stores {
-            let store = Store::new(store.store.clone(), config.clone(), Timestamp::ORIGIN);
+            let store = Store::new(store.store.clone(), config.clone());
             simulation.add(Member::Store(Box::new(store)));
         }
         for number in 0..OPERATORS {
@@ -158,7 +120,7 @@
     }
 
     /// Runs the schedule to its end.
-    pub(super) fn run(mut self, seed: u64) -> Run {
+    pub(super) fn run(mut self, seed: u64) -> RunTrace {
         self.run_faults(seed);
         self.run_calm();
         self.finish()
@@ -214,7 +176,7 @@
         self.simulation.run_for(CALM_TIME / 2);
     }
 
-    fn finish(self) -> Run {
+    fn finish(self) -> RunTrace {
         let mut violations = Vec::new();
         let mut observations = Vec::new();
         let mut claims = Vec::new();
@@ -233,7 +195,7 @@
         claims.sort_by_key(|run| run.ended);
         let came_back = self.came_back();
         let messages = self.simulation.delivered();
-        Run { observations, claims, violations, came_back, generations: self.generations(), messages }
+        RunTrace { observations, claims, violations, came_back, generations: self.generations(), messages }
     }
 
     /// Whether the last take-over succeeded after the calm began.
@@ -253,14 +215,7 @@
     }
 
     fn apply(&mut self, fault: &Fault) {
-        let now = self.simulation.now();
-        self.simulation.apply(fault, |dead| match dead {
-            Member::Store(store) => Member::Store(Box::new(store.after_crash(now))),
-            Member::Operator(operator) => Member::Operator(Box::new(operator.after_crash())),
-            Member::Owner(owner) => Member::Owner(Box::new(owner.after_crash())),
-            Member::Claimant(claimant) => Member::Claimant(Box::new(claimant.after_crash())),
-            Member::Platform(_) => Member::Platform(Platform::new(&[])),
-        });
+        self.simulation.apply(fault, Member::restarted);
     }
 
     /// Platform outages, lost replies, clocks that jump, and disks that are lost.
@@ -313,9 +268,8 @@
         self.disks += 1;
         let store = member(number, self.disks).store;
         let config = self.mechanisms.store_config();
-        let now = self.simulation.now();
         self.simulation.kill(id);
-        self.simulation.restart(id, |_| Member::Store(Box::new(Store::new(store, config, now))));
+        self.simulation.restart(id, |_| Member::Store(Box::new(Store::new(store, config))));
     }
 
     /// Tells operators which stores there are; those that are down or frozen learn it later.
--- a/crates/lab/src/requests/checks.rs
+++ b/crates/lab/src/simulations/requests/checks.rs
@@ -93,6 +93,20 @@
         self.faults += other.faults;
     }
 
+    /// The figures by name.
+    pub(super) fn counts(&self) -> Vec<(&'static str, u64)> {
+        vec![
+            ("requests", self.submitted),
+            ("answered whole", self.completed),
+            ("of these in several attempts", self.completed_in_many_attempts),
+            ("not run", self.not_run),
+            ("unknown", self.unknown),
+            ("lost with their gateway", self.gateway_died),
+            ("streams admitted", self.admissions),
+            ("faults", self.faults),
+        ]
+    }
+
     pub(super) fn count_outcome(&mut self, outcome: &RequestOutcome) {
         match outcome {
             RequestOutcome::Completed { attempts, .. } => {
@@ -105,24 +119,6 @@
     }
 }
 
-impl fmt::Display for Tally {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            formatter,
-            "{} requests: {} whole ({} in several attempts), {} not run, {} unknown, {} lost with their gateway; \
-             {} streams admitted; {} faults",
-            self.submitted,
-            self.completed,
-            self.completed_in_many_attempts,
-            self.not_run,
-            self.unknown,
-            self.gateway_died,
-            self.admissions,
-            self.faults
-        )
-    }
-}
-
 /// Checks what one caller was told.
 pub(super) fn check_told(
     told: &Told,
--- a/crates/lab/src/requests/claims.rs
+++ b/crates/lab/src/simulations/requests/claims.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use lichenpulley_core::identity::{AttemptId, RequestId};
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_core::time::Timestamp;
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::Message;
 
@@ -14,7 +15,16 @@
 }
 
 impl ClaimProcess {
-    pub(super) fn receive(&mut self, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+    /// The replica after a crash: its votes are on its disk.
+    pub fn restarted(&self) -> Self {
+        self.clone()
+    }
+}
+
+impl Process for ClaimProcess {
+    type Message = Message;
+
+    fn receive(&mut self, _now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         if let Message::Claim(request, attempt) = message {
             let voted = self.votes.entry(request.clone()).or_insert(attempt).clone();
             outbox.send(from, Message::Vote(request, voted));
--- a/crates/lab/src/requests/engine.rs
+++ b/crates/lab/src/simulations/requests/engine.rs
@@ -7,7 +7,7 @@
 use lichenpulley_core::request::execution::{EngineEvent, RefusalCause};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::{Command, EngineRole, Order, RefusalReason, StreamRequest};
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::Message;
 use crate::engine::End;
@@ -103,47 +103,6 @@
         }
     }
 
-    pub(super) fn receive(
-        &mut self,
-        now: Timestamp,
-        from: ProcessId,
-        message: Message,
-        outbox: &mut Outbox<Message>,
-    ) {
-        match message {
-            Message::Connect(attempt) => {
-                self.next_connection += 1;
-                self.connections.insert(self.next_connection);
-                outbox.send(from, Message::Connected(attempt, self.next_connection));
-            }
-            Message::Dispatch(connection, request) if self.connections.remove(&connection) => {
-                self.submit(now, from, &request, outbox);
-            }
-            Message::Dispatch(connection, request) if connection < self.first_connection => {
-                outbox.send(from, Message::Broken(request.attempt));
-            }
-            Message::Resume(attempt, first) => self.resume(now, from, attempt, first, outbox),
-            Message::Cancel(attempt) => {
-                self.model.cancel(now, &attempt);
-                self.readers.remove(&attempt);
-            }
-            Message::AskLoad(number) => {
-                outbox.send(from, Message::Load(number, self.model.lagging_load(now)));
-            }
-            _ => {}
-        }
-    }
-
-    pub(super) fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        for attempt in self.model.advance(now) {
-            self.send_new(now, &attempt, outbox);
-        }
-    }
-
-    pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        self.model.next_wake()
-    }
-
     fn submit(
         &mut self,
         now: Timestamp,
@@ -226,3 +185,42 @@
         outbox.send(*reader, Message::Event(attempt.clone(), event));
     }
 }
+
+impl Process for EngineProcess {
+    type Message = Message;
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Connect(attempt) => {
+                self.next_connection += 1;
+                self.connections.insert(self.next_connection);
+                outbox.send(from, Message::Connected(attempt, self.next_connection));
+            }
+            Message::Dispatch(connection, request) if self.connections.remove(&connection) => {
+                self.submit(now, from, &request, outbox);
+            }
+            Message::Dispatch(connection, request) if connection < self.first_connection => {
+                outbox.send(from, Message::Broken(request.attempt));
+            }
+            Message::Resume(attempt, first) => self.resume(now, from, attempt, first, outbox),
+            Message::Cancel(attempt) => {
+                self.model.cancel(now, &attempt);
+                self.readers.remove(&attempt);
+            }
+            Message::AskLoad(number) => {
+                outbox.send(from, Message::Load(number, self.model.lagging_load(now)));
+            }
+            _ => {}
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        for attempt in self.model.advance(now) {
+            self.send_new(now, &attempt, outbox);
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        self.model.next_wake()
+    }
+}
--- a/crates/lab/src/requests/gateway.rs
+++ b/crates/lab/src/simulations/requests/gateway.rs
@@ -14,7 +14,7 @@
 use lichenpulley_core::routing::pool::ListedReplica;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::StreamRequest;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -148,63 +148,6 @@
         self.runs.len()
     }
 
-    pub(super) fn receive(
-        &mut self,
-        now: Timestamp,
-        from: ProcessId,
-        message: Message,
-        outbox: &mut Outbox<Message>,
-    ) {
-        match message {
-            Message::Connected(attempt, connection) => self.connected(&attempt, connection, now, outbox),
-            Message::Refused(attempt, cause) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    let refusal = EngineRefusal { attempt: attempt.clone() };
-                    run.execution.refused(&refusal, cause, now, pool, random);
-                });
-            }
-            Message::Broken(attempt) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.broken(now, pool, random);
-                });
-            }
-            Message::UnknownStream(attempt) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.resume_unknown(now, pool, random);
-                });
-            }
-            Message::Event(attempt, event) => self.event(&attempt, event, now, outbox),
-            Message::Load(number, report) => {
-                if let Some((replica, asked_at)) = self.probes.remove(&number) {
-                    let stands_for = if self.mechanisms.expiring_confirmations { asked_at } else { now };
-                    self.pool.observe(&replica, stands_for, report, now);
-                    self.wake_choosers(now, outbox);
-                }
-            }
-            Message::Vote(request, voted) => self.vote(from, &request, &voted, now, outbox),
-            _ => {}
-        }
-    }
-
-    pub(super) fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        if now >= self.next_round {
-            self.next_round = now + PROBE_ROUND;
-            for replica in self.pool.due_probes(now, PROBES_IN_ROUND) {
-                self.probe(replica, now, outbox);
-            }
-        }
-        let due: Vec<usize> =
-            self.runs.iter().filter(|(_, run)| run.wake_at <= now).map(|(number, _)| *number).collect();
-        for number in due {
-            self.timed_out(number, now);
-            self.drive(number, now, outbox);
-        }
-    }
-
-    pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        self.runs.values().map(|run| run.wake_at).chain([self.next_round]).min()
-    }
-
     fn timed_out(&mut self, number: usize, now: Timestamp) {
         let Some(run) = self.runs.get_mut(&number) else { return };
         match run.waiting {
@@ -399,6 +342,61 @@
     }
 }
 
+impl Process for GatewayProcess {
+    type Message = Message;
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Connected(attempt, connection) => self.connected(&attempt, connection, now, outbox),
+            Message::Refused(attempt, cause) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    let refusal = EngineRefusal { attempt: attempt.clone() };
+                    run.execution.refused(&refusal, cause, now, pool, random);
+                });
+            }
+            Message::Broken(attempt) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    run.execution.broken(now, pool, random);
+                });
+            }
+            Message::UnknownStream(attempt) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    run.execution.resume_unknown(now, pool, random);
+                });
+            }
+            Message::Event(attempt, event) => self.event(&attempt, event, now, outbox),
+            Message::Load(number, report) => {
+                if let Some((replica, asked_at)) = self.probes.remove(&number) {
+                    let stands_for = if self.mechanisms.expiring_confirmations { asked_at } else { now };
+                    self.pool.observe(&replica, stands_for, report, now);
+                    self.wake_choosers(now, outbox);
+                }
+            }
+            Message::Vote(request, voted) => self.vote(from, &request, &voted, now, outbox),
+            _ => {}
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        if now >= self.next_round {
+            self.next_round = now + PROBE_ROUND;
+            for replica in self.pool.due_probes(now, PROBES_IN_ROUND) {
+                self.probe(replica, now, outbox);
+            }
+        }
+        let due: Vec<usize> =
+            self.runs.iter().filter(|(_, run)| run.wake_at <= now).map(|(number, _)| *number).collect();
+        for number in due {
+            self.timed_out(number, now);
+            self.drive(number, now, outbox);
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        self.runs.values().map(|run| run.wake_at).chain([self.next_round]).min()
+    }
+}
+
 /// What a gateway without numbering makes of a chunk: the tokens that come next.
 fn renumbered(event: EngineEvent, next: usize) -> EngineEvent {
     let next = u32::try_from(next).unwrap_or(u32::MAX);
--- a/crates/lab/src/requests/schedule.rs
+++ b/crates/lab/src/simulations/requests/schedule.rs
@@ -57,7 +57,7 @@
 
 /// What a schedule showed.
 #[derive(Debug)]
-pub struct Report {
+pub struct RunReport {
     /// Broken promises.
     pub violations: Vec<Violation>,
     /// What was done.
@@ -92,7 +92,7 @@
     }
 
     /// Runs it and checks it.
-    pub fn run(&self, mechanisms: Mechanisms) -> Report {
+    pub fn run(&self, mechanisms: Mechanisms) -> RunReport {
         let mut world = World::new(self, mechanisms);
         for (at, act) in &self.acts {
             world.simulation.run_until(*at);
@@ -301,9 +301,9 @@
             && !self.simulation.is_alive(*id)
         {
             let id = *id;
-            return self.simulation.restart(id, rebuild);
+            return self.simulation.restart(id, Role::restarted);
         }
-        self.simulation.apply(fault, rebuild);
+        self.simulation.apply(fault, Role::restarted);
     }
 
     fn change_role(&mut self, engine: usize, role: EngineRole) {
@@ -353,7 +353,7 @@
         }
     }
 
-    fn check(mut self, submissions: &[Submission]) -> Report {
+    fn check(mut self, submissions: &[Submission]) -> RunReport {
         let mut violations = Vec::new();
         let admissions: Vec<Admission> = self
             .engines
@@ -379,15 +379,6 @@
         }
         self.tally.gateway_died = self.tally.submitted - told_count;
         checks::check_at_most_once(submissions, &admissions, &mut violations);
-        Report { violations, tally: self.tally }
-    }
-}
-
-/// What is left of a process after a crash.
-fn rebuild(dead: &Role) -> Role {
-    match dead {
-        Role::Gateway(gateway) => Role::Gateway(Box::new(gateway.restarted())),
-        Role::Engine(engine) => Role::Engine(Box::new(engine.restarted())),
-        Role::Claims(claims) => Role::Claims(claims.clone()),
+        RunReport { violations, tally: self.tally }
     }
 }
--- a/crates/lab/src/rollout_simulation/message.rs
+++ b/crates/lab/src/simulations/rollout/message.rs
@@ -16,7 +16,7 @@
 /// The first engine; owners come before it.
 pub(super) const FIRST_ENGINE: usize = FIRST_OWNER + OWNERS;
 /// The trainer comes last.
-pub const TRAINER: ProcessId = ProcessId(FIRST_ENGINE + ENGINES);
+pub(super) const TRAINER: ProcessId = ProcessId(FIRST_ENGINE + ENGINES);
 
 /// A token's value holds the version that made it: version times this, plus the token's number.
 const TOKENS_PER_VERSION: u32 = 10_000;
--- a/crates/lab/src/rollout_simulation/mod.rs
+++ b/crates/lab/src/simulations/rollout/mod.rs
@@ -6,19 +6,15 @@
 //!
 //! [`JobController`]: lichenpulley_core::rollout::JobController
 
-mod command;
 mod engine;
 mod message;
 mod owner;
-mod process;
-mod storage;
 mod store;
 mod stream;
 mod trainer;
 mod violation;
 mod world;
 
-pub use command::run;
-pub use message::TRAINER;
 pub use violation::Violation;
-pub use world::{Mechanisms, RunReport, Schedule, run_seed};
+pub(crate) use world::run_schedule;
+pub use world::{Mechanisms, RunReport, run_seed};
--- a/crates/lab/src/rollout_simulation/owner.rs
+++ b/crates/lab/src/simulations/rollout/owner.rs
@@ -282,8 +282,6 @@
 impl Process for Owner {
     type Message = Message;
 
-    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
     fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         match message {
             Message::StoreAnswer { term: number, response } => {
--- a/crates/lab/src/rollout_simulation/store.rs
+++ b/crates/lab/src/simulations/rollout/store.rs
@@ -3,19 +3,19 @@
 use lichenpulley_core::identity::{NodeId, ShardId, ZoneName};
 use lichenpulley_core::replication::acceptor::{Acceptor, AcceptorChecks};
 use lichenpulley_core::replication::claims::ClaimWindow;
+use lichenpulley_core::replication::memory_storage::MemoryStorage;
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::{Message, STORES};
-use super::storage::MemoryDisk;
 
 /// A store replica.
 pub(super) struct Store {
     number: usize,
     refuse_lower_ballots: bool,
     acceptor: Acceptor,
-    disk: MemoryDisk,
+    disk: MemoryStorage,
 }
 
 /// The name of a store.
@@ -46,7 +46,7 @@
 
 impl Store {
     pub(super) fn new(number: usize, refuse_lower_ballots: bool) -> Self {
-        Self::on_disk(number, refuse_lower_ballots, MemoryDisk::default())
+        Self::on_disk(number, refuse_lower_ballots, MemoryStorage::default())
     }
 
     /// The store after a restart: nothing but its disk is left.
@@ -54,7 +54,7 @@
         Self::on_disk(self.number, self.refuse_lower_ballots, self.disk.clone())
     }
 
-    fn on_disk(number: usize, refuse_lower_ballots: bool, disk: MemoryDisk) -> Self {
+    fn on_disk(number: usize, refuse_lower_ballots: bool, disk: MemoryStorage) -> Self {
         let checks = AcceptorChecks { refuse_lower_ballots, ..AcceptorChecks::default() };
         let acceptor = Acceptor::new(store_id(number), ClaimWindow::default()).with_checks(checks);
         Self { number, refuse_lower_ballots, acceptor, disk }
@@ -64,17 +64,9 @@
 impl Process for Store {
     type Message = Message;
 
-    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
     fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         let Message::Store { term, request } = message else { return };
         let Ok(response) = self.acceptor.answer(&mut self.disk, now.as_micros() / 1_000, request);
         outbox.send(from, Message::StoreAnswer { term, response });
     }
-
-    fn wake(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
-    fn next_wake(&self) -> Option<Timestamp> {
-        None
-    }
 }
--- a/crates/lab/src/rollout_simulation/trainer.rs
+++ b/crates/lab/src/simulations/rollout/trainer.rs
@@ -54,8 +54,6 @@
     staleness_bound: u64,
     /// While set, the version also goes up without a batch, and pulls go to any owner.
     restless: bool,
-    /// A version is published each time so many more samples were saved, counted in whole batches.
-    publish_every: usize,
     saved: Saved,
     observed: Observed,
     activity: Activity,
@@ -69,7 +67,6 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             staleness_bound,
             restless: true,
-            publish_every: 1,
             saved: Saved::default(),
             observed: Observed::default(),
             activity: Activity::Pausing { until: Timestamp::ORIGIN },
@@ -78,12 +75,6 @@
         }
     }
 
-    /// A trainer that publishes one version a step and keeps to one owner.
-    pub(super) fn calm(seed: u64, staleness_bound: u64, slots_per_step: usize) -> Self {
-        let publish_every = slots_per_step;
-        Self { restless: false, publish_every, ..Self::new(seed, staleness_bound) }
-    }
-
     /// The trainer after a restart: nothing but what it saved is left.
     pub(super) fn restarted(&self) -> Self {
         let mut random = self.random.clone();
@@ -91,7 +82,6 @@
             random: Pcg64Mcg::seed_from_u64(random.random()),
             staleness_bound: self.staleness_bound,
             restless: self.restless,
-            publish_every: self.publish_every,
             saved: self.saved.clone(),
             observed: self.observed.clone(),
             activity: Activity::Pausing { until: Timestamp::ORIGIN },
@@ -179,9 +169,7 @@
         }
         self.saved.slots.extend(batch.samples.iter().map(|sample| sample.slot));
         self.saved.cursor = batch.next_cursor;
-        if self.saved.slots.len().is_multiple_of(self.publish_every) {
-            self.saved.version = self.saved.version.next();
-        }
+        self.saved.version = self.saved.version.next();
     }
 
     fn check(&mut self, sample: &Sample) {
--- a/crates/lab/src/rollout_simulation/world.rs
+++ b/crates/lab/src/simulations/rollout/world.rs
@@ -5,16 +5,15 @@
 use lichenpulley_core::identity::{JobId, PoolName};
 use lichenpulley_core::replication::proposer::ProposerChecks;
 use lichenpulley_core::rollout::{ControllerChecks, ControllerConfig, JobSpecification, Slot, TokenCounts};
-use lichenpulley_core::time::Timestamp;
-use lichenpulley_simulation::{FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation};
+use lichenpulley_simulation::{FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation, process_kinds};
 
 use super::engine::Engine;
-use super::message::{ENGINES, OWNERS, STORES, TRAINER};
+use super::message::{ENGINES, Message, OWNERS, STORES, TRAINER};
 use super::owner::{Owner, OwnerSetup};
-use super::process::WorldProcess;
 use super::store::Store;
 use super::trainer::Trainer;
 use super::violation::Violation;
+use crate::simulations::ScheduleReport;
 
 /// Faults fall during this time.
 const FAULTY: Duration = Duration::from_secs(8);
@@ -22,6 +21,21 @@
 const RECOVERY: Duration = Duration::from_secs(120);
 /// Attempts of the job at once.
 const MAX_IN_FLIGHT: usize = 6;
+/// The job's staleness bound, in versions.
+const STALENESS_BOUND: u64 = 1;
+/// How often faults fall, and how long an outage, freeze or cut may last.
+const FAULT_RATES: FaultRates =
+    FaultRates { mean_interval: Duration::from_millis(250), longest_outage: Duration::from_millis(700) };
+
+process_kinds! {
+    /// A process of the world.
+    pub(super) enum WorldProcess(Message) {
+        Store(Box<Store>),
+        Owner(Box<Owner>),
+        Engine(Engine),
+        Trainer(Box<Trainer>),
+    }
+}
 
 /// Mechanisms of the world. All on in service; proofs switch one off to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,33 +61,6 @@
     }
 }
 
-/// How hard a run is.
-#[derive(Clone, Copy, Debug)]
-pub struct Schedule {
-    /// The mean time between two faults.
-    pub mean_fault_interval: Duration,
-    /// The longest outage, freeze or cut.
-    pub longest_outage: Duration,
-    /// The links while faults fall.
-    pub link: LinkQuality,
-    /// The job's staleness bound, in versions.
-    pub staleness_bound: u64,
-    /// No faults, good links, and one version a step.
-    pub calm: bool,
-}
-
-impl Default for Schedule {
-    fn default() -> Self {
-        Self {
-            mean_fault_interval: Duration::from_millis(250),
-            longest_outage: Duration::from_millis(700),
-            link: LinkQuality::POOR,
-            staleness_bound: 1,
-            calm: false,
-        }
-    }
-}
-
 /// What one run showed.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
@@ -95,12 +82,10 @@
     pub reopened: u64,
     /// What became of the tokens.
     pub tokens: TokenCounts,
-    /// When the job was finished, on the virtual clock.
-    pub ended_at: Timestamp,
 }
 
 impl RunReport {
-    /// Adds the counts of another run; violations and times are left as they are.
+    /// Adds the counts of another run; violations are left as they are.
     pub fn add(&mut self, other: &Self) {
         self.faults += other.faults;
         self.messages += other.messages;
@@ -114,14 +99,11 @@
 }
 
 /// Runs one schedule to its end.
-pub fn run_seed(seed: u64, schedule: &Schedule, mechanisms: Mechanisms) -> RunReport {
-    let specification = specification(schedule.staleness_bound);
-    let mut world = build(seed, schedule, mechanisms, &specification);
+pub fn run_seed(seed: u64, mechanisms: Mechanisms) -> RunReport {
+    let specification = specification();
+    let mut world = build(seed, mechanisms, &specification);
     let targets: Vec<ProcessId> = world.ids().collect();
-    let rates =
-        FaultRates { mean_interval: schedule.mean_fault_interval, longest_outage: schedule.longest_outage };
-    let plan =
-        if schedule.calm { FaultPlan::default() } else { FaultPlan::draw(seed, &targets, FAULTY, rates) };
+    let plan = FaultPlan::draw(seed, &targets, FAULTY, FAULT_RATES);
     for (at, fault) in plan.faults() {
         world.run_until(*at);
         world.apply(fault, WorldProcess::restarted);
@@ -134,7 +116,7 @@
     report(&world, &specification, plan.faults().len())
 }
 
-fn specification(staleness_bound: u64) -> JobSpecification {
+fn specification() -> JobSpecification {
     JobSpecification {
         job: JobId::new("simulated"),
         pool: PoolName::new("pool"),
@@ -142,17 +124,12 @@
         samples_per_prompt: 2,
         steps: 4,
         max_tokens: 200,
-        staleness_bound,
+        staleness_bound: STALENESS_BOUND,
         idle_weight_percent: 50,
     }
 }
 
-fn build(
-    seed: u64,
-    schedule: &Schedule,
-    mechanisms: Mechanisms,
-    specification: &JobSpecification,
-) -> Simulation<WorldProcess> {
+fn build(seed: u64, mechanisms: Mechanisms, specification: &JobSpecification) -> Simulation<WorldProcess> {
     let config = ControllerConfig {
         max_in_flight: MAX_IN_FLIGHT,
         retry_delay: Duration::from_millis(30),
@@ -166,8 +143,7 @@
         versions_by_chunk: mechanisms.versions_by_chunk,
         log: mechanisms.log,
     };
-    let link = if schedule.calm { LinkQuality::GOOD } else { schedule.link };
-    let mut world = Simulation::new(seed, link);
+    let mut world = Simulation::new(seed, LinkQuality::POOR);
     for number in 0..STORES {
         world.add(WorldProcess::Store(Box::new(Store::new(number, mechanisms.fencing))));
     }
@@ -177,12 +153,7 @@
     for number in 0..ENGINES as u64 {
         world.add(WorldProcess::Engine(Engine::new(seed.wrapping_mul(31).wrapping_add(number))));
     }
-    let trainer = if schedule.calm {
-        Trainer::calm(seed, schedule.staleness_bound, specification.slots_per_step())
-    } else {
-        Trainer::new(seed, schedule.staleness_bound)
-    };
-    world.add(WorldProcess::Trainer(Box::new(trainer)));
+    world.add(WorldProcess::Trainer(Box::new(Trainer::new(seed, STALENESS_BOUND))));
     world
 }
 
@@ -210,8 +181,7 @@
 }
 
 fn report(world: &Simulation<WorldProcess>, specification: &JobSpecification, faults: usize) -> RunReport {
-    let mut report =
-        RunReport { faults, messages: world.delivered(), ended_at: world.now(), ..RunReport::default() };
+    let mut report = RunReport { faults, messages: world.delivered(), ..RunReport::default() };
     for id in world.ids() {
         let WorldProcess::Owner(owner) = world.process(id) else { continue };
         let counts = owner.counts();
@@ -229,3 +199,24 @@
     report.violations.extend(lost.map(|slot| Violation::Lost(slot.to_string())));
     report
 }
+
+/// Runs the schedule of a seed with every mechanism on.
+pub(crate) fn run_schedule(seed: u64) -> ScheduleReport {
+    let report = run_seed(seed, Mechanisms::default());
+    ScheduleReport {
+        violations: report.violations.iter().map(ToString::to_string).collect(),
+        counts: vec![
+            ("faults", report.faults as u64),
+            ("messages delivered", report.messages),
+            ("slots saved", report.saved as u64),
+            ("takeovers", report.takeovers),
+            ("owners superseded", report.superseded),
+            ("batches voided", report.voided),
+            ("slots reopened", report.reopened),
+            ("tokens decided", report.tokens.decided),
+            ("tokens cancelled while running", report.tokens.cancelled),
+            ("tokens too old at decision", report.tokens.stale_at_decision),
+            ("tokens too old at hand-over", report.tokens.stale_at_hand_over),
+        ],
+    }
+}
--- a/crates/lab/src/weights_simulation/log.rs
+++ b/crates/lab/src/simulations/weights/log.rs
@@ -15,6 +15,11 @@
 }
 
 impl Log {
+    /// The log after a restart: it loses nothing.
+    pub(super) fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     fn append(&mut self, epoch: Epoch, number: u64, records: Vec<Vec<u8>>) -> Option<Message> {
         if epoch < self.epoch {
             return Some(Message::Superseded { epoch });
@@ -30,8 +35,6 @@
 impl Process for Log {
     type Message = Message;
 
-    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
     fn receive(&mut self, _now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         match message {
             Message::TakeOver { term } => {
@@ -47,10 +50,4 @@
             _ => {}
         }
     }
-
-    fn wake(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
-    fn next_wake(&self) -> Option<Timestamp> {
-        None
-    }
 }
--- a/crates/lab/src/weights_simulation/mod.rs
+++ b/crates/lab/src/simulations/weights/mod.rs
@@ -3,15 +3,13 @@
 //! The log here is one process with epochs: that a log kept by a majority behaves like it is proved where the
 //! replication core is. What is proved here is what the owners do with it.
 
-mod command;
 mod log;
 mod message;
 mod owner;
-mod process;
 mod publisher;
 mod replica;
 mod weight_store;
 mod world;
 
-pub use command::run;
+pub(crate) use world::run_schedule;
 pub use world::{Mechanisms, RunReport, Violation, WaveSize, run_seed, time_until_all};
--- a/crates/lab/src/weights_simulation/publisher.rs
+++ b/crates/lab/src/simulations/weights/publisher.rs
@@ -38,6 +38,11 @@
         }
     }
 
+    /// The trainer after a restart: it saved everything.
+    pub(super) fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     /// The last version, once it is kept.
     pub(super) fn finished(&self) -> Option<WeightVersion> {
         (self.kept == self.last).then_some(self.kept)
--- a/crates/lab/src/weights_simulation/replica.rs
+++ b/crates/lab/src/simulations/weights/replica.rs
@@ -105,8 +105,6 @@
 impl Process for Replica {
     type Message = Message;
 
-    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
     fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         match message {
             Message::Order { epoch, command } => {
--- a/crates/lab/src/weights_simulation/weight_store.rs
+++ b/crates/lab/src/simulations/weights/weight_store.rs
@@ -62,8 +62,6 @@
 impl Process for WeightStore {
     type Message = Message;
 
-    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Message>) {}
-
     fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
         let Message::Fetch { number } = message else { return };
         self.progress(now);
--- a/crates/lab/src/weights_simulation/world.rs
+++ b/crates/lab/src/simulations/weights/world.rs
@@ -5,15 +5,15 @@
 use lichenpulley_core::identity::WeightVersion;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_core::weights::WaveConfig;
-use lichenpulley_simulation::{FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation};
+use lichenpulley_simulation::{FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation, process_kinds};
 
 use super::log::Log;
-use super::message::{FIRST_OWNER, FIRST_REPLICA, OWNERS, PUBLISHER, WEIGHT_STORE};
+use super::message::{FIRST_OWNER, FIRST_REPLICA, Message, OWNERS, PUBLISHER, WEIGHT_STORE};
 use super::owner::Owner;
-use super::process::WorldProcess;
 use super::publisher::Publisher;
 use super::replica::Replica;
 use super::weight_store::WeightStore;
+use crate::simulations::ScheduleReport;
 
 /// Faults fall during this time.
 const FAULTY: Duration = Duration::from_secs(25);
@@ -24,6 +24,17 @@
 /// Versions published in a run with faults.
 const VERSIONS: u64 = 8;
 
+process_kinds! {
+    /// A process of the world.
+    pub(super) enum WorldProcess(Message) {
+        Log(Log),
+        WeightStore(WeightStore),
+        Publisher(Publisher),
+        Owner(Box<Owner>),
+        Replica(Replica),
+    }
+}
+
 /// What a wave has to move, and how fast that goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaveSize {
@@ -91,8 +102,6 @@
     pub faults: usize,
     /// The most fetches at once.
     pub most_fetches: usize,
-    /// When all replicas had the last version, on the virtual clock.
-    pub ended_at: Timestamp,
 }
 
 /// Runs one schedule of kills, freezes and cuts of owners and replicas, with a few publications.
@@ -182,7 +191,7 @@
 }
 
 fn report(world: &Simulation<WorldProcess>, limit: usize, faults: usize) -> RunReport {
-    let mut report = RunReport { faults, ended_at: world.now(), ..RunReport::default() };
+    let mut report = RunReport { faults, ..RunReport::default() };
     if let WorldProcess::WeightStore(store) = world.process(WEIGHT_STORE) {
         report.most_fetches = store.most_fetches();
     }
@@ -199,3 +208,12 @@
     }
     report
 }
+
+/// Runs the schedule of a seed with every mechanism on.
+pub(crate) fn run_schedule(seed: u64) -> ScheduleReport {
+    let report = run_seed(seed, Mechanisms::default());
+    ScheduleReport {
+        violations: report.violations.iter().map(|violation| format!("{violation:?}")).collect(),
+        counts: vec![("faults", report.faults as u64)],
+    }
+}
--- a/crates/lab/tests/configuration_simulation.rs
+++ b/crates/lab/tests/configuration_simulation.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use lichenpulley_core::configuration::dissemination::Config;
-use lichenpulley_lab::configuration_simulation::checks::Violation;
-use lichenpulley_lab::configuration_simulation::world::{SwitchedOff, WorldOptions};
-use lichenpulley_lab::configuration_simulation::{Summary, run_seeds};
+use lichenpulley_lab::simulations::configuration::checks::Violation;
+use lichenpulley_lab::simulations::configuration::world::{SwitchedOff, WorldOptions};
+use lichenpulley_lab::simulations::configuration::{RunReport, run_seeds};
 use lichenpulley_simulation::FaultRates;
 
-/// The schedules of every test here. `lichenpulley-lab simulate-configuration` runs more.
+/// The schedules of every test here. `lichenpulley-lab simulate configuration` runs more.
 const SEEDS: Range<u64> = 0..16;
 
-fn run(switched_off: SwitchedOff) -> Summary {
+fn run(switched_off: SwitchedOff) -> RunReport {
     run_seeds(SEEDS, &WorldOptions { switched_off, ..WorldOptions::default() })
 }
 
-fn found(summary: &Summary, wanted: impl Fn(&Violation) -> bool) -> bool {
+fn found(summary: &RunReport, wanted: impl Fn(&Violation) -> bool) -> bool {
     summary.violations.iter().any(|(_, violation)| wanted(violation))
 }
 
@@ -26,40 +26,36 @@
     let summary = run(SwitchedOff::Nothing);
     assert_eq!(summary.violations, []);
     // The schedules must have exercised what they are for.
-    assert!(summary.accepted > 100, "{}", summary.describe());
-    assert!(summary.conflicts > 40, "{}", summary.describe());
-    assert!(summary.lost_replies > 5, "{}", summary.describe());
-    assert!(summary.faults > 500, "{}", summary.describe());
+    assert!(summary.accepted > 100, "{summary:?}");
+    assert!(summary.conflicts > 40, "{summary:?}");
+    assert!(summary.lost_replies > 5, "{summary:?}");
+    assert!(summary.faults > 500, "{summary:?}");
 }
 
 #[test]
 fn without_the_base_version_an_accepted_change_is_lost() {
     let summary = run(SwitchedOff::BaseVersion);
-    assert!(
-        found(&summary, |violation| matches!(violation, Violation::Reverted { .. })),
-        "{}",
-        summary.describe()
-    );
-    assert!(found(&summary, |violation| *violation == Violation::NotLinearizable), "{}", summary.describe());
+    assert!(found(&summary, |violation| matches!(violation, Violation::Reverted { .. })), "{summary:?}");
+    assert!(found(&summary, |violation| *violation == Violation::NotLinearizable), "{summary:?}");
 }
 
 #[test]
 fn without_change_ids_an_operator_is_told_wrongly() {
     let summary = run(SwitchedOff::ChangeIds);
     let wrongly = |violation: &Violation| matches!(violation, Violation::TookEffect { .. });
-    assert!(found(&summary, wrongly), "{}", summary.describe());
+    assert!(found(&summary, wrongly), "{summary:?}");
 }
 
 #[test]
 fn without_the_monotone_guard_a_node_goes_back() {
     let summary = run(SwitchedOff::MonotoneGuard);
     let back = |violation: &Violation| matches!(violation, Violation::WentBack { restarted: false, .. });
-    assert!(found(&summary, back), "{}", summary.describe());
+    assert!(found(&summary, back), "{summary:?}");
 }
 
 /// Schedules in which nodes are restarted often, the platform is often down, and revisions spread by heartbeats only,
 /// so that a restart often falls between the first node that has a revision and the others.
-fn frequent_restarts(switched_off: SwitchedOff) -> Summary {
+fn frequent_restarts(switched_off: SwitchedOff) -> RunReport {
     let options = WorldOptions {
         mean_pause: Duration::from_millis(1_500),
         rates: Some(FaultRates {
@@ -80,7 +76,7 @@
 fn without_the_quorum_set_a_restarted_node_goes_back() {
     let back = |violation: &Violation| matches!(violation, Violation::WentBack { restarted: true, .. });
     let off = frequent_restarts(SwitchedOff::Quorum);
-    assert!(found(&off, back), "{}", off.describe());
+    assert!(found(&off, back), "{off:?}");
     let on = frequent_restarts(SwitchedOff::Nothing);
     assert_eq!(on.violations, []);
 }
@@ -89,7 +85,7 @@
 fn a_run_is_the_same_every_time() {
     let once = run_seeds(7..9, &WorldOptions::default());
     let again = run_seeds(7..9, &WorldOptions::default());
-    assert_eq!(once.describe(), again.describe());
+    assert_eq!(once, again);
 }
 
 #[test]
--- a/crates/lab/tests/replication_linearizability.rs
+++ b/crates/lab/tests/replication_linearizability.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lichenpulley_core::identity::{AttemptId, RequestId};
-use lichenpulley_lab::simulate_replication::{Mechanisms, ObservationKind, Report, simulate};
+use lichenpulley_lab::simulations::replication::{Mechanisms, ObservationKind, RunReport, simulate};
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
@@ -48,7 +48,7 @@
 }
 
 /// The history of the log: each operation is a process of its own, since an owner has several on their way.
-fn log_history(report: &Report) -> Vec<(usize, Action<LogOperation>)> {
+fn log_history(report: &RunReport) -> Vec<(usize, Action<LogOperation>)> {
     let judged = &report.observations[..JUDGED_OBSERVATIONS.min(report.observations.len())];
     let positions = acknowledged_positions(judged);
     let seen: BTreeSet<u64> = judged.iter().flat_map(|(_, observation)| found(&observation.kind)).collect();
@@ -104,7 +104,7 @@
 }
 
 fn acknowledged_positions(
-    observations: &[(usize, lichenpulley_lab::simulate_replication::Observation)],
+    observations: &[(usize, lichenpulley_lab::simulations::replication::Observation)],
 ) -> BTreeMap<u64, usize> {
     let mut positions = BTreeMap::new();
     for (_, observation) in observations {
@@ -144,7 +144,7 @@
 }
 
 /// One history for each request id.
-fn claim_histories(report: &Report) -> Vec<Vec<(usize, Action<ClaimOperation>)>> {
+fn claim_histories(report: &RunReport) -> Vec<Vec<(usize, Action<ClaimOperation>)>> {
     let mut by_request: BTreeMap<&RequestId, Vec<_>> = BTreeMap::new();
     for (process, run) in report.claims.iter().enumerate() {
         let operation = ClaimOperation { attempt: run.attempt.clone(), granted: run.granted };
@@ -159,7 +159,7 @@
     sorted.collect()
 }
 
-fn is_linearizable(report: &Report) -> bool {
+fn is_linearizable(report: &RunReport) -> bool {
     let claims = claim_histories(report).into_iter().map(History::from_actions);
     let log = log_history(report);
     let mut claims = claims;
--- a/crates/lab/tests/requests.rs
+++ b/crates/lab/tests/requests.rs
@@ -1,9 +1,9 @@
 //! Requests under faults on a virtual clock: with every mechanism on no schedule breaks a promise; with one switched
 //! off the same schedules do.
 
-use lichenpulley_lab::requests::{Mechanisms, Schedule, Tally, Violation};
+use lichenpulley_lab::simulations::requests::{Mechanisms, Schedule, Tally, Violation};
 
-/// Seeds of the schedules that run in every test run. A longer run: `lichenpulley-lab simulate-requests`.
+/// Seeds of the schedules that run in every test run. A longer run: `lichenpulley-lab simulate requests`.
 const SEEDS: std::ops::Range<u64> = 1..31;
 
 fn violations(mechanisms: Mechanisms) -> (Vec<Violation>, Tally) {
--- a/crates/lab/tests/rollout_simulation.rs
+++ b/crates/lab/tests/rollout_simulation.rs
@@ -3,13 +3,13 @@
 //! Each mechanism is shown to be needed: the same schedules break an invariant when it is off.
 
 use lichenpulley_core::rollout::ControllerChecks;
-use lichenpulley_lab::rollout_simulation::{Mechanisms, RunReport, Schedule, Violation, run_seed};
+use lichenpulley_lab::simulations::rollout::{Mechanisms, RunReport, Violation, run_seed};
 
 /// Schedules that every proof runs.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
 fn reports(mechanisms: Mechanisms) -> impl Iterator<Item = RunReport> {
-    SEEDS.map(move |seed| run_seed(seed, &Schedule::default(), mechanisms))
+    SEEDS.map(move |seed| run_seed(seed, mechanisms))
 }
 
 fn without(change: impl FnOnce(&mut ControllerChecks)) -> Mechanisms {
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let run = || format!("{:?}", run_seed(7, &Schedule::default(), Mechanisms::default()));
+    let run = || format!("{:?}", run_seed(7, Mechanisms::default()));
     assert_eq!(run(), run());
 }
 
--- a/crates/lab/tests/simulate_replication.rs
+++ b/crates/lab/tests/simulate_replication.rs
@@ -1,9 +1,9 @@
 //! Proofs of the replicated log, the claims and changes of the replica set: the same schedules violate what must
 //! hold with a mechanism switched off, and don't with all on.
 
-use lichenpulley_lab::simulate_replication::{Changes, Mechanisms, simulate, simulate_changes};
+use lichenpulley_lab::simulations::replication::{Changes, Mechanisms, simulate, simulate_changes};
 
-/// Schedules tried with every mechanism on. `lichenpulley-lab simulate-replication --seeds N` tries more.
+/// Schedules tried with every mechanism on. `lichenpulley-lab simulate replication --seeds N` tries more.
 const SEEDS: std::ops::Range<u64> = 0..10;
 
 /// The first violation among the same schedules with some mechanism off.
@@ -69,7 +69,7 @@
 }
 
 /// Schedules in which the log's owner replaces stores, and is cut off while it does so more often than not.
-/// `lichenpulley-lab simulate-replication --by-owner --seeds N` tries more.
+/// `lichenpulley-lab simulate replication-by-owner --seeds N` tries more.
 const OWNER_SEEDS: std::ops::Range<u64> = 0..30;
 
 #[test]
--- a/crates/lab/tests/weights_simulation.rs
+++ b/crates/lab/tests/weights_simulation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::weights::WaveConfig;
-use lichenpulley_lab::weights_simulation::{Mechanisms, Violation, WaveSize, run_seed, time_until_all};
+use lichenpulley_lab::simulations::weights::{Mechanisms, Violation, WaveSize, run_seed, time_until_all};
 
 /// Schedules that every proof runs.
 const SEEDS: std::ops::Range<u64> = 0..150;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -9,6 +9,7 @@
 
 mod faults;
 mod link;
+mod process_kinds;
 mod simulation;
 
 pub use faults::{Fault, FaultPlan, FaultRates};
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -21,7 +21,7 @@
     type Message: Clone;
 
     /// Called once when the process starts, and again after a restart.
-    fn start(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>);
+    fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Self::Message>) {}
 
     /// Called for each message that arrives.
     fn receive(
@@ -33,10 +33,38 @@
     );
 
     /// Called when the time given by `next_wake` has come.
-    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>);
+    fn wake(&mut self, _now: Timestamp, _outbox: &mut Outbox<Self::Message>) {}
 
-    /// When to call `wake`; asked again after every call.
-    fn next_wake(&self) -> Option<Timestamp>;
+    /// When to call `wake`; asked again after every call. `None` where only messages wake the process.
+    fn next_wake(&self) -> Option<Timestamp> {
+        None
+    }
+}
+
+impl<P: Process> Process for Box<P> {
+    type Message = P::Message;
+
+    fn start(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>) {
+        (**self).start(now, outbox);
+    }
+
+    fn receive(
+        &mut self,
+        now: Timestamp,
+        from: ProcessId,
+        message: Self::Message,
+        outbox: &mut Outbox<Self::Message>,
+    ) {
+        (**self).receive(now, from, message, outbox);
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>) {
+        (**self).wake(now, outbox);
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        (**self).next_wake()
+    }
 }
 
 /// Messages that a process sends during one call.
