--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,18 +1,14 @@
-//! The stand-ins, the load generator, experiments and simulations.
+//! The stand-ins, the load generator, the soak and the simulations.
 //!
-//! Each stand-in or experiment is one module with `pub async fn run(arguments: &[String]) -> Result<(), LabError>`
+//! Each stand-in is one module with `pub async fn run(arguments: &[String]) -> Result<(), LabError>`
 //! and one line in [`commands::COMMANDS`].
 
 pub mod addresses;
 pub mod arguments;
-pub mod bench;
-pub mod bench_replication;
 pub mod commands;
-pub mod configuration_simulation;
 pub mod demo;
 pub mod engine;
 pub mod error;
-pub mod experiment;
 pub mod http;
 pub mod load;
 pub mod machine_list;
@@ -20,12 +16,8 @@
 pub mod object_api;
 pub mod platform_duties;
 pub mod platform_replica;
-pub mod requests;
-pub mod rollout_simulation;
 pub mod scorer;
-pub mod simulate_replication;
+pub mod simulations;
 pub mod soak;
-pub mod subsets;
 pub mod trainer;
 pub mod weight_store;
-pub mod weights_simulation;
--- a/crates/lab/src/configuration_simulation/platform.rs
+++ b/crates/lab/src/simulations/configuration/platform.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::identity::Revision;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::platform::PutObject;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 /// The platform.
-#[derive(Debug)]
+#[derive(Clone, Debug)]
 pub struct Platform {
     store: ObjectStore,
     faults: PlatformFaults,
@@ -38,7 +38,6 @@
     /// Every change that took effect, in order.
     committed: Vec<AppliedChange>,
     lost_replies: u64,
-    requests: u64,
     /// Whether the base version of a write is looked at. Off only in a proof.
     checks_base_version: bool,
 }
@@ -54,11 +53,15 @@
             late: VecDeque::new(),
             committed: Vec::new(),
             lost_replies: 0,
-            requests: 0,
             checks_base_version,
         }
     }
 
+    /// The platform after a restart: it keeps everything.
+    pub fn restarted(&self) -> Self {
+        self.clone()
+    }
+
     /// Changes how it behaves. Watches break when it goes down.
     pub fn set_faults(&mut self, faults: PlatformFaults) {
         self.faults = faults;
@@ -82,11 +85,6 @@
         self.lost_replies
     }
 
-    /// Requests received while up.
-    pub fn requests(&self) -> u64 {
-        self.requests
-    }
-
     /// The register with its version.
     pub fn register(&self) -> (Option<Revision>, Register) {
         let Some(object) = self.store.get(OBJECT_KEY) else { return (None, Register::default()) };
@@ -95,7 +93,7 @@
     }
 
     /// Answers a call.
-    pub fn receive(
+    fn take_call(
         &mut self,
         now: Timestamp,
         from: ProcessId,
@@ -106,7 +104,6 @@
         if self.faults.down {
             return;
         }
-        self.requests += 1;
         match request {
             PlatformRequest::Read => self.answer_register(now, from, call, outbox),
             PlatformRequest::Watch { after } => {
@@ -129,20 +126,6 @@
         }
     }
 
-    /// Sends the late answers that are due.
-    pub fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
-        while self.late.front().is_some_and(|(at, ..)| *at <= now) {
-            if let Some((_, to, packet)) = self.late.pop_front() {
-                outbox.send(to, packet);
-            }
-        }
-    }
-
-    /// When the next late answer is due.
-    pub fn next_wake(&self) -> Option<Timestamp> {
-        self.late.front().map(|(at, ..)| *at)
-    }
-
     fn write(&mut self, base_version: Option<Revision>, register: &Register) -> Written {
         let current = self.store.get(OBJECT_KEY).map(|object| object.version);
         let base_version = if self.checks_base_version { base_version } else { current };
@@ -188,6 +171,28 @@
     }
 }
 
+impl Process for Platform {
+    type Message = Packet;
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, packet: Packet, outbox: &mut Outbox<Packet>) {
+        if let Packet::PlatformCall { call, request } = packet {
+            self.take_call(now, from, call, request, outbox);
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
+        while self.late.front().is_some_and(|(at, ..)| *at <= now) {
+            if let Some((_, to, packet)) = self.late.pop_front() {
+                outbox.send(to, packet);
+            }
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        self.late.front().map(|(at, ..)| *at)
+    }
+}
+
 /// Whether a write took effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Written {
--- a/crates/lab/src/requests/gateway.rs
+++ b/crates/lab/src/simulations/requests/gateway.rs
@@ -14,7 +14,7 @@
 use lichenpulley_core::routing::pool::ListedReplica;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::engine::StreamRequest;
-use lichenpulley_simulation::{Outbox, ProcessId};
+use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -45,8 +45,6 @@
     waiting: Waiting,
     wake_at: Timestamp,
     streamed: Vec<u32>,
-    begun_anew: u32,
-    submitted_at: Timestamp,
 }
 
 /// One gateway.
@@ -125,24 +123,16 @@
     /// Takes a request.
     pub fn submit(&mut self, submission: Submission, now: Timestamp, outbox: &mut Outbox<Message>) {
         let number = submission.number;
-        let execution = self.execution(&submission, 0, now);
-        let run = Run {
-            submission,
-            execution,
-            waiting: Waiting::Time,
-            wake_at: now,
-            streamed: Vec::new(),
-            begun_anew: 0,
-            submitted_at: now,
-        };
+        let execution = self.execution(&submission, now);
+        let run = Run { submission, execution, waiting: Waiting::Time, wake_at: now, streamed: Vec::new() };
         self.runs.insert(number, run);
         self.drive(number, now, outbox);
     }
 
-    fn execution(&mut self, submission: &Submission, begun_anew: u32, now: Timestamp) -> Execution {
+    fn execution(&mut self, submission: &Submission, now: Timestamp) -> Execution {
         let spec = ExecutionSpec {
             request: submission.request.clone(),
-            execution: format!("{}-{}-{}.{begun_anew}", self.name, self.life, submission.number),
+            execution: format!("{}-{}-{}.0", self.name, self.life, submission.number),
             prefix_group: submission.number as u64 % 7,
             priority: submission.stream.priority,
             max_tokens: submission.stream.max_tokens,
@@ -153,87 +143,11 @@
         Execution::new(spec, &mut self.pool, now)
     }
 
-    /// What a gateway without resumes does when a stream breaks.
-    fn begin_anew(&mut self, number: usize, now: Timestamp) {
-        let Some(mut run) = self.runs.remove(&number) else { return };
-        run.execution.abandon(now, &mut self.pool);
-        self.cancellations.extend(run.execution.take_cancellations());
-        run.begun_anew += 1;
-        run.streamed.clear();
-        run.execution = self.execution(&run.submission, run.begun_anew, now);
-        self.runs.insert(number, run);
-    }
-
     /// Requests that are not over.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    pub(super) fn receive(
-        &mut self,
-        now: Timestamp,
-        from: ProcessId,
-        message: Message,
-        outbox: &mut Outbox<Message>,
-    ) {
-        match message {
-            Message::Connected(attempt, connection) => self.connected(&attempt, connection, now, outbox),
-            Message::Refused(attempt, cause) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    let refusal = EngineRefusal { attempt: attempt.clone() };
-                    run.execution.refused(&refusal, cause, now, pool, random);
-                });
-            }
-            Message::Event(attempt, EngineEvent::Failed) | Message::Broken(attempt)
-                if !self.mechanisms.resume && self.is_repeatable(&attempt) =>
-            {
-                if let Some(number) = self.find(&attempt) {
-                    self.begin_anew(number, now);
-                    self.drive(number, now, outbox);
-                }
-            }
-            Message::Broken(attempt) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.broken(now, pool, random);
-                });
-            }
-            Message::UnknownStream(attempt) => {
-                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.resume_unknown(now, pool, random);
-                });
-            }
-            Message::Event(attempt, event) => self.event(&attempt, event, now, outbox),
-            Message::Load(number, report) => {
-                if let Some((replica, asked_at)) = self.probes.remove(&number) {
-                    let stands_for = if self.mechanisms.expiring_confirmations { asked_at } else { now };
-                    self.pool.observe(&replica, stands_for, report, now);
-                    self.wake_choosers(now, outbox);
-                }
-            }
-            Message::Vote(request, voted) => self.vote(from, &request, &voted, now, outbox),
-            _ => {}
-        }
-    }
-
-    pub(super) fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        if now >= self.next_round {
-            self.next_round = now + PROBE_ROUND;
-            for replica in self.pool.due_probes(now, PROBES_IN_ROUND) {
-                self.probe(replica, now, outbox);
-            }
-        }
-        let due: Vec<usize> =
-            self.runs.iter().filter(|(_, run)| run.wake_at <= now).map(|(number, _)| *number).collect();
-        for number in due {
-            self.timed_out(number, now);
-            self.drive(number, now, outbox);
-        }
-    }
-
-    pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        self.runs.values().map(|run| run.wake_at).chain([self.next_round]).min()
-    }
-
     fn timed_out(&mut self, number: usize, now: Timestamp) {
         let Some(run) = self.runs.get_mut(&number) else { return };
         match run.waiting {
@@ -242,9 +156,6 @@
             }
             Waiting::Claiming { .. } => run.execution.claimed(ClaimVerdict::NoMajority, now),
             Waiting::Event if !self.mechanisms.proof_of_not_run => self.tell_not_run(number, now),
-            Waiting::Event if !self.mechanisms.resume && run.submission.repeatable => {
-                self.begin_anew(number, now);
-            }
             Waiting::Event => run.execution.stalled(now, &mut self.pool, &mut self.random),
             Waiting::Time => {}
         }
@@ -256,8 +167,7 @@
         run.execution.abandon(now, &mut self.pool);
         self.cancellations.extend(run.execution.take_cancellations());
         let outcome = Rc::new(refuse_at_once(true, RefusalReason::EnginesRefused, None));
-        let took = now.saturating_since(run.submitted_at);
-        self.told.push(Told { number, outcome, streamed: run.streamed, took });
+        self.told.push(Told { number, outcome, streamed: run.streamed });
     }
 
     /// Does the steps of a run until it has to wait.
@@ -311,9 +221,8 @@
                     break;
                 }
                 Step::Finish(outcome) => {
-                    let took = now.saturating_since(run.submitted_at);
                     let outcome = Rc::from(outcome);
-                    self.told.push(Told { number, outcome, streamed: run.streamed, took });
+                    self.told.push(Told { number, outcome, streamed: run.streamed });
                     return;
                 }
             }
@@ -417,12 +326,6 @@
         rest.split('.').next()?.parse().ok()
     }
 
-    /// Whether the current attempt of a run is this one, and the run may begin anew.
-    fn is_repeatable(&self, attempt: &AttemptId) -> bool {
-        let run = self.find(attempt).and_then(|number| self.runs.get(&number));
-        run.is_some_and(|run| run.submission.repeatable && run.execution.current_attempt() == Some(attempt))
-    }
-
     fn wake_choosers(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
         let choosing = |run: &Run| matches!(run.waiting, Waiting::Time);
         let waiting: Vec<usize> =
@@ -439,6 +342,61 @@
     }
 }
 
+impl Process for GatewayProcess {
+    type Message = Message;
+
+    fn receive(&mut self, now: Timestamp, from: ProcessId, message: Message, outbox: &mut Outbox<Message>) {
+        match message {
+            Message::Connected(attempt, connection) => self.connected(&attempt, connection, now, outbox),
+            Message::Refused(attempt, cause) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    let refusal = EngineRefusal { attempt: attempt.clone() };
+                    run.execution.refused(&refusal, cause, now, pool, random);
+                });
+            }
+            Message::Broken(attempt) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    run.execution.broken(now, pool, random);
+                });
+            }
+            Message::UnknownStream(attempt) => {
+                self.with_attempt(&attempt, now, outbox, |run, pool, random| {
+                    run.execution.resume_unknown(now, pool, random);
+                });
+            }
+            Message::Event(attempt, event) => self.event(&attempt, event, now, outbox),
+            Message::Load(number, report) => {
+                if let Some((replica, asked_at)) = self.probes.remove(&number) {
+                    let stands_for = if self.mechanisms.expiring_confirmations { asked_at } else { now };
+                    self.pool.observe(&replica, stands_for, report, now);
+                    self.wake_choosers(now, outbox);
+                }
+            }
+            Message::Vote(request, voted) => self.vote(from, &request, &voted, now, outbox),
+            _ => {}
+        }
+    }
+
+    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
+        if now >= self.next_round {
+            self.next_round = now + PROBE_ROUND;
+            for replica in self.pool.due_probes(now, PROBES_IN_ROUND) {
+                self.probe(replica, now, outbox);
+            }
+        }
+        let due: Vec<usize> =
+            self.runs.iter().filter(|(_, run)| run.wake_at <= now).map(|(number, _)| *number).collect();
+        for number in due {
+            self.timed_out(number, now);
+            self.drive(number, now, outbox);
+        }
+    }
+
+    fn next_wake(&self) -> Option<Timestamp> {
+        self.runs.values().map(|run| run.wake_at).chain([self.next_round]).min()
+    }
+}
+
 /// What a gateway without numbering makes of a chunk: the tokens that come next.
 fn renumbered(event: EngineEvent, next: usize) -> EngineEvent {
     let next = u32::try_from(next).unwrap_or(u32::MAX);
