--- /dev/null
+++ b/crates/daemon/src/metrics/batch.rs
@@ -0,0 +1,60 @@
+//! Batch jobs at their owner: their items, and what this node has followed of a log that it may own next.
+
+use prometheus::{IntGauge, IntGaugeVec, Registry};
+
+use super::registration::{self, to_gauge};
+
+/// Gauges of the batch jobs.
+#[derive(Clone)]
+pub(super) struct BatchMetrics {
+    items: IntGaugeVec,
+    regional_items: IntGaugeVec,
+    followed_bytes: IntGauge,
+    pending_ends: IntGauge,
+}
+
+impl BatchMetrics {
+    pub(super) fn new(registry: &Registry) -> Self {
+        Self {
+            items: registration::gauges(
+                registry,
+                "lichenpulley_batch_items",
+                "Items of batch jobs at their owner, by state",
+                &["state"],
+            ),
+            regional_items: registration::gauges(
+                registry,
+                "lichenpulley_regional_batch_items",
+                "Items of batch jobs that are bound to some regions at their owner, by shard and state",
+                &["shard", "state"],
+            ),
+            followed_bytes: registration::gauge(
+                registry,
+                "lichenpulley_batch_followed_bytes",
+                "Bytes of the batch jobs' log that the node which would own them next has followed",
+            ),
+            pending_ends: registration::gauge(
+                registry,
+                "lichenpulley_pending_ends",
+                "Ends of batch jobs that this node has read and that are not known to be kept",
+            ),
+        }
+    }
+
+    pub(super) fn set_items(&self, shard: Option<&str>, running: usize, waiting: usize) {
+        let set = |state: &str, count: usize| match shard {
+            None => self.items.with_label_values(&[state]).set(to_gauge(count)),
+            Some(shard) => self.regional_items.with_label_values(&[shard, state]).set(to_gauge(count)),
+        };
+        set("running", running);
+        set("waiting", waiting);
+    }
+
+    pub(super) fn set_followed_bytes(&self, bytes: usize) {
+        self.followed_bytes.set(to_gauge(bytes));
+    }
+
+    pub(super) fn set_pending_ends(&self, ends: usize) {
+        self.pending_ends.set(to_gauge(ends));
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/metrics/ingress.rs
@@ -0,0 +1,80 @@
+//! What decides at a gateway which requests reach which replicas: cold replicas, evacuated zones, quarantined requests, and
+//! refusals for the regions that a request is bound to.
+
+use lichenpulley_core::ingress::warmups::ColdCount;
+use prometheus::{IntCounterVec, IntGauge, IntGaugeVec, Registry};
+
+use super::registration::{self, to_gauge};
+
+/// Gauges and counters of a gateway in the platform's form.
+#[derive(Clone)]
+pub(super) struct IngressMetrics {
+    cold_replicas: IntGaugeVec,
+    evacuated_zones: IntGauge,
+    quarantined_requests: IntGauge,
+    region_refusals: IntCounterVec,
+}
+
+impl IngressMetrics {
+    pub(super) fn new(registry: &Registry) -> Self {
+        Self {
+            cold_replicas: registration::gauges(
+                registry,
+                "lichenpulley_cold_replicas",
+                "Cold replicas, by whether this gateway has a share of what they bear",
+                &["share"],
+            ),
+            evacuated_zones: registration::gauge(
+                registry,
+                "lichenpulley_evacuated_zones",
+                "Zones whose replicas this node sends nothing, as the operator asked",
+            ),
+            quarantined_requests: registration::gauge(
+                registry,
+                "lichenpulley_quarantined_requests",
+                "Requests that this node keeps from all replicas, since replicas ended under them",
+            ),
+            region_refusals: registration::counters(
+                registry,
+                "lichenpulley_region_refusals_total",
+                "Requests refused that are bound to some regions, by these and by reason",
+                &["regions", "reason"],
+            ),
+        }
+    }
+
+    pub(super) fn set_cold_replicas(&self, count: ColdCount) {
+        let set = |share: &str, count: usize| {
+            self.cold_replicas.with_label_values(&[share]).set(to_gauge(count));
+        };
+        set("own", count.own);
+        set("none", count.cold - count.own);
+    }
+
+    pub(super) fn set_evacuated_zones(&self, zones: usize) {
+        self.evacuated_zones.set(to_gauge(zones));
+    }
+
+    pub(super) fn set_quarantined_requests(&self, requests: usize) {
+        self.quarantined_requests.set(to_gauge(requests));
+    }
+
+    pub(super) fn count_region_refusal(&self, regions: &str, reason: &str) {
+        self.region_refusals.with_label_values(&[regions, reason]).inc();
+    }
+
+    /// Regions, reason and count of each kind of refusal so far.
+    pub(super) fn region_refusals(&self) -> Vec<(String, String, u64)> {
+        let families = prometheus::core::Collector::collect(&self.region_refusals);
+        let metrics = families.iter().flat_map(|family| family.get_metric());
+        let read = |metric: &prometheus::proto::Metric| {
+            // Every metric of the family has both labels.
+            let label = |name: &str| {
+                let label = metric.get_label().iter().find(|label| label.name() == name);
+                label.map(|label| label.value().to_owned()).unwrap_or_default()
+            };
+            (label("regions"), label("reason"), metric.get_counter().get_value() as u64)
+        };
+        metrics.map(read).collect()
+    }
+}
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -4,10 +4,9 @@
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{RegionName, ShardId, ZoneName};
-use lichenpulley_core::replication::placement::{FaultTolerance, PlacementPolicy};
+use lichenpulley_core::replication::placement::PlacementPolicy;
 use lichenpulley_core::replication::quorum::majority;
 use lichenpulley_core::replication::replica_set::ReplicaSet;
-use prometheus::{IntGaugeVec, Opts, Registry};
 
 use crate::context::{Context, NodeContext};
 
@@ -68,41 +67,3 @@
     let (region, _) = greatest.next()?;
     greatest.next().is_none().then(|| (region.clone(), most))
 }
-
-/// What the logs of batch jobs bear, shown by the owner of each.
-#[derive(Clone)]
-pub struct PlacementMetrics {
-    members: IntGaugeVec,
-    borne: IntGaugeVec,
-}
-
-impl PlacementMetrics {
-    /// Registers the gauges, once for each registry.
-    pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
-        let members =
-            Opts::new("lichenpulley_log_members", "Stores that keep a log of batch jobs, at its owner");
-        let members = IntGaugeVec::new(members, &["shard"])?;
-        let borne = Opts::new(
-            "lichenpulley_log_borne_losses",
-            "Losses that a log of batch jobs bears, at its owner, by what is lost",
-        );
-        let borne = IntGaugeVec::new(borne, &["shard", "of"])?;
-        registry.register(Box::new(members.clone()))?;
-        registry.register(Box::new(borne.clone()))?;
-        Ok(Self { members, borne })
-    }
-
-    /// Shows a set.
-    pub(crate) fn show(&self, shard: &ShardId, members: usize, tolerance: FaultTolerance) {
-        let shard = shard.as_str();
-        let set = |of: &str, count: usize| self.borne.with_label_values(&[shard, of]).set(to_gauge(count));
-        self.members.with_label_values(&[shard]).set(to_gauge(members));
-        set("disks", tolerance.disks);
-        set("zones", tolerance.zones);
-        set("regions", tolerance.regions);
-    }
-}
-
-fn to_gauge(count: usize) -> i64 {
-    i64::try_from(count).unwrap_or(i64::MAX)
-}
