--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,11 +1,17 @@
-//! The settings file with flags over it: parsed once into checked values.
+//! The settings file with flags over it: parsed once, when the node starts, into checked values.
 //!
-//! Every problem of a file is reported at once, each with its key and its remedy.
+//! One file for each table of the settings, with its keys, defaults and bounds; `reader` takes values out of the table. Every
+//! problem of a file is reported at once, each with its key and its remedy. Imports no other part of the node but the
+//! roles and capacity of `cluster`; docs/operators/settings.md lists every key, and a test keeps that list complete.
 
-mod parts;
+mod control;
+mod duties;
+mod machine;
+mod network;
 mod places;
 mod problem;
 mod reader;
+mod store;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,15 +20,18 @@
 use lichenpulley_core::identity::{NodeId, ZoneName};
 
 use crate::cluster::Roles;
-pub use parts::{
-    BatchSettings, ConfigurationSettings, CoordinatorSettings, DutySettings, GatewaySettings,
-    MachineSettings, MembershipSettings, PeerSettings, StopSettings, StoreSettings,
-};
+pub use control::{BatchSettings, ConfigurationSettings, CoordinatorSettings, StopSettings};
+pub use duties::DutySettings;
+pub use machine::MachineSettings;
+pub use network::{GatewaySettings, MembershipSettings, PeerSettings};
 pub use places::PlaceSettings;
 pub use problem::{SettingsError, SettingsProblem};
-pub use reader::{Bounds, KnownKey, SettingsReader};
+use reader::SettingsReader;
+pub use reader::{Bounds, KnownKey};
+pub use store::StoreSettings;
 
-/// The notice of a planned stop where nothing outside the process watches.
+/// The notice of a planned stop where nothing outside the process watches. Chosen: long enough that a stop has two
+/// stages also in tests, short enough that they don't wait for it.
 const LOOPBACK_NOTICE: Duration = Duration::from_millis(200);
 
 /// Checked settings of one node.
@@ -84,7 +93,7 @@
     pub object_api: Option<SocketAddr>,
     /// The machine list.
     pub machine_list: Option<SocketAddr>,
-    /// The weight store.
+    /// The weight store. Accepted and without effect: no part of a node reads it.
     pub weight_store: Option<SocketAddr>,
     /// The scorer of answers.
     pub scorer: Option<SocketAddr>,
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -1,4 +1,6 @@
 //! Reads typed values out of a TOML table and collects every problem on the way.
+//!
+//! Knows nothing of what the keys mean; it remembers which were asked for, so that every other key of a file is refused.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,7 +32,7 @@
 /// Takes values out of a table by key; what is left at the end is unknown.
 ///
 /// A wrong value is noted as a problem and stands as its default, so that reading goes on to the next one.
-pub struct SettingsReader {
+pub(super) struct SettingsReader {
     table: Table,
     known: Vec<KnownKey>,
     problems: Vec<SettingsProblem>,
@@ -156,22 +158,38 @@
     }
 
     /// A whole number within bounds.
-    pub fn number(&mut self, key: &str, bounds: &Bounds) -> u64 {
+    pub fn number(&mut self, key: &str, default: u64, accepted: RangeInclusive<u64>) -> u64 {
         let value = self.take(key);
         if let Some(known) = self.known.last_mut() {
-            known.bounds = Some(bounds.clone());
+            known.bounds = Some(Bounds { default, accepted: accepted.clone() });
         }
-        let Some(value) = value else { return bounds.default };
+        let Some(value) = value else { return default };
         let Value::Integer(number) = value else {
             self.wrong_type(key, &value, "a whole number");
-            return bounds.default;
+            return default;
         };
-        let accepted = u64::try_from(number).ok().filter(|number| bounds.accepted.contains(number));
-        if accepted.is_none() {
-            let remedy = format!("use {} to {}", bounds.accepted.start(), bounds.accepted.end());
+        let number_in_bounds = u64::try_from(number).ok().filter(|number| accepted.contains(number));
+        if number_in_bounds.is_none() {
+            let remedy = format!("use {} to {}", accepted.start(), accepted.end());
             self.problem(key, format!("{number} is out of bounds"), remedy);
         }
-        accepted.unwrap_or(bounds.default)
+        number_in_bounds.unwrap_or(default)
+    }
+
+    /// How many of something, or how many bytes, within bounds.
+    pub fn count(&mut self, key: &str, default: usize, accepted: RangeInclusive<usize>) -> usize {
+        let (least, most) = accepted.into_inner();
+        let number = self.number(key, default as u64, least as u64..=most as u64);
+        // The bounds are counts of this machine, and so is what lies within them.
+        usize::try_from(number).unwrap_or(default)
+    }
+
+    /// A whole number of 32 bits within bounds.
+    pub fn small_number(&mut self, key: &str, default: u32, accepted: RangeInclusive<u32>) -> u32 {
+        let (least, most) = accepted.into_inner();
+        let number = self.number(key, default.into(), least.into()..=most.into());
+        // The bounds have 32 bits, and so has what lies within them.
+        u32::try_from(number).unwrap_or(default)
     }
 
     /// A number that may have a fraction, within bounds.
@@ -195,7 +213,7 @@
 
     /// A duration given in milliseconds; the key ends in `_ms`.
     pub fn milliseconds(&mut self, key: &str, default: u64, accepted: RangeInclusive<u64>) -> Duration {
-        Duration::from_millis(self.number(key, &Bounds { default, accepted }))
+        Duration::from_millis(self.number(key, default, accepted))
     }
 
     /// Every key asked for so far.
