--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -1,4 +1,6 @@
 //! The command line of `lichenpulleyd`: flags over a settings file.
+//!
+//! Owns the flags and the key that each sets; what the values mean is checked by `settings`. Reads no file.
 
 use std::path::PathBuf;
 
--- a/crates/daemon/src/boot_clock.rs
+++ b/crates/daemon/src/boot_clock.rs
@@ -1,7 +1,8 @@
-//! Time that passes while the machine is suspended, too.
+//! The machine's clock that also counts the time for which the machine is suspended.
 //!
-//! The steady clock, by which timers and [`tokio::time::Instant`] go, stands still meanwhile: by it, whatever was true before the suspension
-//! looks as though it had been true a moment ago. An authority that others may have taken over is judged by this clock.
+//! The steady clock, by which timers and [`tokio::time::Instant`] go, stands still during a suspension: whatever was true
+//! before it looks as though it had been true a moment ago. Whatever others may have taken over meanwhile, such as an
+//! owner's authority, is judged by this clock. Imports no other part of the node.
 
 use std::ops::Add;
 use std::sync::Arc;
@@ -46,6 +47,8 @@
     /// The present time.
     pub fn now(&self) -> BootInstant {
         let time = clock_gettime(CLOCK);
+        // Time since the machine's start is never negative, and its nanoseconds are below a second: zero stands for what
+        // the system can't give.
         let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
         let nanoseconds = u32::try_from(time.tv_nsec).unwrap_or(0);
         let skipped = Duration::from_millis(self.skipped_ms.load(Ordering::Relaxed));
--- a/crates/daemon/src/cluster.rs
+++ b/crates/daemon/src/cluster.rs
@@ -1,4 +1,7 @@
-//! The members of the cluster as this node sees them.
+//! The members of the cluster as this node observes them, and who of them should own a shard.
+//!
+//! A snapshot that `membership` replaces as a whole. Owns the form of a member's attributes on the wire: three bits of
+//! roles below five of capacity. Imports no other part of the node.
 
 use std::net::SocketAddr;
 
@@ -10,18 +13,23 @@
 pub struct NodeCapacity(u8);
 
 impl NodeCapacity {
-    const MOST: u8 = 31;
-    const EIGHTHS: f64 = 8.0;
+    /// The greatest capacity that fits beside the roles in a member's attributes: five bits, so 31 eighths of a core.
+    const MAX_EIGHTHS: u8 = 31;
+    /// Units of capacity in a core. Chosen: with eighths the smallest machines measured, of 0.12 of a core, count as one.
+    const EIGHTHS_PER_CORE: f64 = 8.0;
+    /// How many times as capable a machine must be for control work to move there. Chosen, not measured: less moves it
+    /// between machines that differ little, and each move costs a takeover.
+    const WORTH_LEAVING_FACTOR: u8 = 2;
 
     /// The capacity of a machine that gives a process so many cores.
     pub fn from_cores(cores: f64) -> Self {
-        let eighths = (cores * Self::EIGHTHS).ceil().clamp(1.0, f64::from(Self::MOST));
+        let eighths = (cores * Self::EIGHTHS_PER_CORE).ceil().clamp(1.0, f64::from(Self::MAX_EIGHTHS));
         Self(eighths as u8)
     }
 
     /// Whether control work is worth moving from a machine with this capacity to one with `other`.
     pub const fn is_worth_leaving_for(self, other: Self) -> bool {
-        other.0 >= self.0.saturating_mul(2)
+        other.0 >= self.0.saturating_mul(Self::WORTH_LEAVING_FACTOR)
     }
 
     /// The attributes of a member with these roles.
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,6 +1,15 @@
-//! What every part of a node can reach.
+//! What every part of a node can reach: its settings, its snapshots of the cluster, and the handles of its parts.
 //!
-//! Traffic threads read the snapshots here without a lock; the control thread replaces them.
+//! Traffic threads read the snapshots here without a lock; the control thread replaces them as a whole, each from one part,
+//! named beside the field.
+//!
+//! Who may import what, so that the parts stand below and above each other and not in a circle:
+//!
+//! - below the context, and so importing neither it nor a part's tasks: `boot_clock`, `cluster`, `decisions`, `directory`,
+//!   `logging`, `metrics`, `settings`, and the files of the handles that this file imports;
+//! - above the context: the tasks of the parts. A task reaches another part through that part's handle in the context, or is
+//!   given the handle when it is started (`node::control`);
+//! - above all parts: `node`, which starts them, and `operators`, which shows them.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,4 +1,6 @@
 //! The stream of decisions: kept in a short ring, sent to watchers, counted by reason, written to the log.
+//!
+//! Owns the sequence numbers of this node's decisions. Relies on `metrics` for the counters; imports no other part.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +14,8 @@
 
 use crate::metrics::Metrics;
 
-/// Decisions that a slow watcher may fall behind before it loses some; the loss shows as a jump in `sequence`.
+/// Decisions that a slow watcher may fall behind before it loses some; the loss shows as a jump in `sequence`. Chosen, not
+/// measured: fewer lose decisions of a burst, more keep memory for watchers that read nothing.
 const WATCHER_BACKLOG: usize = 4_096;
 
 /// Where parts record their decisions.
@@ -88,6 +91,7 @@
 
 /// Milliseconds since the Unix epoch.
 pub fn unix_milliseconds() -> u64 {
+    // A clock before the epoch is not set; what is stamped then counts as from the epoch.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,4 +1,6 @@
-//! The replicas of each pool, as the lagging machine list gives them.
+//! The replicas of each pool and the nodes, as the lagging machine list of the product's own interface gives them.
+//!
+//! A snapshot that `configuration` replaces as a whole, made from one document. Imports no other part of the node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -17,9 +17,11 @@
 
 /// What is logged where `RUST_LOG` is not set; `tarpc` would log every call.
 const DEFAULT_FILTER: &str = "info,tarpc=warn";
-/// Lines that may wait to be written.
+/// Lines that may wait to be written. Chosen, not measured: fewer drop lines of a burst, more keep memory
+/// behind a reader that has stopped.
 const QUEUE_LINES: usize = 2_048;
-/// Lines written in one second at most.
+/// Lines written in one second at most. Chosen, not measured: fewer lose lines that tell what went wrong, more cost a small
+/// machine its processor while much goes wrong.
 const LINES_PER_SECOND: u64 = 400;
 
 /// The node whose lines these are.
@@ -36,7 +38,8 @@
 
 /// Lines that wait to be written.
 static WAITING: AtomicU64 = AtomicU64::new(0);
-/// How long the end of a process waits for its last lines.
+/// How long the end of a process waits for its last lines. Chosen, not measured: longer delays a restart behind a reader
+/// of the log that has stopped.
 const FINISH_LIMIT: Duration = Duration::from_millis(200);
 
 /// Waits a little until what was logged is written; for the end of a process.
@@ -160,6 +163,7 @@
             // Nobody can be told that the log can't be written.
             let _ = writeln!(output, "{note}");
         }
+        // The same holds here.
         let _ = output.write_all(&line);
         let _ = output.flush();
         // The line may be written before its sender has counted it.
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,7 @@
 //! `lichenpulleyd`: runs one node.
+//!
+//! Owns the process: its command line, its signals (the first SIGTERM or SIGINT begins a planned stop, the second ends it,
+//! SIGHUP reads the settings again) and its exit code. The node itself is [`lichenpulley_daemon::node`].
 
 use std::io::Write;
 use std::path::Path;
@@ -156,7 +159,10 @@
 
 impl Signals {
     fn listen() -> Result<Self, String> {
-        let listen = |kind| signal(kind).map_err(|error| format!("signals can't be heard: {error}"));
+        let listen = |kind| {
+            signal(kind)
+                .map_err(|error| format!("signals can't be received: {error}; raise the limit of open files"))
+        };
         Ok(Self {
             hangup: listen(SignalKind::hangup())?,
             terminate: listen(SignalKind::terminate())?,
--- a/crates/daemon/src/node/control.rs
+++ b/crates/daemon/src/node/control.rs
@@ -1,4 +1,7 @@
 //! The control thread: starts every part and waits until the node ends.
+//!
+//! Owns both runtimes: the control thread's own, on which all shared state changes, and the one of the traffic threads, on
+//! which callers' requests and runs of items go. The parts get the context and the handles of the parts that they use.
 
 use std::sync::Arc;
 
@@ -7,16 +10,17 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::oneshot;
+use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
 use super::listeners::Listeners;
 use super::peer_service::{self, PeerService};
 use super::{NodeAddresses, StartError, Started, stop};
-use crate::batch;
+use crate::batch::{self, BatchJobs};
 use crate::cluster::Member;
 use crate::configuration;
 use crate::context::{Context, NodeContext};
-use crate::coordinator;
+use crate::coordinator::{self, Coordinator};
 use crate::duties;
 use crate::gateway::{Dispatcher, Gateway};
 use crate::http::server::{self, HeadLimits, ServerStop};
@@ -82,69 +86,127 @@
                 "{} listens: callers {}, operators {}, peers {}.",
                 context.node, addresses.callers, addresses.operators, addresses.peers
             );
-            let news = Started { addresses, context: Arc::clone(context) };
-            if started.send(Ok(news)).is_err() {
+            let node = Started { addresses, context: Arc::clone(context) };
+            if started.send(Ok(node)).is_err() {
                 return;
             }
-            stop::when_told(context, servers).await;
+            stop::on_notice(context, servers).await;
         }
         Err(error) => drop(started.send(Err(error))),
     }
 }
 
+/// Starts every part, in the order in which they need each other.
 fn start_parts(
     context: &Context,
     listeners: Listeners,
     traffic: &Handle,
 ) -> Result<stop::Servers, StartError> {
     let Listeners { callers, operators, readiness, peers, membership, addresses } = listeners;
+    start_views(context, membership, addresses)?;
+    let parts = ControlParts::start(context, traffic)?;
+    let stop = stop::StopSignals::new(context);
+    let peers = serve_peers(context, peers, &parts, &stop)?;
+    let ingress = context.settings.platform.metadata_store.is_some().then(|| start_ingress(context, &parts));
+    let operators = serve_operators(context, operators, &parts, ingress.clone(), &stop)?;
+    let callers = serve_callers(context, callers, traffic, parts, ingress, &stop)?;
+    if let Some(readiness) = readiness {
+        spawn_readiness(context, readiness, stop.operators.clone())?;
+    }
+    Ok(stop::Servers { callers, operators, peers, stop })
+}
+
+/// Starts what keeps this node's view of the others and of the platform up to date.
+fn start_views(
+    context: &Context,
+    membership: std::net::UdpSocket,
+    addresses: NodeAddresses,
+) -> Result<(), StartError> {
     let membership = UdpSocket::from_std(membership).map_err(StartError::Thread)?;
     start_membership(context, membership, addresses);
     configuration::start(context);
     suspension::start(context);
     metadata::start(context);
+    Ok(())
+}
 
-    let store = start_store(context)?;
-    let dispatcher = Dispatcher::new(Arc::clone(context), traffic.clone());
-    let coordinator = coordinator::start(Arc::clone(context), dispatcher.clone(), store.clone());
-    let pool = ReplicaPool::new(context.boot_clock.clone());
-    let batch = batch::start(context, pool.clone(), traffic.clone());
-    let service = PeerService::new(Arc::clone(context), coordinator.clone(), batch.clone(), store);
-    let stop = stop::StopSignals::new(context);
-    let peers = TcpListener::from_std(peers).map_err(StartError::Thread)?;
-    let peers = tokio::spawn(peer_service::serve(peers, service, stop.peers.clone()));
+/// The parts that do the work of the node's roles.
+struct ControlParts {
+    store: Option<Store>,
+    dispatcher: Dispatcher,
+    coordinator: Coordinator,
+    pool: ReplicaPool,
+    batch: BatchJobs,
+}
 
-    let operators = TcpListener::from_std(operators).map_err(StartError::Thread)?;
-    let ingress = context.settings.platform.metadata_store.is_some().then(|| {
-        tokio::spawn(duties::hand_over(Arc::clone(context), batch.clone()));
-        Ingress::spawn(Arc::clone(context), pool, batch.clone())
-    });
+impl ControlParts {
+    fn start(context: &Context, traffic: &Handle) -> Result<Self, StartError> {
+        let store = start_store(context)?;
+        let dispatcher = Dispatcher::new(Arc::clone(context), traffic.clone());
+        let coordinator = coordinator::start(Arc::clone(context), dispatcher.clone(), store.clone());
+        let pool = ReplicaPool::new(context.boot_clock.clone());
+        let batch = batch::start(context, pool.clone(), traffic.clone());
+        Ok(Self { store, dispatcher, coordinator, pool, batch })
+    }
+}
+
+fn serve_peers(
+    context: &Context,
+    listener: std::net::TcpListener,
+    parts: &ControlParts,
+    stop: &stop::StopSignals,
+) -> Result<JoinHandle<()>, StartError> {
+    let (coordinator, batch) = (parts.coordinator.clone(), parts.batch.clone());
+    let service = PeerService::new(Arc::clone(context), coordinator, batch, parts.store.clone());
+    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    Ok(tokio::spawn(peer_service::serve(listener, service, stop.peers.clone())))
+}
+
+/// The way of callers' requests in the platform's form, and the reports of what it counts.
+fn start_ingress(context: &Context, parts: &ControlParts) -> Ingress {
+    tokio::spawn(duties::hand_over(Arc::clone(context), parts.batch.clone()));
+    Ingress::spawn(Arc::clone(context), parts.pool.clone(), parts.batch.clone())
+}
+
+fn serve_operators(
+    context: &Context,
+    listener: std::net::TcpListener,
+    parts: &ControlParts,
+    ingress: Option<Ingress>,
+    stop: &stop::StopSignals,
+) -> Result<JoinHandle<()>, StartError> {
+    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
     let parts = OperatorParts {
-        dispatcher: dispatcher.clone(),
-        coordinator: coordinator.clone(),
-        batch,
-        ingress: ingress.clone(),
+        dispatcher: parts.dispatcher.clone(),
+        coordinator: parts.coordinator.clone(),
+        batch: parts.batch.clone(),
+        ingress,
     };
     let answers = Operators::new(Arc::clone(context), parts);
     let answer = move |request| {
         let answers = answers.clone();
         async move { answers.handle(request).await }
     };
-    let operators = tokio::spawn(server::serve(operators, stop.operators.clone(), answer));
+    Ok(tokio::spawn(server::serve(listener, stop.operators.clone(), answer)))
+}
 
+/// Callers in the platform's form where the node has an `ingress`, else in the product's own.
+fn serve_callers(
+    context: &Context,
+    listener: std::net::TcpListener,
+    traffic: &Handle,
+    parts: ControlParts,
+    ingress: Option<Ingress>,
+    stop: &stop::StopSignals,
+) -> Result<JoinHandle<()>, StartError> {
     let limits = SocketLimits { stall: context.settings.gateway.stall_timeout };
-    let callers_stop = stop.callers.clone();
-    let callers = if let Some(ingress) = ingress {
-        spawn_ingress(callers, traffic, callers_stop, limits, ingress)?
-    } else {
-        let gateway = Gateway::new(Arc::clone(context), dispatcher, coordinator);
-        let gateway = context.settings.roles.gateway.then_some(gateway);
-        spawn_callers(callers, traffic, callers_stop, limits, gateway)?
-    };
-    if let Some(readiness) = readiness {
-        spawn_readiness(context, readiness, stop.operators.clone())?;
+    let stop = stop.callers.clone();
+    if let Some(ingress) = ingress {
+        return spawn_ingress(listener, traffic, stop, limits, ingress);
     }
-    Ok(stop::Servers { callers, operators, peers, stop })
+    let gateway = Gateway::new(Arc::clone(context), parts.dispatcher, parts.coordinator);
+    let gateway = context.settings.roles.gateway.then_some(gateway);
+    spawn_gateway(listener, traffic, stop, limits, gateway)
 }
 
 fn start_store(context: &Context) -> Result<Option<Store>, StartError> {
@@ -167,13 +229,14 @@
     membership::start(Arc::clone(context), socket, StartMembership { member, seeds });
 }
 
-fn spawn_callers(
+/// Callers in the product's own form; refused where the node has no gateway role.
+fn spawn_gateway(
     listener: std::net::TcpListener,
     traffic: &Handle,
     stop: ServerStop,
     limits: SocketLimits,
     gateway: Option<Gateway>,
-) -> Result<tokio::task::JoinHandle<()>, StartError> {
+) -> Result<JoinHandle<()>, StartError> {
     let entered = traffic.enter();
     let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
     drop(entered);
@@ -196,7 +259,7 @@
     stop: ServerStop,
     limits: SocketLimits,
     ingress: Ingress,
-) -> Result<tokio::task::JoinHandle<()>, StartError> {
+) -> Result<JoinHandle<()>, StartError> {
     let entered = traffic.enter();
     let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
     drop(entered);
--- a/crates/daemon/src/node/listeners.rs
+++ b/crates/daemon/src/node/listeners.rs
@@ -1,4 +1,6 @@
-//! Binds a node's sockets.
+//! Binds a node's sockets, before any thread of it starts, so that an address that can't be had refuses the start.
+//!
+//! Owns the sockets until the control thread takes them. Peers' TCP and membership's UDP share one port.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -6,7 +8,8 @@
 use super::{NodeAddresses, StartError};
 use crate::settings::ListenAddresses;
 
-/// Tries to find a port that is free for both TCP and UDP.
+/// Tries to find a port that is free for both TCP and UDP, where the system chooses it. Chosen, not measured: fewer may
+/// fail on a machine with many sockets, where a try costs microseconds.
 const PORT_PAIR_TRIES: usize = 32;
 
 /// Sockets that listen, not yet bound to a runtime.
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,4 +1,7 @@
 //! Puts the parts of a node together: one thread for control state, others for traffic.
+//!
+//! Owns a node from its start to its end: `listeners` binds its sockets, `control` starts the parts, `peer_service` answers
+//! other nodes, `stop` is the planned stop. The only place, beside `operators`, that knows every part.
 
 mod control;
 mod listeners;
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -1,4 +1,7 @@
-//! Answers other nodes.
+//! Answers other nodes: the service behind the peers' port.
+//!
+//! Decides nothing: each request goes to the part that owns what it asks for. Relies on `protocol::transport` for frames;
+//! counts frames, bytes and connections that are closed for what arrived on them.
 
 use futures::StreamExt;
 use lichenpulley_core::identity::ShardId;
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a node (brief point 8): no request in flight is cut off.
+//! The planned stop of a node (promise P8): no request in flight is cut off.
 //!
 //! 1. New work is refused as not run; readiness fails, so load balancers look elsewhere.
 //! 2. The node leaves membership, so that its shards get other owners.
@@ -35,8 +35,8 @@
     }
 }
 
-/// Waits for the word to stop, then stops in order.
-pub(super) async fn when_told(context: &Context, servers: Servers) {
+/// Waits until a planned stop begins, then stops in order.
+pub(super) async fn on_notice(context: &Context, servers: Servers) {
     context.draining.cancelled().await;
     let notice = context.settings.stop.notice;
     log::info!(target: "node", "{} stops: new work is refused, what runs is finished.", context.node);
--- a/crates/daemon/src/operators/config.rs
+++ b/crates/daemon/src/operators/config.rs
@@ -1,4 +1,6 @@
-//! The settings tree: read it, explain a value, change a value.
+//! The settings tree of the product's own interface: read it, explain a value, change a value.
+//!
+//! Reads the snapshot in the context; changes go through [`crate::configuration::change`], which waits until they are in force.
 
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -15,10 +17,11 @@
 use crate::http::request::{query_parameter, read_json};
 use crate::http::{Body, response};
 
-/// Longest body of a change, in bytes.
+/// Longest body of a change, in bytes. Chosen, not measured: a change sets one value, and values are short.
 const CHANGE_LIMIT_BYTES: usize = 64 * 1024;
-/// When an operator may try again after the object API gave no answer, in milliseconds.
-const RETRY_AFTER_MS: u64 = 5_000;
+/// When an operator may try again after the object API gave no answer, in milliseconds. Chosen, not measured: shorter
+/// repeats changes against a platform that is away, longer keeps operators waiting after its return.
+const API_AWAY_RETRY_AFTER_MS: u64 = 5_000;
 
 /// Every value that is set.
 pub(super) fn whole(context: &Context) -> Response<Body> {
@@ -93,7 +96,7 @@
         ChangeError::Refused(_) | ChangeError::Unavailable | ChangeError::NoObjectApi => Execution::NotRun,
     });
     if matches!(error, ChangeError::Unavailable) {
-        body.retry_after_ms = Some(RETRY_AFTER_MS);
+        body.retry_after_ms = Some(API_AWAY_RETRY_AFTER_MS);
     }
     body
 }
--- a/crates/daemon/src/operators/decisions.rs
+++ b/crates/daemon/src/operators/decisions.rs
@@ -1,4 +1,6 @@
-//! The live stream of decisions.
+//! The live stream of decisions, one event a line, until the caller leaves or the node has stopped.
+//!
+//! Relies on [`crate::decisions`]; a caller that reads too slowly loses decisions, which shows as a jump in `sequence`.
 
 use hyper::Response;
 use tokio::sync::broadcast::error::RecvError;
--- a/crates/daemon/src/operators/drain.rs
+++ b/crates/daemon/src/operators/drain.rs
@@ -16,8 +16,9 @@
 use crate::directory::ReplicaEntry;
 use crate::http::{Body, response};
 
-/// Pause before an engine is asked again whether it has taken an order.
-const CONFIRMATION_PAUSE: Duration = Duration::from_millis(50);
+/// Pause before an engine is asked again whether it has taken an order. Chosen, not measured: longer delays the answer to
+/// the operator, shorter asks the engine more often.
+const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What an operator wants of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,11 +88,11 @@
         self.context.decisions.record(decision);
     }
 
-    /// The order is in the shard's log and is sent until the engine takes it. Waits for the engine's own word, so
-    /// that the answer never says more than what holds there.
+    /// The order is in the shard's log and is sent until the engine takes it. Waits until the engine itself
+    /// reports the role, so that the answer never says more than what holds there.
     async fn confirmed(&self, entry: ReplicaEntry, order: DrainOrder) -> Response<Body> {
-        let patience = self.context.settings.coordinator.call_timeout;
-        match timeout(patience, self.role_taken(entry.address, order.role(), patience)).await {
+        let limit = self.context.settings.coordinator.call_timeout;
+        match timeout(limit, self.role_taken(entry.address, order.role(), limit)).await {
             Ok(load) => response::json(StatusCode::OK, &OrderAccepted { replica: entry.replica, load }),
             Err(_) => not_confirmed(&entry.replica),
         }
@@ -106,7 +107,7 @@
                 Ok(_) => {}
                 Err(error) => log::info!(target: "operators", "A drain is not confirmed yet: {error}."),
             }
-            sleep(CONFIRMATION_PAUSE).await;
+            sleep(CONFIRMATION_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/daemon/src/operators/health.rs
+++ b/crates/daemon/src/operators/health.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics.
+//! Health, readiness and metrics: whether the process answers, whether the node takes new work, and its counters as text.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_protocol::error::ErrorBody;
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,4 +1,7 @@
-//! The operators' interface over HTTP.
+//! The operators' interface over HTTP: health, metrics, decisions, and the state and orders that `lichenpulley` asks for.
+//!
+//! Owns no state: it shows what the parts hold and hands orders to the part that carries them out. Like `node` it stands above
+//! all parts.
 
 mod config;
 mod decisions;
--- a/crates/daemon/src/suspension.rs
+++ b/crates/daemon/src/suspension.rs
@@ -1,7 +1,7 @@
-//! Finds out that the machine was suspended, and has what it watches read anew.
+//! Finds out that the machine was suspended, and has the platform's metadata read anew.
 //!
-//! Timers don't count a suspension: a watch that was held when it began waits on as though nothing had happened, though its answer may
-//! have been given and lost meanwhile.
+//! Timers don't count a suspension: a watch that was held when it began waits on as though nothing had happened, though its
+//! answer may have been given and lost meanwhile. Relies on [`crate::boot_clock`] to count what the steady clock does not.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,22 +13,24 @@
 use crate::boot_clock::{BootClock, BootInstant};
 use crate::context::Context;
 
-/// The pause between two looks at both clocks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Clocks that are read one after the other differ by less than this, also on a busy machine.
+/// The pause between two comparisons of both clocks. Chosen, not measured: a suspension is noticed within it after the
+/// machine wakes; shorter wakes an idle machine more often.
+const CLOCK_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A shorter difference of the clocks is no suspension. Chosen, not measured: more than a busy machine lets pass between
+/// two reads; too short reads all metadata anew for nothing, too long misses suspensions in which a watch was lost.
 const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
-/// Looks until the node has stopped.
+/// Compares the clocks until the node has stopped.
 pub fn start(context: &Context) {
     let context = Arc::clone(context);
     tokio::spawn(async move {
-        let mut looks = tokio::time::interval(LOOK_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut polls = tokio::time::interval(CLOCK_POLL_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut clocks = ClockPair::read(&context.boot_clock);
         loop {
             tokio::select! {
                 () = context.stopped.cancelled() => return,
-                _ = looks.tick() => {}
+                _ = polls.tick() => {}
             }
             let now = ClockPair::read(&context.boot_clock);
             let suspended = now.suspended_since(&clocks);
