--- a/crates/core/src/request/outcome.rs
+++ b/crates/core/src/request/outcome.rs
@@ -160,16 +160,7 @@
 
 /// Evidence that no engine admitted the request. Only [`NotRunLedger::prove`] makes one.
 #[derive(Debug)]
-pub struct NotRunProof {
-    engine_refusals: u32,
-}
-
-impl NotRunProof {
-    /// How many engines were written to; each refused before admission. Zero: nothing was written to any engine.
-    pub const fn engine_refusals(&self) -> u32 {
-        self.engine_refusals
-    }
-}
+pub struct NotRunProof(());
 
 /// A majority has granted the claim on a request's id to this execution.
 #[derive(Debug)]
@@ -184,30 +175,28 @@
 
 /// A request that no engine has admitted so far.
 #[derive(Debug)]
-pub struct NotRunLedger {
-    engine_refusals: u32,
-}
+pub struct NotRunLedger(());
 
 impl NotRunLedger {
     /// A repeatable request that has been sent nowhere.
     pub const fn repeatable() -> Self {
-        Self { engine_refusals: 0 }
+        Self(())
     }
 
     /// A request that may run at most once, whose id this execution has claimed: no other submission of the id
     /// has run or can.
     pub const fn claimed(_claim: ClaimGranted) -> Self {
-        Self { engine_refusals: 0 }
+        Self(())
     }
 
     /// To be called before the first byte of an attempt leaves for an engine.
     pub fn dispatch(self, attempt: AttemptId) -> Dispatched {
-        Dispatched { attempt, engine_refusals: self.engine_refusals }
+        Dispatched { attempt }
     }
 
     /// Ends the request as not run.
     pub const fn prove(self) -> NotRunProof {
-        NotRunProof { engine_refusals: self.engine_refusals }
+        NotRunProof(())
     }
 }
 
@@ -222,7 +211,6 @@
 #[derive(Debug)]
 pub struct Dispatched {
     attempt: AttemptId,
-    engine_refusals: u32,
 }
 
 impl Dispatched {
@@ -234,32 +222,23 @@
         if refusal.attempt != self.attempt {
             return Err(self.in_doubt());
         }
-        Ok(NotRunLedger { engine_refusals: self.engine_refusals.saturating_add(1) })
+        Ok(NotRunLedger(()))
     }
 
     /// The connection could not be opened, so that no byte left.
     pub fn nothing_written(self) -> NotRunLedger {
-        NotRunLedger { engine_refusals: self.engine_refusals }
+        NotRunLedger(())
     }
 
     /// The engine admitted the attempt, or nobody can tell.
     pub fn in_doubt(self) -> MayHaveRun {
-        MayHaveRun { first_attempt: self.attempt }
+        MayHaveRun(())
     }
 }
 
 /// A request that an engine may have admitted. There is no way back to [`NotRunLedger`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MayHaveRun {
-    first_attempt: AttemptId,
-}
-
-impl MayHaveRun {
-    /// The first attempt that may have been admitted.
-    pub const fn first_attempt(&self) -> &AttemptId {
-        &self.first_attempt
-    }
-}
+pub struct MayHaveRun(());
 
 /// What is known so far about where a request may have run.
 #[derive(Debug)]
@@ -306,7 +285,7 @@
         self.update(|ledger| match ledger {
             Self::NotRun(ledger) => Self::Dispatched(ledger.dispatch(attempt)),
             Self::Dispatched(dispatched) => Self::MayHaveRun(dispatched.in_doubt()),
-            Self::Unclaimed => Self::MayHaveRun(MayHaveRun { first_attempt: attempt }),
+            Self::Unclaimed => Self::MayHaveRun(MayHaveRun(())),
             doubtful @ Self::MayHaveRun(_) => doubtful,
         });
     }
@@ -350,7 +329,7 @@
 
     /// While the change runs, the ledger stands as in doubt.
     fn update(&mut self, change: impl FnOnce(Self) -> Self) {
-        let in_doubt = Self::MayHaveRun(MayHaveRun { first_attempt: AttemptId::new("") });
+        let in_doubt = Self::MayHaveRun(MayHaveRun(()));
         let ledger = std::mem::replace(self, in_doubt);
         *self = change(ledger);
     }
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -29,45 +29,6 @@
     }
 }
 
-/// A setting of the budget that can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum BudgetConfigError {
-    /// The ratio is out of bounds.
-    #[error("deposit_ratio is {0}; set it from 0.0 to 1.0")]
-    DepositRatio(f64),
-    /// The minimum is out of bounds.
-    #[error("minimum_per_second is {0}; set it from 0.0 to 1000.0")]
-    MinimumPerSecond(f64),
-    /// The window is zero.
-    #[error("window is zero; set it to a second or more")]
-    Window,
-    /// The bucket holds less than one retry.
-    #[error("most_saved is {0}; set it to 1.0 or more")]
-    MostSaved(f64),
-}
-
-impl BudgetConfig {
-    /// Checks each field.
-    ///
-    /// # Errors
-    /// Names the first field that can't be used, and its bounds.
-    pub fn validate(&self) -> Result<(), BudgetConfigError> {
-        if !(0.0..=1.0).contains(&self.deposit_ratio) {
-            return Err(BudgetConfigError::DepositRatio(self.deposit_ratio));
-        }
-        if !(0.0..=1_000.0).contains(&self.minimum_per_second) {
-            return Err(BudgetConfigError::MinimumPerSecond(self.minimum_per_second));
-        }
-        if self.window.is_zero() {
-            return Err(BudgetConfigError::Window);
-        }
-        if self.most_saved.is_nan() || self.most_saved < 1.0 {
-            return Err(BudgetConfigError::MostSaved(self.most_saved));
-        }
-        Ok(())
-    }
-}
-
 /// The retries that a pool has left.
 ///
 /// Invariant: retries over any time `t` are at most `most_saved + deposit_ratio * requests + minimum * t`.
@@ -79,7 +40,6 @@
 /// use lichenpulley_core::time::Timestamp;
 ///
 /// let config = BudgetConfig { deposit_ratio: 0.1, minimum_per_second: 0.0, ..BudgetConfig::default() };
-/// config.validate()?;
 /// let now = Timestamp::ORIGIN;
 /// let mut budget = RetryBudget::new(config, now);
 /// assert!(!budget.withdraw(now), "nothing was paid in");
@@ -96,7 +56,6 @@
 ///     budget.deposit(now);
 /// }
 /// assert!(!budget.withdraw(now + Duration::from_secs(60)));
-/// # Ok::<(), lichenpulley_core::retry::budget::BudgetConfigError>(())
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
--- a/crates/core/src/routing/concurrency.rs
+++ b/crates/core/src/routing/concurrency.rs
@@ -39,49 +39,6 @@
     }
 }
 
-/// A setting of the limit that can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum ConcurrencyConfigError {
-    /// The bounds are in the wrong order.
-    #[error(
-        "minimum is {minimum}, initial {initial}, maximum {maximum}; set 1 <= minimum <= initial <= maximum"
-    )]
-    Bounds {
-        /// The minimum.
-        minimum: u32,
-        /// The initial limit.
-        initial: u32,
-        /// The maximum.
-        maximum: u32,
-    },
-    /// The reserve leaves nothing to rollouts, or is no share.
-    #[error("live_reserve_percent is {0}; set it from 0 to 90")]
-    LiveReserve(u8),
-    /// The ratio is too low.
-    #[error("congestion_ratio is {0}; set it above 1.0")]
-    CongestionRatio(f64),
-}
-
-impl ConcurrencyConfig {
-    /// Checks each field.
-    ///
-    /// # Errors
-    /// Names the first field that can't be used, and its bounds.
-    pub fn validate(&self) -> Result<(), ConcurrencyConfigError> {
-        let Self { initial, minimum, maximum, .. } = *self;
-        if minimum == 0 || initial < minimum || maximum < initial {
-            return Err(ConcurrencyConfigError::Bounds { minimum, initial, maximum });
-        }
-        if self.live_reserve_percent > MAX_RESERVED_PERCENT {
-            return Err(ConcurrencyConfigError::LiveReserve(self.live_reserve_percent));
-        }
-        if self.congestion_ratio.is_nan() || self.congestion_ratio <= 1.0 {
-            return Err(ConcurrencyConfigError::CongestionRatio(self.congestion_ratio));
-        }
-        Ok(())
-    }
-}
-
 /// Share of the limit that is kept at a decrease.
 const DECREASE: f64 = 0.8;
 /// At most one decrease in this time: one congestion shows in many requests.
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::retry::backoff::Backoff;
-use lichenpulley_core::retry::budget::{BudgetConfig, BudgetConfigError, RetryBudget};
+use lichenpulley_core::retry::budget::{BudgetConfig, RetryBudget};
 use lichenpulley_core::retry::drain_rate::DrainRate;
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
@@ -58,12 +58,3 @@
     let later = now + Duration::from_secs(20);
     assert!(rate.retry_after(later, 9) > soon, "a pool that has stopped draining asks callers back later");
 }
-
-#[test]
-fn settings_out_of_bounds_are_named() {
-    let config = BudgetConfig { deposit_ratio: 1.5, ..BudgetConfig::default() };
-    assert_eq!(config.validate(), Err(BudgetConfigError::DepositRatio(1.5)));
-    let config = BudgetConfig { window: Duration::ZERO, ..BudgetConfig::default() };
-    assert_eq!(config.validate(), Err(BudgetConfigError::Window));
-    assert_eq!(BudgetConfig::default().validate(), Ok(()));
-}
