--- /dev/null
+++ b/crates/core/src/ingress/selection.rs
@@ -0,0 +1,179 @@
+//! Which replica a request is sent to now, or why there is none. Used for plain requests and streams.
+//!
+//! Inputs: what the request allows ([`SelectionQuery`]), the replicas as they are listed, the evacuated zones and the
+//! time. Order of the rules: the node must know which zones are evacuated; the request must not be quarantined; a
+//! candidate serves the service, is not draining, was not tried, stands in an allowed region, and the admission gate is
+//! open for it (not evacuated, and not cold beyond this node's share). Among the candidates the chooser takes the one
+//! with the least expected time to answer.
+//!
+//! Owns the gate and the chooser, and with them all that this node observed of replicas. Relies on its caller for the
+//! clock and the random number, and for reporting each request's end by [`ReplicaSelector::ended`]. Sets no figure of
+//! its own: see [`super::chooser`], [`super::admission`] and [`super::warmups`].
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::admission::{Admission, AdmissionGate, EvacuatedZones};
+use super::chooser::{ReplicaChooser, ReplicaFeedback};
+use super::places::{AllowedRegions, ZoneMap};
+use super::replicas::{ReplicaRecord, ReplicaTable};
+use super::warmups::Warmups;
+use crate::time::Timestamp;
+
+/// Why no replica can be sent a request now. Where several reasons hold, the greatest one counts: it says what would have
+/// to end first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum NoCandidate {
+    /// This node does not know yet which zones are evacuated.
+    EvacuationsUnknown,
+    /// None of the service is listed, or all were tried.
+    NoReplica,
+    /// None stands in a region in which the request may be served.
+    OutsideRegions,
+    /// All stand in zones that are evacuated.
+    Evacuated,
+    /// Some are cold; this node may send to one of them after this time.
+    Warming(Duration),
+    /// Replicas ended while the request ran there: it is sent to no other.
+    Quarantined,
+}
+
+impl NoCandidate {
+    /// The name used in logs and metrics.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            Self::EvacuationsUnknown => "evacuations_unknown",
+            Self::NoReplica => "no_replica",
+            Self::OutsideRegions => "outside_regions",
+            Self::Evacuated => "evacuated",
+            Self::Warming(_) => "warming",
+            Self::Quarantined => "quarantined",
+        }
+    }
+
+    /// The reason where one more replica is not admitted. Of several cold ones the soonest counts.
+    fn or_not_admitted(self, admission: Admission, now: Timestamp) -> Self {
+        match (admission, self) {
+            (Admission::Open, _) => self,
+            (Admission::Evacuated, _) => self.max(Self::Evacuated),
+            (Admission::Warming(until), Self::Warming(other)) => {
+                Self::Warming(other.min(until.saturating_since(now)))
+            }
+            (Admission::Warming(until), _) => Self::Warming(until.saturating_since(now)),
+        }
+    }
+}
+
+/// What a request allows.
+#[derive(Clone, Copy, Debug)]
+pub struct SelectionQuery<'a> {
+    /// The service that it goes to.
+    pub service: &'a str,
+    /// The regions in which it may be served.
+    pub regions: &'a AllowedRegions,
+    /// Which region each zone lies in.
+    pub zones: &'a ZoneMap,
+    /// Ids of the replicas that it was sent to already.
+    pub tried: &'a [String],
+    /// Whether it must reach no replica, since replicas ended while it ran there.
+    pub is_quarantined: bool,
+}
+
+impl SelectionQuery<'_> {
+    fn allows(&self, replica: &ReplicaRecord) -> bool {
+        self.regions.allows_zone(self.zones, &replica.zone)
+    }
+}
+
+/// A replica that was chosen; the request counts there until [`ReplicaSelector::ended`].
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SelectedReplica {
+    /// Its record.
+    pub record: ReplicaRecord,
+    /// Whether it was cold when it was chosen.
+    pub is_cold: bool,
+}
+
+/// Selects replicas for the requests of one gateway.
+#[derive(Clone, Debug)]
+pub struct ReplicaSelector {
+    chooser: ReplicaChooser,
+    gate: AdmissionGate,
+}
+
+impl ReplicaSelector {
+    /// A selector that has observed no replica, with these cold ones.
+    pub fn new(warmups: Warmups) -> Self {
+        Self { chooser: ReplicaChooser::default(), gate: AdmissionGate::new(warmups) }
+    }
+
+    /// The gate that admits requests to replicas.
+    pub const fn gate(&self) -> &AdmissionGate {
+        &self.gate
+    }
+
+    /// The gate, to pass it what is known of zones, services and gateways.
+    pub const fn gate_mut(&mut self) -> &mut AdmissionGate {
+        &mut self.gate
+    }
+
+    /// Selects a replica among those of `table` and counts the request there. `evacuated` is `None` while the node does
+    /// not know which zones are evacuated. `random` decides among replicas that are expected to answer equally soon.
+    ///
+    /// # Errors
+    /// When no replica can be sent the request now.
+    pub fn select(
+        &mut self,
+        query: &SelectionQuery<'_>,
+        table: &ReplicaTable,
+        evacuated: Option<Arc<EvacuatedZones>>,
+        now: Timestamp,
+        random: u64,
+    ) -> Result<SelectedReplica, NoCandidate> {
+        if query.is_quarantined {
+            return Err(NoCandidate::Quarantined);
+        }
+        let evacuated = evacuated.ok_or(NoCandidate::EvacuationsUnknown)?;
+        self.gate.set_evacuated(evacuated, now);
+        self.chooser.retain_listed(table);
+        let candidates = self.candidates(query, table, now)?;
+        let best = self.chooser.best_of(candidates, now, random);
+        let record = best.ok_or(NoCandidate::NoReplica)?.clone();
+        self.gate.sent(&record, now);
+        self.chooser.sent(&record.id);
+        let is_cold = self.gate.is_cold(&record.id, now);
+        Ok(SelectedReplica { record, is_cold })
+    }
+
+    /// The replicas that the request may be sent to; at least one.
+    fn candidates<'a>(
+        &self,
+        query: &SelectionQuery<'a>,
+        table: &'a ReplicaTable,
+        now: Timestamp,
+    ) -> Result<Vec<&'a ReplicaRecord>, NoCandidate> {
+        let has_allowed =
+            query.regions.is_all() || table.ready(query.service).any(|record| query.allows(record));
+        let mut reason = if has_allowed { NoCandidate::NoReplica } else { NoCandidate::OutsideRegions };
+        let mut candidates = Vec::new();
+        let untried = table.ready(query.service).filter(|record| !query.tried.contains(&record.id));
+        for record in untried.filter(|record| query.allows(record)) {
+            let admission = self.gate.judge(record, now);
+            reason = reason.or_not_admitted(admission, now);
+            if admission.is_open() {
+                candidates.push(record);
+            }
+        }
+        if candidates.is_empty() { Err(reason) } else { Ok(candidates) }
+    }
+
+    /// A replica reported how many requests it runs and has waiting.
+    pub fn reported(&mut self, replica: &str, busy: u32, now: Timestamp) {
+        self.chooser.reported(replica, busy, now);
+    }
+
+    /// A request that was counted at a replica has ended.
+    pub fn ended(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
+        self.chooser.ended(replica, feedback, now);
+    }
+}
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -4,8 +4,9 @@
 use std::time::Duration;
 
 use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
+use lichenpulley_core::ingress::chooser::{ReplicaChooser, ReplicaFeedback};
 use lichenpulley_core::ingress::places::AllowedRegions;
-use lichenpulley_core::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord, ReplicaTable};
+use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
 use lichenpulley_core::ingress::routes::{Limits, Route, RouteKind, RouteTable, WeightedService};
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
@@ -119,6 +120,18 @@
     ReplicaTable { records: records.into_iter().map(|record| (record.id.clone(), record)).collect() }
 }
 
+/// Chooses among the replicas of service `a` that take new work and are not among `tried`.
+fn choose<'a>(
+    chooser: &ReplicaChooser,
+    table: &'a ReplicaTable,
+    tried: &[String],
+    now: Timestamp,
+    random: u64,
+) -> Option<&'a ReplicaRecord> {
+    let untried = table.ready("a").filter(|record| !tried.contains(&record.id));
+    chooser.best_of(untried.collect(), now, random)
+}
+
 #[test]
 fn a_draining_a_silent_or_a_slow_replica_gets_nothing_while_another_can_be_had() {
     let mut leaving = replica("leaving");
@@ -135,14 +148,14 @@
         chooser.ended(id, feedback, now);
     }
     for random in 0..16 {
-        let chosen = chooser.choose(&table, "a", &[], now, random).expect("a replica");
+        let chosen = choose(&chooser, &table, &[], now, random).expect("a replica");
         assert_eq!(chosen.id, "good");
     }
     let tried = ["good".to_owned(), "slow".to_owned()];
-    let last = chooser.choose(&table, "a", &tried, now, 0).expect("a replica");
+    let last = choose(&chooser, &table, &tried, now, 0).expect("a replica");
     assert_eq!(last.id, "silent", "better than none");
     let later = now + Duration::from_secs(10);
-    let chosen = chooser.choose(&table, "a", &tried, later, 0);
+    let chosen = choose(&chooser, &table, &tried, later, 0);
     assert_eq!(chosen.map(|chosen| chosen.id.as_str()), Some("silent"));
 }
 
@@ -153,7 +166,7 @@
     let mut chooser = ReplicaChooser::default();
     chooser.reported("full", 12, now);
     for random in 0..8 {
-        assert_eq!(chooser.choose(&table, "a", &[], now, random).expect("a replica").id, "free");
+        assert_eq!(choose(&chooser, &table, &[], now, random).expect("a replica").id, "free");
     }
 }
 
@@ -165,7 +178,7 @@
     chooser.ended("other", ReplicaFeedback::Answered(Duration::from_millis(30)), now);
     chooser.ended("cold", ReplicaFeedback::Silent, now);
     let chosen =
-        |chooser: &ReplicaChooser| chooser.choose(&table, "a", &[], now, 0).map(|record| record.id.clone());
+        |chooser: &ReplicaChooser| choose(chooser, &table, &[], now, 0).map(|record| record.id.clone());
     assert_eq!(chosen(&chooser).as_deref(), Some("other"));
     chooser.ended("cold", ReplicaFeedback::AnsweredCold, now);
     assert_eq!(chosen(&chooser).as_deref(), Some("cold"), "as one that was never measured");
--- /dev/null
+++ b/crates/core/tests/selection.rs
@@ -0,0 +1,196 @@
+//! Which replica a request is sent to: the order of the rules, and the reason where none can be had.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use lichenpulley_core::identity::{NodeId, RegionName};
+use lichenpulley_core::ingress::admission::EvacuatedZones;
+use lichenpulley_core::ingress::chooser::ReplicaFeedback;
+use lichenpulley_core::ingress::places::{AllowedRegions, ZoneMap};
+use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
+use lichenpulley_core::ingress::routes::{ColdBounds, Limits, RouteTable, Service};
+use lichenpulley_core::ingress::selection::{NoCandidate, ReplicaSelector, SelectedReplica, SelectionQuery};
+use lichenpulley_core::ingress::warming_share::GatewayOrder;
+use lichenpulley_core::ingress::warmups::Warmups;
+use lichenpulley_core::time::Timestamp;
+
+const NOW: Timestamp = Timestamp::from_millis(10_000);
+/// How long the cold replicas of these tests are cold.
+const COLD: Duration = Duration::from_secs(8);
+
+fn replica(id: &str, zone: &str) -> ReplicaRecord {
+    ReplicaRecord {
+        id: id.to_owned(),
+        name: id.to_owned(),
+        service: "a".to_owned(),
+        address: "127.0.0.1:9".parse().expect("an address"),
+        zone: zone.to_owned(),
+        slots: 4,
+        is_draining: false,
+        models: BTreeMap::new(),
+        cold_left: Duration::ZERO,
+    }
+}
+
+fn cold(id: &str, zone: &str, left: Duration) -> ReplicaRecord {
+    ReplicaRecord { cold_left: left, ..replica(id, zone) }
+}
+
+fn table(records: Vec<ReplicaRecord>) -> ReplicaTable {
+    ReplicaTable { records: records.into_iter().map(|record| (record.id.clone(), record)).collect() }
+}
+
+/// Zone `east` lies in region `e`, zone `west` in region `w`.
+fn zones() -> ZoneMap {
+    let zone = |zone: &str, region: &str| (zone.to_owned(), RegionName::new(region));
+    ZoneMap::new(BTreeMap::from([zone("east", "e"), zone("west", "w")]))
+}
+
+fn evacuated(names: &[&str]) -> Option<Arc<EvacuatedZones>> {
+    let zones: BTreeSet<String> = names.iter().map(|name| (*name).to_owned()).collect();
+    Some(Arc::new(EvacuatedZones { zones }))
+}
+
+/// A selector of the only gateway, whose service `a` has cold bounds.
+fn selector() -> ReplicaSelector {
+    let service = Service {
+        slots: 4,
+        memory_tokens: None,
+        models: Vec::new(),
+        scaling: None,
+        cold: Some(ColdBounds { per_second: 10.0, lasts: COLD }),
+    };
+    let limits = Limits { header_bytes: 1, body_bytes: 1, header_timeout: COLD, idle_timeout: COLD };
+    let services = BTreeMap::from([("a".to_owned(), service)]);
+    let routes = RouteTable { version: 1, routes: Vec::new(), services, limits, tenants: None };
+    let order = GatewayOrder::new(NodeId::new("gateway"), Timestamp::ORIGIN);
+    let mut warmups = Warmups::of_gateway(order, Timestamp::ORIGIN);
+    warmups.set_routes(&routes);
+    ReplicaSelector::new(warmups)
+}
+
+/// Selects with the zones evacuated that are named, in any region, nothing tried.
+fn select(
+    selector: &mut ReplicaSelector,
+    table: &ReplicaTable,
+    zones_evacuated: &[&str],
+) -> Result<SelectedReplica, NoCandidate> {
+    select_for(selector, table, zones_evacuated, &AllowedRegions::all(), &[])
+}
+
+fn select_for(
+    selector: &mut ReplicaSelector,
+    table: &ReplicaTable,
+    zones_evacuated: &[&str],
+    regions: &AllowedRegions,
+    tried: &[String],
+) -> Result<SelectedReplica, NoCandidate> {
+    let zones = zones();
+    let query = SelectionQuery { service: "a", regions, zones: &zones, tried, is_quarantined: false };
+    selector.select(&query, table, evacuated(zones_evacuated), NOW, 0)
+}
+
+fn only(region: &str) -> AllowedRegions {
+    AllowedRegions::of([RegionName::new(region)])
+}
+
+fn id(selected: &Result<SelectedReplica, NoCandidate>) -> Option<&str> {
+    selected.as_ref().ok().map(|selected| selected.record.id.as_str())
+}
+
+#[test]
+fn a_quarantined_request_gets_no_replica_whatever_else_holds() {
+    let (zones, regions) = (zones(), AllowedRegions::all());
+    let query =
+        SelectionQuery { service: "a", regions: &regions, zones: &zones, tried: &[], is_quarantined: true };
+    let table = table(vec![replica("east", "east")]);
+    for known in [None, evacuated(&[])] {
+        let selected = selector().select(&query, &table, known, NOW, 0);
+        assert_eq!(selected, Err(NoCandidate::Quarantined));
+    }
+}
+
+#[test]
+fn nothing_is_sent_before_the_evacuated_zones_are_known() {
+    let (zones, regions) = (zones(), AllowedRegions::all());
+    let query =
+        SelectionQuery { service: "a", regions: &regions, zones: &zones, tried: &[], is_quarantined: false };
+    let table = table(vec![replica("east", "east")]);
+    let mut selector = selector();
+    assert_eq!(selector.select(&query, &table, None, NOW, 0), Err(NoCandidate::EvacuationsUnknown));
+    assert_eq!(id(&selector.select(&query, &table, evacuated(&[]), NOW, 0)), Some("east"));
+}
+
+#[test]
+fn a_candidate_serves_the_service_and_neither_drains_nor_was_tried() {
+    let mut other = replica("other", "east");
+    other.service = "b".to_owned();
+    let mut draining = replica("draining", "east");
+    draining.is_draining = true;
+    let table = table(vec![other, draining, replica("tried", "east"), replica("good", "west")]);
+    let (mut selector, all) = (selector(), AllowedRegions::all());
+    let mut tried = vec!["tried".to_owned()];
+    assert_eq!(id(&select_for(&mut selector, &table, &[], &all, &tried)), Some("good"));
+    tried.push("good".to_owned());
+    let selected = select_for(&mut selector, &table, &[], &all, &tried);
+    assert_eq!(selected, Err(NoCandidate::NoReplica));
+}
+
+#[test]
+fn only_allowed_regions_count_and_the_reason_tells_none_there_from_all_tried() {
+    let table = table(vec![replica("east", "east"), replica("nowhere", "unlisted")]);
+    let mut selector = selector();
+    assert_eq!(id(&select_for(&mut selector, &table, &[], &only("e"), &[])), Some("east"));
+    let selected = select_for(&mut selector, &table, &[], &only("w"), &[]);
+    assert_eq!(selected, Err(NoCandidate::OutsideRegions));
+    let selected = select_for(&mut selector, &table, &[], &only("e"), &["east".to_owned()]);
+    assert_eq!(selected, Err(NoCandidate::NoReplica), "there is one in the region");
+}
+
+#[test]
+fn a_replica_in_an_evacuated_zone_is_never_selected() {
+    let table = table(vec![replica("east", "east"), replica("west", "west")]);
+    let mut selector = selector();
+    for _ in 0..8 {
+        assert_eq!(id(&select(&mut selector, &table, &["east"])), Some("west"), "however busy");
+    }
+    assert_eq!(select(&mut selector, &table, &["east", "west"]), Err(NoCandidate::Evacuated));
+}
+
+#[test]
+fn of_cold_replicas_the_one_that_opens_first_gives_the_time_and_outweighs_evacuation() {
+    let (soon, late) = (Duration::from_secs(2), Duration::from_secs(5));
+    let table = table(vec![cold("late", "east", late), cold("soon", "east", soon), replica("west", "west")]);
+    let mut selector = selector();
+    assert_eq!(id(&select(&mut selector, &table, &[])), Some("west"), "the warm one");
+    assert_eq!(select(&mut selector, &table, &["west"]), Err(NoCandidate::Warming(soon)));
+}
+
+#[test]
+fn a_selected_request_counts_at_its_replica_until_it_has_ended() {
+    let table = table(vec![replica("left", "east"), replica("right", "east")]);
+    let mut selector = selector();
+    let first = select(&mut selector, &table, &[]).expect("a replica").record.id;
+    let second = select(&mut selector, &table, &[]).expect("a replica").record.id;
+    assert_ne!(first, second, "the idle one is expected to answer sooner");
+    selector.ended(&first, ReplicaFeedback::Abandoned, NOW);
+    assert_eq!(id(&select(&mut selector, &table, &[])), Some(first.as_str()));
+}
+
+#[test]
+fn a_cold_replica_is_selected_once_and_then_held_back_for_the_interval_of_this_gateways_share() {
+    let mut selector = selector();
+    let records = vec![cold("cold", "east", COLD)];
+    let order = selector.gate_mut().warmups_mut().order_mut().expect("a gateway's order");
+    for at in [Timestamp::ORIGIN, Timestamp::from_millis(6_000)] {
+        order.observe([&NodeId::new("gateway")].into_iter(), true, at);
+    }
+    selector.gate_mut().warmups_mut().set_replicas(records.iter(), NOW);
+    let table = table(records);
+    let selected = select(&mut selector, &table, &[]).expect("a replica");
+    assert!(selected.is_cold);
+    // Ten requests a second for up to ten gateways: one each in the window of 1.3 s.
+    let again = select(&mut selector, &table, &[]);
+    assert_eq!(again, Err(NoCandidate::Warming(Duration::from_millis(1_300))));
+}
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -12,6 +12,7 @@
 use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
 use lichenpulley_core::ingress::places::AllowedRegions;
 use lichenpulley_core::ingress::routes::{Route, RouteTable};
+use lichenpulley_core::ingress::selection::NoCandidate;
 use lichenpulley_core::quarantine::{Fingerprint, RequestContent};
 use lichenpulley_core::retry::attempt_timeout;
 use lichenpulley_platform::headers as names;
@@ -20,7 +21,7 @@
 use super::callers::Caller;
 use super::pool::{Exchange, SendError};
 use super::refusal::Refusal;
-use super::{CONNECT_TIMEOUT, Ingress, Nowhere, Visit, headers};
+use super::{CONNECT_TIMEOUT, InFlightRequest, Ingress, headers};
 use crate::duties::RunCount;
 use crate::http::{Body, response};
 use crate::metrics::Latency;
@@ -32,7 +33,7 @@
 const ANSWER_LIMIT_BYTES: usize = 64 << 20;
 
 /// A caller's request, read whole.
-pub(super) struct Call {
+pub(super) struct CallerRequest {
     pub(super) parts: Parts,
     pub(super) body: Bytes,
     pub(super) request_id: Option<String>,
@@ -53,7 +54,7 @@
     configuration: u64,
 }
 
-impl Call {
+impl CallerRequest {
     /// Reads a request whole and picks the service that it goes to.
     pub(super) async fn read(
         ingress: &Ingress,
@@ -133,14 +134,21 @@
     }
 
     /// Shows a decision about this request, with what it rests on.
-    pub(super) fn record(&self, ingress: &Ingress, visit: &Visit, action: &str, reason: &str, sends: usize) {
+    pub(super) fn record(
+        &self,
+        ingress: &Ingress,
+        in_flight: &InFlightRequest,
+        action: &str,
+        reason: &str,
+        sends: usize,
+    ) {
         let subject = self.request_id.as_deref().unwrap_or("-");
         let decision = Decision::new(Component::Request, action, reason, subject)
-            .with("replica", &visit.replica.id)
+            .with("replica", &in_flight.replica.id)
             .with("service", &self.service)
             .with("tenant", self.caller.tenant().map_or("none", TenantName::as_str))
             .with("sends", sends)
-            .with("milliseconds", visit.began.elapsed().as_millis())
+            .with("milliseconds", in_flight.began.elapsed().as_millis())
             .with("remaining_ms", self.remaining().as_millis())
             .with("configuration", self.configuration)
             .with("fingerprint", self.fingerprint);
@@ -152,12 +160,12 @@
     }
 
     /// The answer where no replica can be sent the request, with what the refusal rests on.
-    pub(super) fn refuse_nowhere(&self, ingress: &Ingress, nowhere: Nowhere) -> Response<Body> {
+    pub(super) fn refuse_no_candidate(&self, ingress: &Ingress, no_candidate: NoCandidate) -> Response<Body> {
         let subject = self.request_id.as_deref().unwrap_or("-");
-        let decision = Decision::new(Component::Request, "nowhere_to_send", nowhere.as_str(), subject);
+        let decision = Decision::new(Component::Request, "nowhere_to_send", no_candidate.as_str(), subject);
         let decision = decision.with("service", &self.service).with("fingerprint", self.fingerprint);
         ingress.context.decisions.record(decision);
-        self.refuse(ingress, nowhere.into())
+        self.refuse(ingress, no_candidate.into())
     }
 
     pub(super) fn refuse(&self, ingress: &Ingress, refusal: Refusal) -> Response<Body> {
@@ -223,7 +231,7 @@
     caller: Caller,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let mut call = match Call::read(ingress, table, route, caller, request).await {
+    let mut call = match CallerRequest::read(ingress, table, route, caller, request).await {
         Ok(call) => call,
         Err(refusal) => return refusal,
     };
@@ -231,40 +239,40 @@
     let mut attempts = Attempts::new(route.is_repeatable(), max_sends);
     let mut tried = Vec::new();
     loop {
-        let mut visit = match ingress.visit(&call, &tried) {
-            Ok(visit) => visit,
-            Err(nowhere) if is_reason(nowhere, &tried, &attempts) => {
-                return call.refuse_nowhere(ingress, nowhere);
+        let mut in_flight = match ingress.select(&call, &tried) {
+            Ok(in_flight) => in_flight,
+            Err(no_candidate) if is_reason(no_candidate, &tried, &attempts) => {
+                return call.refuse_no_candidate(ingress, no_candidate);
             }
             Err(_) => return call.refuse(ingress, given_up(attempts.give_up(), &call)),
         };
-        tried.push(visit.replica.id.clone());
+        tried.push(in_flight.replica.id.clone());
         let may_try_another = route.is_repeatable() && !attempts.is_last();
         let timeout = attempt_timeout::of_request(call.remaining(), may_try_another);
-        let sent = send(ingress, &call, &mut visit, !route.is_repeatable(), timeout).await;
+        let sent = send(ingress, &call, &mut in_flight, !route.is_repeatable(), timeout).await;
         let (outcome, answer) = sent;
         match (attempts.after(outcome, call.remaining()), answer) {
             (Next::Answer, Some(answer)) => {
-                call.record(ingress, &visit, "answered", answer.status.as_str(), tried.len());
+                call.record(ingress, &in_flight, "answered", answer.status.as_str(), tried.len());
                 return pass_back(answer);
             }
             (Next::TryAnother, _) => {
-                call.record(ingress, &visit, "tried_another", outcome.as_str(), tried.len())
+                call.record(ingress, &in_flight, "tried_another", outcome.as_str(), tried.len())
             }
             (next, _) => {
-                call.record(ingress, &visit, "given_up", outcome.as_str(), tried.len());
+                call.record(ingress, &in_flight, "given_up", outcome.as_str(), tried.len());
                 return call.refuse(ingress, given_up(next, &call));
             }
         }
     }
 }
 
-/// Whether it is the whole reason for a refusal that there is nowhere to send a request: it was not sent, or is held back and has not run.
-pub(super) fn is_reason(nowhere: Nowhere, tried: &[String], attempts: &Attempts) -> bool {
-    tried.is_empty() || (nowhere == Nowhere::Quarantined && attempts.give_up() == Next::GiveUpNotRun)
+/// Whether it is the whole reason for a refusal that there is no_candidate to send a request: it was not sent, or is held back and has not run.
+pub(super) fn is_reason(no_candidate: NoCandidate, tried: &[String], attempts: &Attempts) -> bool {
+    tried.is_empty() || (no_candidate == NoCandidate::Quarantined && attempts.give_up() == Next::GiveUpNotRun)
 }
 
-fn given_up(next: Next, call: &Call) -> Refusal {
+fn given_up(next: Next, call: &CallerRequest) -> Refusal {
     match next {
         Next::GiveUpNotRun => Refusal::NotRun,
         _ if call.remaining().is_zero() => Refusal::TimedOut,
@@ -274,16 +282,16 @@
 
 async fn send(
     ingress: &Ingress,
-    call: &Call,
-    visit: &mut Visit,
+    call: &CallerRequest,
+    in_flight: &mut InFlightRequest,
     needs_fresh: bool,
     timeout: Duration,
 ) -> (SendOutcome, Option<WholeAnswer>) {
     let limit = Instant::now() + timeout;
-    let request = call.build(&visit.replica.name, None);
+    let request = call.build(&in_flight.replica.name, None);
     let mut count = RunCount::begin(&ingress.context, call.caller.tenant());
     let connect_timeout = CONNECT_TIMEOUT.min(timeout);
-    let replica = visit.replica.clone();
+    let replica = in_flight.replica.clone();
     let may_send = || ingress.may_send(call, &replica);
     let sent = ingress.pool.send(&replica, request, needs_fresh, connect_timeout, may_send);
     let exchange = match tokio::time::timeout_at(limit, sent).await {
@@ -292,14 +300,14 @@
             if error != SendError::Broken {
                 count.has_not_run();
             }
-            return (visit.got_no_answer(error).await, None);
+            return (in_flight.got_no_answer(error).await, None);
         }
         Err(_) => {
-            visit.was_silent();
+            in_flight.was_silent();
             return (SendOutcome::TimedOut, None);
         }
     };
-    let (outcome, answer) = read_answer(ingress, call, visit, exchange, limit).await;
+    let (outcome, answer) = read_answer(ingress, call, in_flight, exchange, limit).await;
     if outcome == SendOutcome::Rejected {
         count.has_not_run();
     }
@@ -308,27 +316,27 @@
 
 async fn read_answer(
     ingress: &Ingress,
-    call: &Call,
-    visit: &mut Visit,
+    call: &CallerRequest,
+    in_flight: &mut InFlightRequest,
     exchange: Exchange,
     limit: Instant,
 ) -> (SendOutcome, Option<WholeAnswer>) {
     let Exchange { response, connection } = exchange;
     let (head, body) = response.into_parts();
     if let Some(busy) = headers::reported_busy(&head.headers) {
-        ingress.reported(&visit.replica.id, busy);
+        ingress.reported(&in_flight.replica.id, busy);
     }
     let is_own = headers::echoes(&head.headers, call.request_id.as_deref());
     let body = tokio::time::timeout_at(limit, Limited::new(body, ANSWER_LIMIT_BYTES).collect()).await;
     let body = match body {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
-            visit.was_silent();
-            visit.run.broke().await;
+            in_flight.was_silent();
+            in_flight.run.broke().await;
             return (SendOutcome::Broken, None);
         }
         Err(_) => {
-            visit.was_silent();
+            in_flight.was_silent();
             return (SendOutcome::TimedOut, None);
         }
     };
@@ -338,10 +346,10 @@
     ingress.pool.give_back(connection, &head.headers);
     let outcome = judge(head.status, &head.headers);
     match outcome {
-        SendOutcome::Rejected => visit.was_full(),
+        SendOutcome::Rejected => in_flight.was_full(),
         _ => {
-            visit.answered();
-            visit.run.ended_whole();
+            in_flight.answered();
+            in_flight.run.ended_whole();
         }
     }
     let answer = WholeAnswer { status: head.status, headers: head.headers, body: body.to_bytes() };
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -20,10 +20,11 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use lichenpulley_core::identity::NodeId;
-use lichenpulley_core::ingress::admission::{Admission, AdmissionGate};
 use lichenpulley_core::ingress::attempts::SendOutcome;
-use lichenpulley_core::ingress::replicas::{ReplicaChooser, ReplicaFeedback, ReplicaRecord, ReplicaTable};
+use lichenpulley_core::ingress::chooser::ReplicaFeedback;
+use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
 use lichenpulley_core::ingress::routes::{Limits, RouteKind, RouteTable};
+use lichenpulley_core::ingress::selection::{NoCandidate, ReplicaSelector, SelectedReplica, SelectionQuery};
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
 use lichenpulley_core::ingress::warmups::Warmups;
 use lichenpulley_core::quarantine::RunSender;
@@ -36,52 +37,34 @@
 use crate::http::Body;
 use crate::quarantine::TracedRun;
 use callers::Caller;
-use forward::Call;
+use forward::CallerRequest;
 use pool::{ReplicaPool, SendError};
 use refusal::Refusal;
 
-/// What decides where a request goes.
-struct ReplicaChoice {
-    chooser: ReplicaChooser,
-    gate: AdmissionGate,
-    /// The configuration whose bounds the gate holds.
+/// The selector of replicas with the lists that it was given last. Locked for single steps, never across a wait.
+struct SelectionState {
+    selector: ReplicaSelector,
+    /// The configuration whose cold bounds the selector holds.
     routes: Option<Arc<RouteTable>>,
-    /// The replicas that the gate was told of last.
+    /// The replicas that the selector was given last.
     replicas: Arc<ReplicaTable>,
 }
 
-impl ReplicaChoice {
+impl SelectionState {
     fn new(node: &NodeId) -> Self {
         let order = GatewayOrder::new(node.clone(), Timestamp::ORIGIN);
-        let gate = AdmissionGate::new(Warmups::of_gateway(order, Timestamp::ORIGIN));
-        Self { chooser: ReplicaChooser::default(), gate, routes: None, replicas: Arc::default() }
+        let selector = ReplicaSelector::new(Warmups::of_gateway(order, Timestamp::ORIGIN));
+        Self { selector, routes: None, replicas: Arc::default() }
     }
 }
 
-/// Why no replica can be sent a request now. The greatest one tells what would have to end first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Nowhere {
-    /// This node does not know yet which zones are evacuated.
-    EvacuationsUnknown,
-    /// None of the service is listed, or all were tried.
-    NoReplica,
-    /// None stands in a region in which the request may be served.
-    OutsideRegions,
-    /// All stand in zones that are evacuated.
-    Evacuated,
-    /// Some are cold; this node may send to one of them after so long.
-    Warming(Duration),
-    /// Replicas ended under the request: it is sent to no other.
-    Quarantined,
-}
-
 /// Serves callers. Cheap to clone.
 #[derive(Clone)]
 pub struct Ingress {
     context: Context,
     pool: ReplicaPool,
     batch: BatchJobs,
-    choice: Arc<Mutex<ReplicaChoice>>,
+    selection: Arc<Mutex<SelectionState>>,
     /// Places for ends that wait for the first configuration.
     early_ends: Arc<Semaphore>,
     origin: Instant,
@@ -91,9 +74,9 @@
     /// An ingress that sends to replicas through `pool`, and batch jobs to their owner through `batch`. It looks after cold
     /// replicas on the current runtime until the node has stopped.
     pub fn spawn(context: Context, pool: ReplicaPool, batch: BatchJobs) -> Self {
-        let choice = Arc::new(Mutex::new(ReplicaChoice::new(&context.node)));
+        let selection = Arc::new(Mutex::new(SelectionState::new(&context.node)));
         let early_ends = Arc::new(Semaphore::new(ends::MAX_EARLY));
-        let ingress = Self { context, pool, batch, choice, early_ends, origin: Instant::now() };
+        let ingress = Self { context, pool, batch, selection, early_ends, origin: Instant::now() };
         tokio::spawn(warming::watch(ingress.clone()));
         ingress
     }
@@ -147,99 +130,63 @@
     }
 
     /// Whether a request that would be sent to a replica now may be; asked once more just before its first byte.
-    fn may_send(&self, call: &Call, replica: &ReplicaRecord) -> bool {
-        !self.context.metadata.is_closed(replica) && !self.holds(call)
+    fn may_send(&self, request: &CallerRequest, replica: &ReplicaRecord) -> bool {
+        !self.context.metadata.is_closed(replica) && !self.holds(request)
     }
 
     /// Whether a request must reach no replica, since replicas ended under it.
-    fn holds(&self, call: &Call) -> bool {
-        !call.is_trial && self.context.quarantine.holds(&call.fingerprint)
+    fn holds(&self, request: &CallerRequest) -> bool {
+        !request.is_trial && self.context.quarantine.holds(&request.fingerprint)
     }
 
-    /// Chooses a replica for a request and counts it there until the returned visit is dropped.
-    fn visit(&self, call: &Call, tried: &[String]) -> Result<Visit, Nowhere> {
-        if self.holds(call) {
-            return Err(Nowhere::Quarantined);
-        }
-        let (service, regions) = (call.service.as_str(), &call.regions);
+    /// Selects a replica for a request and counts it there until the returned value is dropped.
+    fn select(&self, request: &CallerRequest, tried: &[String]) -> Result<InFlightRequest, NoCandidate> {
         let metadata = &self.context.metadata;
-        if !metadata.knows_evacuations() {
-            return Err(Nowhere::EvacuationsUnknown);
-        }
+        let query = SelectionQuery {
+            service: &request.service,
+            regions: &request.regions,
+            zones: &self.context.settings.places.zones,
+            tried,
+            is_quarantined: self.holds(request),
+        };
         let (table, now) = (metadata.replicas.load(), self.now());
-        let mut choice = self.choice();
-        choice.gate.set_evacuated(metadata.evacuated.load_full(), now);
-        choice.chooser.retain_listed(&table);
-        let mut open = Vec::new();
-        let zones = &self.context.settings.places.zones;
-        let allowed = |record: &&ReplicaRecord| regions.allows_zone(zones, &record.zone);
-        let has_allowed = regions.is_all() || table.ready(service).any(|record| allowed(&record));
-        let mut nowhere = if has_allowed { Nowhere::NoReplica } else { Nowhere::OutsideRegions };
-        let untried = table.ready(service).filter(|record| !tried.contains(&record.id));
-        for record in untried.filter(allowed) {
-            match choice.gate.judge(record, now) {
-                Admission::Open => open.push(record),
-                Admission::Evacuated => nowhere = nowhere.max(Nowhere::Evacuated),
-                Admission::Warming(until) => nowhere = nowhere.warming_for(until.saturating_since(now)),
-            }
-        }
-        let replica = choice.chooser.best_of(open, now, rand::random()).ok_or(nowhere)?.clone();
-        choice.gate.sent(&replica, now);
-        choice.chooser.sent(&replica.id);
-        let is_cold = choice.gate.is_cold(&replica.id, now);
-        let (ingress, began) = (self.clone(), Instant::now());
-        let run = TracedRun::begin(&self.context, call.fingerprint, &replica, RunSender::Gateway);
-        Ok(Visit { ingress, replica, is_cold, began, feedback: ReplicaFeedback::Abandoned, run })
+        let mut selection = self.selection();
+        // Read under the lock, so that older zones never replace newer ones.
+        let evacuated = metadata.knows_evacuations().then(|| metadata.evacuated.load_full());
+        let selected = selection.selector.select(&query, &table, evacuated, now, rand::random())?;
+        drop(selection);
+        Ok(InFlightRequest::begin(self, request, selected))
     }
 
     fn reported(&self, replica: &str, busy: u32) {
-        self.choice().chooser.reported(replica, busy, self.now());
-    }
-
-    fn choice(&self) -> MutexGuard<'_, ReplicaChoice> {
-        self.choice.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-impl Nowhere {
-    /// The name used in logs and metrics.
-    const fn as_str(self) -> &'static str {
-        match self {
-            Self::EvacuationsUnknown => "evacuations_unknown",
-            Self::NoReplica => "no_replica",
-            Self::OutsideRegions => "outside_regions",
-            Self::Evacuated => "evacuated",
-            Self::Warming(_) => "warming",
-            Self::Quarantined => "quarantined",
-        }
+        self.selection().selector.reported(replica, busy, self.now());
     }
 
-    /// The same, where one more replica is cold: the soonest counts.
-    fn warming_for(self, left: Duration) -> Self {
-        match self {
-            Self::Warming(other) => Self::Warming(other.min(left)),
-            Self::EvacuationsUnknown
-            | Self::NoReplica
-            | Self::OutsideRegions
-            | Self::Evacuated
-            | Self::Quarantined => Self::Warming(left),
-        }
+    fn selection(&self) -> MutexGuard<'_, SelectionState> {
+        self.selection.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A request at a replica.
-struct Visit {
+/// A request in flight at a replica, from the selection of the replica until its end.
+struct InFlightRequest {
     ingress: Ingress,
     replica: ReplicaRecord,
     /// Whether the replica was cold when it was chosen.
     is_cold: bool,
     began: Instant,
     feedback: ReplicaFeedback,
-    /// What becomes of it, for the quarantine.
+    /// Its end, for the quarantine.
     run: TracedRun,
 }
 
-impl Visit {
+impl InFlightRequest {
+    fn begin(ingress: &Ingress, request: &CallerRequest, selected: SelectedReplica) -> Self {
+        let SelectedReplica { record: replica, is_cold } = selected;
+        let run = TracedRun::begin(&ingress.context, request.fingerprint, &replica, RunSender::Gateway);
+        let feedback = ReplicaFeedback::Abandoned;
+        Self { ingress: ingress.clone(), replica, is_cold, began: Instant::now(), feedback, run }
+    }
+
     fn answered(&mut self) {
         let took = self.began.elapsed();
         self.feedback =
@@ -269,9 +216,9 @@
     }
 }
 
-impl Drop for Visit {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.ingress.choice().chooser.ended(&self.replica.id, self.feedback, self.ingress.now());
+        self.ingress.selection().selector.ended(&self.replica.id, self.feedback, self.ingress.now());
     }
 }
 
--- a/crates/daemon/src/ingress/refusal.rs
+++ b/crates/daemon/src/ingress/refusal.rs
@@ -6,10 +6,10 @@
 use hyper::{Request, Response, StatusCode};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::ingress::places::AllowedRegions;
+use lichenpulley_core::ingress::selection::NoCandidate;
 use lichenpulley_platform::headers;
 use lichenpulley_protocol::error::ErrorBody;
 
-use super::Nowhere;
 use crate::context::Context;
 use crate::http::{Body, response};
 use crate::quarantine::TRIAL_AFTER;
@@ -65,15 +65,15 @@
     InDoubt,
 }
 
-impl From<Nowhere> for Refusal {
-    fn from(nowhere: Nowhere) -> Self {
-        match nowhere {
-            Nowhere::EvacuationsUnknown => Self::EvacuationsUnknown,
-            Nowhere::NoReplica => Self::NoReplica,
-            Nowhere::OutsideRegions => Self::OutsideRegions,
-            Nowhere::Evacuated => Self::Evacuated,
-            Nowhere::Warming(left) => Self::Warming(left),
-            Nowhere::Quarantined => Self::Quarantined,
+impl From<NoCandidate> for Refusal {
+    fn from(no_candidate: NoCandidate) -> Self {
+        match no_candidate {
+            NoCandidate::EvacuationsUnknown => Self::EvacuationsUnknown,
+            NoCandidate::NoReplica => Self::NoReplica,
+            NoCandidate::OutsideRegions => Self::OutsideRegions,
+            NoCandidate::Evacuated => Self::Evacuated,
+            NoCandidate::Warming(left) => Self::Warming(left),
+            NoCandidate::Quarantined => Self::Quarantined,
         }
     }
 }
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -16,11 +16,11 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::callers::Caller;
-use super::forward::{Call, is_reason, judge};
+use super::forward::{CallerRequest, is_reason, judge};
 use super::pool::Exchange;
 use super::refusal::Refusal;
 use super::sse::{Event, EventSplitter};
-use super::{CONNECT_TIMEOUT, Ingress, Visit, headers};
+use super::{CONNECT_TIMEOUT, InFlightRequest, Ingress, headers};
 use crate::duties::RunCount;
 use crate::http::{Body, response};
 
@@ -35,11 +35,11 @@
 
 /// A stream that has begun at a replica.
 struct Stream {
-    call: Call,
+    call: CallerRequest,
     is_resumable: bool,
     attempts: Attempts,
     tried: Vec<String>,
-    visit: Visit,
+    in_flight: InFlightRequest,
     exchange: Exchange,
 }
 
@@ -64,7 +64,7 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let last_event = headers::text(request.headers(), names::LAST_EVENT_ID).map(str::to_owned);
-    let mut call = match Call::read(ingress, table, route, caller, request).await {
+    let mut call = match CallerRequest::read(ingress, table, route, caller, request).await {
         Ok(call) => call,
         Err(refusal) => return refusal,
     };
@@ -72,31 +72,31 @@
     let mut attempts = Attempts::new(route.is_repeatable(), max_sends);
     let mut tried = Vec::new();
     loop {
-        let mut visit = match ingress.visit(&call, &tried) {
-            Ok(visit) => visit,
-            Err(nowhere) if is_reason(nowhere, &tried, &attempts) => {
-                return call.refuse_nowhere(ingress, nowhere);
+        let mut in_flight = match ingress.select(&call, &tried) {
+            Ok(in_flight) => in_flight,
+            Err(no_candidate) if is_reason(no_candidate, &tried, &attempts) => {
+                return call.refuse_no_candidate(ingress, no_candidate);
             }
             Err(_) => return call.refuse(ingress, refusal(attempts.give_up())),
         };
-        tried.push(visit.replica.id.clone());
-        let (outcome, exchange) = open(ingress, &call, &mut visit, last_event.as_deref()).await;
+        tried.push(in_flight.replica.id.clone());
+        let (outcome, exchange) = open(ingress, &call, &mut in_flight, last_event.as_deref()).await;
         match (attempts.after(outcome, call.remaining()), exchange) {
             (Next::Answer, Some(exchange)) if exchange.response.status().is_success() => {
-                call.record(ingress, &visit, "stream_begun", "answered", tried.len());
+                call.record(ingress, &in_flight, "stream_begun", "answered", tried.len());
                 let is_resumable = route.is_resumable;
-                let stream = Stream { call, is_resumable, attempts, tried, visit, exchange };
+                let stream = Stream { call, is_resumable, attempts, tried, in_flight, exchange };
                 return begin(ingress, stream, last_event.as_deref());
             }
             (Next::Answer, Some(exchange)) => {
-                visit.run.ended_whole();
+                in_flight.run.ended_whole();
                 return pass_failure(exchange, &call).await;
             }
             (Next::TryAnother, _) => {
-                call.record(ingress, &visit, "tried_another", outcome.as_str(), tried.len())
+                call.record(ingress, &in_flight, "tried_another", outcome.as_str(), tried.len())
             }
             (next, _) => {
-                call.record(ingress, &visit, "given_up", outcome.as_str(), tried.len());
+                call.record(ingress, &in_flight, "given_up", outcome.as_str(), tried.len());
                 return call.refuse(ingress, refusal(next));
             }
         }
@@ -113,25 +113,25 @@
 /// Sends the request and judges the head of the answer.
 async fn open(
     ingress: &Ingress,
-    call: &Call,
-    visit: &mut Visit,
+    call: &CallerRequest,
+    in_flight: &mut InFlightRequest,
     last_event: Option<&str>,
 ) -> (SendOutcome, Option<Exchange>) {
-    let request = call.build(&visit.replica.name, last_event);
-    let replica = visit.replica.clone();
+    let request = call.build(&in_flight.replica.name, last_event);
+    let replica = in_flight.replica.clone();
     let may_send = || ingress.may_send(call, &replica);
     let sent = ingress.pool.send(&replica, request, true, CONNECT_TIMEOUT, may_send);
     let exchange = match tokio::time::timeout_at(call.limit, sent).await {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err(error)) => return (visit.got_no_answer(error).await, None),
+        Ok(Err(error)) => return (in_flight.got_no_answer(error).await, None),
         Err(_) => {
-            visit.was_silent();
+            in_flight.was_silent();
             return (SendOutcome::TimedOut, None);
         }
     };
     let fields = exchange.response.headers();
     if let Some(busy) = headers::reported_busy(fields) {
-        ingress.reported(&visit.replica.id, busy);
+        ingress.reported(&in_flight.replica.id, busy);
     }
     if !headers::echoes(fields, call.request_id.as_deref()) {
         return (SendOutcome::Broken, None);
@@ -142,18 +142,18 @@
         drop(RunCount::begin(&ingress.context, call.caller.tenant()));
     }
     match outcome {
-        SendOutcome::Rejected => visit.was_full(),
+        SendOutcome::Rejected => in_flight.was_full(),
         SendOutcome::Failed => {
-            visit.answered();
-            visit.run.ended_whole();
+            in_flight.answered();
+            in_flight.run.ended_whole();
         }
         // The events are still to come.
-        _ => visit.answered(),
+        _ => in_flight.answered(),
     }
     (outcome, Some(exchange))
 }
 
-async fn pass_failure(exchange: Exchange, call: &Call) -> Response<Body> {
+async fn pass_failure(exchange: Exchange, call: &CallerRequest) -> Response<Body> {
     let (head, body) = exchange.response.into_parts();
     let body = http_body_util::Limited::new(body, ANSWER_LIMIT_BYTES).collect();
     let body = tokio::time::timeout_at(call.limit, body).await;
@@ -179,17 +179,17 @@
 
 impl Stream {
     fn record_break(&self, ingress: &Ingress, reason: &str) {
-        self.call.record(ingress, &self.visit, "stream_broken", reason, self.tried.len());
+        self.call.record(ingress, &self.in_flight, "stream_broken", reason, self.tried.len());
     }
 }
 
 async fn forward(ingress: Ingress, mut stream: Stream, pieces: Pieces, mut last_event: Option<u64>) {
     loop {
         match pass_events(&mut stream, &pieces, &mut last_event).await {
-            StreamEnd::Whole => return stream.visit.run.ended_whole(),
+            StreamEnd::Whole => return stream.in_flight.run.ended_whole(),
             StreamEnd::CallerGone => return,
             StreamEnd::Broken => {
-                stream.visit.run.broke().await;
+                stream.in_flight.run.broke().await;
                 stream.record_break(&ingress, "broken");
             }
             StreamEnd::Stalled => stream.record_break(&ingress, "stalled"),
@@ -217,11 +217,11 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if !splitter.has_rest() => return StreamEnd::Whole,
             Ok(None | Some(Err(_))) => {
-                stream.visit.was_silent();
+                stream.in_flight.was_silent();
                 return StreamEnd::Broken;
             }
             Err(_) => {
-                stream.visit.was_silent();
+                stream.in_flight.was_silent();
                 return StreamEnd::Stalled;
             }
         };
@@ -262,14 +262,14 @@
         if next != Next::TryAnother || pieces.is_closed() {
             return false;
         }
-        let Ok(mut visit) = ingress.visit(&stream.call, &stream.tried) else { return false };
-        stream.tried.push(visit.replica.id.clone());
-        let (opened, exchange) = open(ingress, &stream.call, &mut visit, last_event.as_deref()).await;
+        let Ok(mut in_flight) = ingress.select(&stream.call, &stream.tried) else { return false };
+        stream.tried.push(in_flight.replica.id.clone());
+        let (opened, exchange) = open(ingress, &stream.call, &mut in_flight, last_event.as_deref()).await;
         match exchange {
             Some(exchange) if opened == SendOutcome::Answered && exchange.response.status().is_success() => {
                 let sends = stream.tried.len();
-                stream.call.record(ingress, &visit, "stream_resumed", "broken", sends);
-                stream.visit = visit;
+                stream.call.record(ingress, &in_flight, "stream_resumed", "broken", sends);
+                stream.in_flight = in_flight;
                 stream.exchange = exchange;
                 return true;
             }
--- a/crates/daemon/src/ingress/warming.rs
+++ b/crates/daemon/src/ingress/warming.rs
@@ -1,4 +1,7 @@
-//! Tells the gateway's gate of services, replicas and other gateways, and operators of what it makes of them.
+//! Keeps the gateway's selector of replicas up to date, and lists for operators what may be sent to each replica.
+//!
+//! Owns the task that polls the configuration, the replicas, the evacuated zones and the members. Relies on the node's
+//! metadata for all of them; the rules for cold replicas stand in the core's `ingress::warmups`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,31 +12,31 @@
 use lichenpulley_protocol::operator::{ColdStatus, ReplicaSendState, ReplicaSendStatus};
 use tokio::time::MissedTickBehavior;
 
-use super::{Ingress, ReplicaChoice};
+use super::{Ingress, SelectionState};
 
-/// The pause between two looks. A record that says that a replica turned cold counts at once; what a look comes later only
-/// holds a replica cold for longer.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// The pause between two polls. A record by which a replica turned cold counts at once without a poll; a later poll only
+/// holds a replica cold for longer by this time. Chosen, not measured: shorter costs a pass over all replicas each time.
+const METADATA_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks at what has changed until the node has stopped.
+/// Polls what the selector depends on until the node has stopped.
 pub(super) async fn watch(ingress: Ingress) {
-    let mut looks = tokio::time::interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut polls = tokio::time::interval(METADATA_POLL_INTERVAL);
+    polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             () = ingress.context.stopped.cancelled() => return,
-            _ = looks.tick() => ingress.look(),
+            _ = polls.tick() => ingress.update_selector(),
         }
     }
 }
 
 impl Ingress {
-    fn look(&self) {
+    fn update_selector(&self) {
         let (context, now) = (&self.context, self.now());
-        let mut choice = self.choice();
-        choice.take_routes(context.metadata.routes.load_full());
-        choice.gate.set_evacuated(context.metadata.evacuated.load_full(), now);
-        let warmups = choice.gate.warmups_mut();
+        let mut selection = self.selection();
+        selection.take_routes(context.metadata.routes.load_full());
+        selection.selector.gate_mut().set_evacuated(context.metadata.evacuated.load_full(), now);
+        let warmups = selection.selector.gate_mut().warmups_mut();
         if let Some(order) = warmups.order_mut() {
             let cluster = context.cluster.load();
             let is_joined = cluster.members.len() > 1 || context.settings.peers.seeds.is_empty();
@@ -41,16 +44,16 @@
             order.observe(gateways.map(|member| &member.node), is_joined, now);
         }
         let replicas = context.metadata.replicas.load_full();
-        let is_news = !Arc::ptr_eq(&replicas, &choice.replicas);
-        let warmups = choice.gate.warmups_mut();
-        if !warmups.is_needed() || (!is_news && !warmups.has_cold()) {
+        let is_changed = !Arc::ptr_eq(&replicas, &selection.replicas);
+        let warmups = selection.selector.gate_mut().warmups_mut();
+        if !warmups.is_needed() || (!is_changed && !warmups.has_cold()) {
             return;
         }
         let changes = warmups.set_replicas(replicas.records.values(), now);
         context.metrics.set_cold_replicas(warmups.count(now));
-        choice.replicas = replicas;
-        drop(choice);
-        // The owner tells of each; of the gateways those that send there.
+        selection.replicas = replicas;
+        drop(selection);
+        // The owner of the batch jobs records each change; a gateway those of replicas that it sends to.
         for change in changes.iter().filter(|change| change.interval.is_some()) {
             context.decisions.record(change.decision("gateway"));
         }
@@ -60,26 +63,27 @@
     pub fn replica_states(&self) -> Vec<ReplicaSendStatus> {
         let now = self.now();
         let replicas = self.context.metadata.replicas.load();
-        let choice = self.choice();
-        replicas.records.values().map(|record| choice.status(record, now)).collect()
+        let selection = self.selection();
+        replicas.records.values().map(|record| selection.status(record, now)).collect()
     }
 }
 
-impl ReplicaChoice {
+impl SelectionState {
     fn take_routes(&mut self, routes: Option<Arc<super::RouteTable>>) {
         let Some(routes) = routes else { return };
         if self.routes.as_ref().is_some_and(|taken| Arc::ptr_eq(taken, &routes)) {
             return;
         }
-        self.gate.warmups_mut().set_routes(&routes);
+        self.selector.gate_mut().warmups_mut().set_routes(&routes);
         self.routes = Some(routes);
-        // Services that have bounds from now on have replicas that the gate was not told of.
+        // Replicas of services that have bounds from now on were not passed to the gate yet.
         self.replicas = Arc::default();
     }
 
     fn status(&self, record: &ReplicaRecord, now: Timestamp) -> ReplicaSendStatus {
-        let spell = self.gate.warmups().spell(&record.id, now);
-        let state = if self.gate.is_evacuated(record) {
+        let gate = self.selector.gate();
+        let spell = gate.warmups().spell(&record.id, now);
+        let state = if gate.is_evacuated(record) {
             ReplicaSendState::Evacuated
         } else if record.is_draining {
             ReplicaSendState::Draining
