--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -5,6 +5,8 @@
 //!
 //! Invariant: a request that ran to an end since, or lately, is not held back.
 
+use std::time::Duration;
+
 mod fingerprint;
 mod recent_requests;
 mod report;
@@ -15,3 +17,8 @@
 pub use report::{CrashReport, REPORTED_REQUESTS, Suspect};
 pub use verdict::{CRASHES_TO_HOLD, Quarantine};
 pub use watch::{BreakCause, CrashWatch, RunSender, SentRun};
+
+/// A request that was quarantined for this long is let through once, at one node: one that met ending replicas by chance
+/// is not refused for ever. Chosen, not measured: a shorter time lets a guilty request end replicas more often, a longer
+/// one refuses an innocent one longer.
+pub const TRIAL_AFTER: Duration = Duration::from_secs(300);
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -5,6 +5,7 @@
 use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_core::retry::budget::{BudgetConfig, RetryBudget};
 use lichenpulley_core::retry::drain_rate::DrainRate;
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -58,3 +59,19 @@
     let later = now + Duration::from_secs(20);
     assert!(rate.retry_after(later, 9) > soon, "a pool that has stopped draining asks callers back later");
 }
+
+#[test]
+fn a_caller_that_met_cold_replicas_comes_back_when_one_opens_within_bounds() {
+    let after_ms = |left_ms| RetryCause::Warming(Duration::from_millis(left_ms)).retry_after().as_millis();
+    assert_eq!([after_ms(0), after_ms(100), after_ms(650), after_ms(1_000)], [100, 100, 650, 1_000]);
+    assert_eq!(after_ms(8_000), 1_000, "another gateway may have a share earlier");
+}
+
+#[test]
+fn each_other_cause_has_one_time_to_come_back() {
+    let after_ms = |cause: RetryCause| cause.retry_after().as_millis();
+    assert_eq!(after_ms(RetryCause::NoReplica), 100);
+    assert_eq!(after_ms(RetryCause::NodeShortage), 400);
+    assert_eq!(after_ms(RetryCause::RefusedAtOnce), 1_000);
+    assert_eq!(after_ms(RetryCause::Quarantined), 300_000);
+}
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -11,6 +11,7 @@
 use lichenpulley_core::request::outcome::{
     Doubt, GiveUpReason, RefusalReason, RequestOutcome, refuse_at_once,
 };
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_protocol::operator::PoolStatus;
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
@@ -145,7 +146,7 @@
     pub(super) fn refuse(&self, generation: &Generation, reason: RefusalReason) -> RequestOutcome {
         let decision = Decision::new(Component::Request, "refused", reason.as_str(), &generation.request);
         self.shared.context.decisions.record(decision.with("pool", &generation.pool));
-        let retry_after = reason.is_worth_repeating().then_some(Duration::from_secs(1));
+        let retry_after = reason.is_worth_repeating().then(|| RetryCause::RefusedAtOnce.retry_after());
         refuse_at_once(generation.repetition.is_repeatable(), reason, retry_after)
     }
 }
--- a/crates/daemon/src/gateway/refusal.rs
+++ b/crates/daemon/src/gateway/refusal.rs
@@ -1,4 +1,7 @@
-//! How an outcome without an answer is told to a caller.
+//! Status and error body of an outcome without an answer, for callers of the project's own interface.
+//!
+//! The times after which callers come back are part of the outcome: a pool's drain rate, or the core's
+//! `retry::retry_after`. Callers on the platform's path get another form, see `ingress::refusal`.
 
 use hyper::StatusCode;
 use lichenpulley_core::request::outcome::{GiveUpReason, RefusalReason};
--- a/crates/daemon/src/ingress/refusal.rs
+++ b/crates/daemon/src/ingress/refusal.rs
@@ -1,4 +1,8 @@
-//! Answers of our own to requests that no replica answered.
+//! Answers to requests that no replica answered: status, kind, remedy and `Retry-After` of each reason.
+//!
+//! The platform's callers read `Retry-After` in tenths of a second and get the request's id back in a field; callers of the
+//! project's own interface get `retry_after_ms` and whether the request ran in the body, see `gateway::refusal`. So the
+//! two forms stay apart; the times of both come from the core's `retry::retry_after`.
 
 use std::time::Duration;
 
@@ -7,12 +11,12 @@
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::ingress::places::AllowedRegions;
 use lichenpulley_core::ingress::selection::NoCandidate;
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_platform::headers;
 use lichenpulley_protocol::error::ErrorBody;
 
 use crate::context::Context;
 use crate::http::{Body, response};
-use crate::quarantine::TRIAL_AFTER;
 
 /// Why a request got no answer of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,15 +82,6 @@
     }
 }
 
-/// When to come back after a replica could not be had.
-const RETRY_SOON: Duration = Duration::from_millis(100);
-/// When to come back after the owner or the configuration could not be had.
-const RETRY_LATER: Duration = Duration::from_millis(400);
-
-/// The longest until a caller comes back that met cold replicas only: this node may have no share of what they bear, and
-/// another gateway then has one more often than once in this time.
-const RETRY_WARMING: Duration = Duration::from_millis(1_000);
-
 impl Refusal {
     const fn status(self) -> StatusCode {
         match self {
@@ -169,19 +164,31 @@
         }
     }
 
-    fn retry_after(self) -> Option<Duration> {
+    /// Why the caller should come back; `None` where the same request would be refused again.
+    const fn retry_cause(self) -> Option<RetryCause> {
         match self {
-            Self::NoReplica | Self::NotRun => Some(RETRY_SOON),
-            Self::Warming(left) => Some(left.clamp(RETRY_SOON, RETRY_WARMING)),
-            Self::Quarantined => Some(TRIAL_AFTER),
+            Self::NoReplica | Self::NotRun => Some(RetryCause::NoReplica),
+            Self::Warming(left) => Some(RetryCause::Warming(left)),
+            Self::Quarantined => Some(RetryCause::Quarantined),
             Self::NoConfiguration
             | Self::EvacuationsUnknown
             | Self::NoOwner
             | Self::Full
             | Self::Evacuated
             | Self::OutsideRegions
-            | Self::NoPlace => Some(RETRY_LATER),
-            _ => None,
+            | Self::NoPlace => Some(RetryCause::NodeShortage),
+            Self::UnknownKey
+            | Self::NoRoute
+            | Self::ScorerRegions
+            | Self::Unknown
+            | Self::TimedOut
+            | Self::BodyTooLong
+            | Self::BodyTooSlow
+            | Self::BadBody
+            | Self::Incomplete
+            | Self::UnknownBatch
+            | Self::IdTaken
+            | Self::InDoubt => None,
         }
     }
 
@@ -238,8 +245,9 @@
         if let Some(id) = request_id.and_then(|id| HeaderValue::from_str(id).ok()) {
             answer.headers_mut().insert(headers::REQUEST_ID, id);
         }
-        if let Some(after) = self.retry_after() {
-            let seconds = format!("{:.1}", after.as_secs_f64());
+        if let Some(cause) = self.retry_cause() {
+            let seconds = format!("{:.1}", cause.retry_after().as_secs_f64());
+            // A number in decimal digits is always a valid field value.
             if let Ok(seconds) = HeaderValue::from_str(&seconds) {
                 answer.headers_mut().insert(RETRY_AFTER, seconds);
             }
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -9,11 +9,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
-use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use lichenpulley_core::decision::{Component, Decision};
-use lichenpulley_core::quarantine::{CrashWatch, Fingerprint, Quarantine};
+use lichenpulley_core::quarantine::{CrashWatch, Fingerprint, Quarantine, TRIAL_AFTER};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::internal::{KeepReport, KeepResponse};
 use lichenpulley_protocol::operator::{QuarantineReleased, QuarantinedRequest};
@@ -27,9 +26,6 @@
 pub use spread::start;
 pub(crate) use traced_run::TracedRun;
 
-/// A request that is held back for so long is let through once, at one node: one that met ending replicas by chance is not
-/// refused for ever.
-pub(crate) const TRIAL_AFTER: Duration = Duration::from_secs(300);
 /// Reports that wait to be written at most; the oldest of this node's own give way.
 const OUTBOX_LIMIT: usize = 64;
 /// Held requests that came again which are kept until they are told.
