--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -30,6 +30,7 @@
 use lichenpulley_core::replication::message::ReplicaAnswer;
 use lichenpulley_core::replication::replica_set::{ReplicaSet, StoreId};
 use lichenpulley_protocol::internal::{StoreRequest, StoreResponse};
+use prometheus::Registry;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::context::Context;
@@ -59,21 +60,27 @@
 pub fn start(context: Context, data_folder: &Path) -> Result<Store, StoreError> {
     let settings = &context.settings.store;
     let window = settings.claim_window.clone();
-    let metrics = StoreMetrics::new(context.metrics.registry())
-        .map_err(|error| StoreError::Damaged { folder: data_folder.to_owned(), reason: error.to_string() })?;
-    let store = Store::open(data_folder, settings.capacity_bytes, window, metrics)?;
+    let store = Store::open(data_folder, settings.capacity_bytes, window, context.metrics.registry())?;
     log::info!(target: "store", "Store {} is open in {}.", store.id, data_folder.display());
     repair::spawn(context, store.clone());
     Ok(store)
 }
 
 impl Store {
-    fn open(
+    /// Opens the store in a folder and starts its thread; `capacity_bytes` bounds what entries and claims may fill.
+    ///
+    /// # Errors
+    /// When the folder is not usable, not ours, in use or damaged; each names its remedy.
+    pub fn open(
         data_folder: &Path,
         capacity_bytes: u64,
         window: ClaimWindow,
-        metrics: StoreMetrics,
+        registry: &Registry,
     ) -> Result<Self, StoreError> {
+        let metrics = StoreMetrics::new(registry).map_err(|error| StoreError::Damaged {
+            folder: data_folder.to_owned(),
+            reason: error.to_string(),
+        })?;
         window.validate()?;
         let disk = Disk::open(data_folder, capacity_bytes)?;
         let id = disk.store().clone();
