--- a/crates/cli/src/account_plot.rs
+++ b/crates/cli/src/account_plot.rs
@@ -1,13 +1,20 @@
 //! A plot of the account of steps: one bar a step, split by where its time went.
+//!
+//! Owns the picture alone; the figures come from `step_account`.
 
 use std::fmt::Write;
 
 use crate::step_account::StepAccount;
 
+/// Width of the picture, in pixels. This figure and those below are chosen for the eye; nothing depends on them.
 const WIDTH: u64 = 900;
+/// Room for the names of steps at the left, in pixels.
 const LEFT: u64 = 70;
+/// Height of a bar, in pixels.
 const BAR: u64 = 18;
+/// From one bar to the next, in pixels.
 const ROW: u64 = 24;
+/// Room for the legend at the top, in pixels.
 const TOP: u64 = 40;
 
 /// The parts of a bar, with their colours.
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,6 @@
 //! The command line.
+//!
+//! Turns words and environment into one typed command; reads no file and asks no node. `syntax` holds how each is written.
 
 mod syntax;
 
@@ -19,6 +21,8 @@
 use crate::error::CliError;
 use syntax::{SYNTAXES, Syntax};
 
+/// How long a command waits for its answer where `--timeout-ms` is absent. Chosen, not measured: a change of a setting may take
+/// 8 s until it is in force; longer keeps an operator waiting for a node that is gone.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What the command reads from its environment.
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,7 @@
 //! One HTTP request to one of several nodes.
+//!
+//! Owns the choice of a node: addresses are tried in order until one takes the connection, within one time for all. Relies on
+//! the typed bodies of `lichenpulley_protocol`; tells a lost answer from a request that was not sent.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/cli/src/commands/account.rs
+++ b/crates/cli/src/commands/account.rs
@@ -1,4 +1,6 @@
 //! `account`: where the time of a trainer's steps went, from the logs of the nodes.
+//!
+//! Reads the logs; the figures are worked out by `step_account`.
 
 use crate::account_plot;
 use crate::error::CliError;
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -1,9 +1,12 @@
 //! `config get`, `config set` and `config explain`.
+//!
+//! A change is named by an id, so that it can be sent again until it is answered and takes effect once.
 
 use std::time::Duration;
 
 use hyper::Method;
 use lichenpulley_core::identity::Revision;
+use lichenpulley_core::retry::backoff::Backoff;
 use lichenpulley_protocol::error::Execution;
 use lichenpulley_protocol::operator::{
     ChangeConfiguration, ConfigurationChanged, ConfigurationDocument, EffectiveSetting, SettingValue,
@@ -15,11 +18,12 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// A change is sent so often before it is reported as in doubt.
+/// How often a change is sent before it is reported as in doubt. Chosen, not measured: fewer leave an operator to repeat it by
+/// hand, more keep them waiting for an object API that is away.
 const CHANGE_ATTEMPTS: u32 = 4;
-
-/// Waited before the first repeat; doubled for each further one.
-const FIRST_REPEAT_DELAY: Duration = Duration::from_millis(200);
+/// The pause before a repeat. Chosen, not measured: all repeats fit in 1.4 s, in which a node that restarts is back or another
+/// is asked.
+const REPEAT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_millis(800));
 
 /// What `config get` shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -152,7 +156,6 @@
     request: &ChangeConfiguration,
     output: &mut Output<'_>,
 ) -> Result<ConfigurationChanged, CliError> {
-    let mut delay = FIRST_REPEAT_DELAY;
     let mut in_doubt = false;
     let mut attempt = 1;
     loop {
@@ -170,8 +173,7 @@
             return Err(CliError::InDoubt { change_id, base: request.base_revision, cause });
         }
         output.note(&format!("{error}; repeating the same change, id {}", request.change_id))?;
-        tokio::time::sleep(delay).await;
-        delay *= 2;
+        tokio::time::sleep(REPEAT_BACKOFF.pause(attempt)).await;
         attempt += 1;
     }
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,14 +1,17 @@
 //! One module for each group of commands.
+//!
+//! A command asks a node through `client` and renders the typed answer through `output`; `trace` and `account` read
+//! logs instead and ask nobody.
 
 pub mod account;
-pub mod config;
-pub mod drain;
-pub mod ends;
-pub mod job;
-pub mod pool;
-pub mod quarantine;
-pub mod regions;
-pub mod replicas;
+pub(crate) mod config;
+pub(crate) mod drain;
+pub(crate) mod ends;
+pub(crate) mod job;
+pub(crate) mod pool;
+pub(crate) mod quarantine;
+pub(crate) mod regions;
+pub(crate) mod replicas;
 pub mod trace;
-pub mod watch;
-pub mod zones;
+pub(crate) mod watch;
+pub(crate) mod zones;
--- a/crates/cli/src/commands/trace.rs
+++ b/crates/cli/src/commands/trace.rs
@@ -1,4 +1,6 @@
 //! `trace`: the decisions about one request, batch job or item, in order across the logs of several nodes.
+//!
+//! Relies on the names of decisions as nodes write them, also of the batch job that an item belongs to.
 
 use std::collections::BTreeSet;
 
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -1,4 +1,6 @@
 //! `watch`: the stream of decisions of one or more nodes.
+//!
+//! Owns one stream for each node, opened again with backoff, and tells of gaps by `sequence`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,6 @@
 //! Errors of the command, each with its remedy and its exit code.
+//!
+//! One type for all commands. The kind is a stable word for programs; what a node refused keeps the node's own kind and remedy.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/cli/src/event_stream.rs
+++ b/crates/cli/src/event_stream.rs
@@ -1,4 +1,6 @@
 //! Decodes server-sent events (WHATWG HTML, section 9.2) from pieces of a body.
+//!
+//! Owns the part of an event that has not come whole. Does no reading of its own.
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! A library too, so that tests can run a command inside their process with [`run`].
 
-pub mod account_plot;
+mod account_plot;
 pub mod arguments;
-pub mod client;
+mod client;
 pub mod commands;
 pub mod error;
 pub mod event_stream;
 pub mod log_lines;
 pub mod output;
-pub mod sequence;
+mod sequence;
 pub mod step_account;
-pub mod table;
+mod table;
 
 use arguments::{Command, Invocation};
 use client::{Client, Interface};
--- a/crates/cli/src/log_lines.rs
+++ b/crates/cli/src/log_lines.rs
@@ -1,4 +1,6 @@
 //! Structured log lines of one or more nodes, as a collector or a file keeps them.
+//!
+//! Reads what the daemon's `logging` writes; what stands before a line's JSON is passed over, and lines of other programs too.
 
 use std::io::Read;
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,6 @@
 //! `lichenpulley`: the operators' command.
+//!
+//! Owns the process and its exit code: 2 where the command line is wrong, 1 for every other failure.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,6 @@
 //! Where results and notes go.
+//!
+//! Results go to standard output, for people or as JSON; notes to standard error. Owns no format: each command renders its own.
 
 use std::io::Write;
 
--- a/crates/cli/src/sequence.rs
+++ b/crates/cli/src/sequence.rs
@@ -1,4 +1,6 @@
 //! Tells when decisions of a watched node were missed.
+//!
+//! Owns the last number of each node. Numbers that begin anew mean that the node was started again.
 
 use std::collections::BTreeMap;
 
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,5 +1,6 @@
 //! Plain tables with aligned columns.
 
+/// What stands between two columns.
 const COLUMN_GAP: &str = "  ";
 
 /// A table that is printed as text.
--- a/crates/daemon/src/cluster.rs
+++ b/crates/daemon/src/cluster.rs
@@ -75,7 +75,7 @@
 
 impl Roles {
     /// The roles as they go over the wire. Bits that this version does not know are left to later ones.
-    pub const fn to_bits(self) -> u8 {
+    const fn to_bits(self) -> u8 {
         let mut bits = 0;
         if self.gateway {
             bits |= GATEWAY_BIT;
@@ -90,7 +90,7 @@
     }
 
     /// The roles that [`Self::to_bits`] gave.
-    pub const fn from_bits(bits: u8) -> Self {
+    pub(crate) const fn from_bits(bits: u8) -> Self {
         Self {
             gateway: bits & GATEWAY_BIT != 0,
             coordinator: bits & COORDINATOR_BIT != 0,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`node::Node::start`].
 
 pub mod arguments;
-pub mod batch;
+mod batch;
 pub mod boot_clock;
 pub mod cluster;
 pub mod configuration;
@@ -12,18 +12,18 @@
 pub mod coordinator;
 pub mod decisions;
 pub mod directory;
-pub mod duties;
+mod duties;
 pub mod gateway;
 pub mod http;
 pub mod ingress;
 pub mod logging;
 pub mod membership;
-pub mod metadata;
-pub mod metrics;
+mod metadata;
+mod metrics;
 pub mod node;
-pub mod operators;
+mod operators;
 pub mod peers;
-pub mod quarantine;
+mod quarantine;
 pub mod settings;
 pub mod store;
-pub mod suspension;
+mod suspension;
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -155,8 +155,8 @@
     pub highest_epoch: Epoch,
 }
 
-/// Bytes of prompt in one block of an engine's prefix cache.
-pub const PREFIX_BLOCK_BYTES: usize = 64;
+/// Bytes of prompt in one block of an engine's prefix cache, as the stand-in has it.
+const PREFIX_BLOCK_BYTES: usize = 64;
 
 /// The hashes by which engines name a prompt's cached prefixes: one for each whole block, covering everything from
 /// the start of the prompt to the end of that block.
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,4 +1,6 @@
 //! The error body that every HTTP interface of ours answers with.
+//!
+//! A kind for programs, a message and a remedy for people, and whether the request has run.
 
 use lichenpulley_core::identity::Revision;
 use serde::{Deserialize, Serialize};
--- a/crates/protocol/src/internal/batch.rs
+++ b/crates/protocol/src/internal/batch.rs
@@ -1,4 +1,7 @@
 //! Requests to the owner of the batch jobs.
+//!
+//! Between gateways and the owner of a shard, and from an owner that leaves to the next. Order and form of the variants are the
+//! wire format: new ones go at the end.
 
 use lichenpulley_core::batch::job::{BatchJob, ItemResult};
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
--- a/crates/protocol/src/internal/configuration.rs
+++ b/crates/protocol/src/internal/configuration.rs
@@ -1,4 +1,6 @@
 //! What nodes say to each other about the documents that every node holds.
+//!
+//! Carries the messages of `core::configuration::dissemination`, which owns what they mean.
 
 use lichenpulley_core::configuration::dissemination::Message;
 use lichenpulley_core::identity::NodeId;
--- a/crates/protocol/src/internal/coordinator.rs
+++ b/crates/protocol/src/internal/coordinator.rs
@@ -1,4 +1,6 @@
 //! Requests to the owner of a shard of control work.
+//!
+//! For rollout jobs and weights of the product's own interface. Each request can be repeated without harm.
 
 use lichenpulley_core::identity::{JobId, NodeId, PoolName, ReplicaId, ShardId};
 use speedy::{Readable, Writable};
--- a/crates/protocol/src/internal/metadata.rs
+++ b/crates/protocol/src/internal/metadata.rs
@@ -1,5 +1,7 @@
 //! What nodes tell each other of the platform's metadata, for those that can't reach the platform
 //! or need not.
+//!
+//! Objects travel as the platform's JSON, unread: each node reads them by the `platform` crate for itself.
 
 use lichenpulley_core::quarantine::CrashReport;
 use speedy::{Readable, Writable};
--- a/crates/protocol/src/internal/mod.rs
+++ b/crates/protocol/src/internal/mod.rs
@@ -1,4 +1,7 @@
 //! Requests between our own processes. One `tarpc` service, one request type for each part.
+//!
+//! Owns the wire format between nodes of one release and the next: order and form of fields and variants stay, new ones go at the
+//! end.
 
 pub mod batch;
 pub mod configuration;
--- a/crates/protocol/src/internal/store.rs
+++ b/crates/protocol/src/internal/store.rs
@@ -1,4 +1,6 @@
 //! Requests to a store replica.
+//!
+//! From owners, claimants, candidates and other stores. The messages of a log are those of `core::replication`, carried as they are.
 
 use lichenpulley_core::identity::{Epoch, ShardId};
 use lichenpulley_core::replication::ballot::{Ballot, ProposerId};
--- a/crates/protocol/src/transport.rs
+++ b/crates/protocol/src/transport.rs
@@ -17,7 +17,8 @@
 
 use crate::internal::{PeerRequest, PeerResponse};
 
-/// Longest frame, in bytes: holds a trainer's pull of samples.
+/// Longest frame, in bytes: holds a trainer's pull of samples. Chosen, not measured: shorter refuses pulls of long samples, longer
+/// lets one peer take more memory.
 pub const FRAME_LIMIT_BYTES: usize = 16 << 20;
 
 /// Why a connection between our processes ended.
@@ -247,7 +248,8 @@
     }
 }
 
-/// Longest time remaining that is taken from the wire, so that no peer can overflow a deadline.
+/// Longest time remaining that is taken from the wire, so that no peer can overflow a deadline. Chosen: far beyond any deadline in
+/// use.
 const DEADLINE_LIMIT: Duration = Duration::from_secs(24 * 3_600);
 
 fn deadline_after(remaining_us: u64) -> Instant {
