--- a/crates/cli/src/account_plot.rs
+++ b/crates/cli/src/account_plot.rs
@@ -10,6 +10,10 @@
 const WIDTH: u64 = 900;
 /// Room for the names of steps at the left, in pixels.
 const LEFT: u64 = 70;
+/// Room for the time of a step at the right, in pixels.
+const RIGHT: u64 = 90;
+/// Width of one entry of the legend, in pixels.
+const LEGEND_ENTRY: u64 = 90;
 /// Height of a bar, in pixels.
 const BAR: u64 = 18;
 /// From one bar to the next, in pixels.
@@ -42,13 +46,14 @@
 pub fn render(accounts: &[StepAccount]) -> String {
     let longest = accounts.iter().map(|account| account.total_ms).max().unwrap_or(1).max(1);
     let height = TOP + ROW * accounts.len() as u64 + 20;
-    let scale = |milliseconds: u64| milliseconds * (WIDTH - LEFT - 90) / longest;
+    let scale = |milliseconds: u64| milliseconds * (WIDTH - LEFT - RIGHT) / longest;
     let mut svg = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH}\" height=\"{height}\" font-family=\"sans-serif\" \
          font-size=\"12\">\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
     );
+    // Writing into a string does not fail.
     for (number, (name, colour)) in PARTS.iter().enumerate() {
-        let x = LEFT + 90 * number as u64;
+        let x = LEFT + LEGEND_ENTRY * number as u64;
         let _ = writeln!(svg, "<rect x=\"{x}\" y=\"12\" width=\"12\" height=\"12\" fill=\"{colour}\"/>");
         let _ = writeln!(svg, "<text x=\"{}\" y=\"22\">{name}</text>", x + 16);
     }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -158,6 +158,7 @@
             return Ok(response.into_body());
         }
         let whole = response.into_body().collect().await;
+        // Where the body is lost the status is still told.
         let bytes = whole.map(http_body_util::Collected::to_bytes).unwrap_or_default();
         Err(refused(status.as_u16(), &bytes))
     }
--- a/crates/cli/src/step_account.rs
+++ b/crates/cli/src/step_account.rs
@@ -119,6 +119,7 @@
                 self.items.entry(item).or_default().scored_at = Some(at);
             }
             "group_whole" => {
+                // A line without the number is of another release: it completes no step.
                 let number = |field: &str| text(line, field).parse().unwrap_or(0);
                 self.desired = number("desired");
                 self.whole = self.whole.max(number("whole"));
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -95,6 +95,7 @@
     if let Some(path) = &arguments.addresses_file {
         write_addresses(path, &node.addresses())?;
     }
+    // A file that can't be read any more is only missing from what SIGHUP compares with.
     let mut in_force = arguments.settings_file.as_ref().and_then(|path| read_file(path).ok());
     let mut is_stopping = false;
     loop {
--- a/crates/daemon/src/metrics/ingress.rs
+++ b/crates/daemon/src/metrics/ingress.rs
@@ -2,6 +2,7 @@
 //! refusals for the regions that a request is bound to.
 
 use lichenpulley_core::ingress::warmups::ColdCount;
+use lichenpulley_protocol::operator::RegionRefusals;
 use prometheus::{IntCounterVec, IntGauge, IntGaugeVec, Registry};
 
 use super::registration::{self, to_gauge};
@@ -63,8 +64,8 @@
         self.region_refusals.with_label_values(&[regions, reason]).inc();
     }
 
-    /// Regions, reason and count of each kind of refusal so far.
-    pub(super) fn region_refusals(&self) -> Vec<(String, String, u64)> {
+    /// How often each kind of refusal was counted so far.
+    pub(super) fn region_refusals(&self) -> Vec<RegionRefusals> {
         let families = prometheus::core::Collector::collect(&self.region_refusals);
         let metrics = families.iter().flat_map(|family| family.get_metric());
         let read = |metric: &prometheus::proto::Metric| {
@@ -73,7 +74,8 @@
                 let label = metric.get_label().iter().find(|label| label.name() == name);
                 label.map(|label| label.value().to_owned()).unwrap_or_default()
             };
-            (label("regions"), label("reason"), metric.get_counter().get_value() as u64)
+            let count = metric.get_counter().get_value() as u64;
+            RegionRefusals { regions: label("regions"), reason: label("reason"), count }
         };
         metrics.map(read).collect()
     }
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -15,6 +15,7 @@
 
 use lichenpulley_core::decision::Decision;
 use lichenpulley_core::ingress::warmups::ColdCount;
+use lichenpulley_protocol::operator::RegionRefusals;
 use lichenpulley_protocol::transport::FrameMeter;
 use prometheus::{IntCounterVec, IntGauge, Registry, TextEncoder};
 
@@ -124,8 +125,8 @@
         self.ingress.count_region_refusal(regions, reason);
     }
 
-    /// What [`Self::count_region_refusal`] counted: regions, reason and count.
-    pub fn region_refusals(&self) -> Vec<(String, String, u64)> {
+    /// What [`Self::count_region_refusal`] counted.
+    pub fn region_refusals(&self) -> Vec<RegionRefusals> {
         self.ingress.region_refusals()
     }
 
--- a/crates/daemon/src/operators/decisions.rs
+++ b/crates/daemon/src/operators/decisions.rs
@@ -9,7 +9,7 @@
 use crate::http::Body;
 use crate::http::events::event_stream;
 
-/// Events that wait for one watcher's socket.
+/// Events that wait for one watcher's socket. Chosen, not measured: whatever is more waits in the decisions' own ring.
 const WATCHER_BUFFER: usize = 64;
 
 /// Streams decisions from now on, until the watcher goes or the node has stopped.
--- a/crates/daemon/src/operators/drain.rs
+++ b/crates/daemon/src/operators/drain.rs
@@ -1,4 +1,6 @@
 //! Draining a replica, and taking that back: a fenced order, given by the owner of its pool's weights.
+//!
+//! Brings the order to the owner and waits until the engine itself reports its role. Of the product's own interface only.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/daemon/src/operators/quarantine.rs
+++ b/crates/daemon/src/operators/quarantine.rs
@@ -1,4 +1,6 @@
 //! Requests that are kept from all replicas, since replicas ended under them, and releasing one.
+//!
+//! Reads and changes the part `quarantine` through its handle, which tells the other nodes.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_core::quarantine::Fingerprint;
--- a/crates/daemon/src/operators/regions.rs
+++ b/crates/daemon/src/operators/regions.rs
@@ -1,9 +1,11 @@
 //! Regions: what stands in each, which shards of batch jobs are kept where, and what was refused for want of a region.
+//!
+//! Shows this node's own view and asks the stores who owns each shard; decides nothing.
 
 use futures::future::join_all;
 use hyper::{Response, StatusCode};
 use lichenpulley_core::ingress::places::ZoneMap;
-use lichenpulley_protocol::operator::{BatchShardStatus, RegionRefusals, RegionStatus, RegionsDocument};
+use lichenpulley_protocol::operator::{BatchShardStatus, RegionStatus, RegionsDocument};
 
 use crate::batch::BatchJobs;
 use crate::batch::candidate;
@@ -19,9 +21,8 @@
 pub(super) async fn answer(context: &Context, batch: &BatchJobs) -> Response<Body> {
     let scopes = batch.scopes();
     let shards = join_all(scopes.iter().map(shard_status)).await;
-    let refusals = context.metrics.region_refusals().into_iter();
-    let refusals = refusals.map(|(regions, reason, count)| RegionRefusals { regions, reason, count });
-    let document = RegionsDocument { regions: regions(context), shards, refusals: refusals.collect() };
+    let refusals = context.metrics.region_refusals();
+    let document = RegionsDocument { regions: regions(context), shards, refusals };
     response::json(StatusCode::OK, &document)
 }
 
--- a/crates/daemon/src/operators/zones.rs
+++ b/crates/daemon/src/operators/zones.rs
@@ -1,5 +1,7 @@
-//! Zones: how they stand, and evacuating or returning one. The request is written to the platform's metadata store, from
-//! which every node learns of it.
+//! Zones: how they stand, and evacuating or readmitting one.
+//!
+//! Owns no state: the request is written to the platform's metadata store, from which every node learns of it. Relies on
+//! `metadata::zones` for the calls and for what this node knows.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_core::decision::{Component, Decision};
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -262,6 +262,7 @@
     }
 
     fn parse_address(&mut self, key: &str, text: &str) -> Option<SocketAddr> {
+        // Why it is none doesn't help: the remedy shows the form.
         let address = text.parse().ok();
         if address.is_none() {
             let message = format!("\"{text}\" is no address");
