--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -41,12 +41,14 @@
 /// How long the end of a process waits for its last lines. Chosen, not measured: longer delays a restart behind a reader
 /// of the log that has stopped.
 const FINISH_LIMIT: Duration = Duration::from_millis(200);
+/// Between two looks at whether the last lines are written. Chosen: a process ends at most this much later than it could.
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Waits a little until what was logged is written; for the end of a process.
 pub fn finish() {
     let began = Instant::now();
     while WAITING.load(Ordering::Relaxed) > 0 && began.elapsed() < FINISH_LIMIT {
-        std::thread::sleep(Duration::from_millis(1));
+        std::thread::sleep(FINISH_POLL_INTERVAL);
     }
 }
 
