--- a/crates/daemon/src/node/control.rs
+++ b/crates/daemon/src/node/control.rs
@@ -122,7 +122,7 @@
     membership: std::net::UdpSocket,
     addresses: NodeAddresses,
 ) -> Result<(), StartError> {
-    let membership = UdpSocket::from_std(membership).map_err(StartError::Thread)?;
+    let membership = UdpSocket::from_std(membership).map_err(StartError::Socket)?;
     start_membership(context, membership, addresses);
     configuration::start(context);
     suspension::start(context);
@@ -158,7 +158,7 @@
 ) -> Result<JoinHandle<()>, StartError> {
     let (coordinator, batch) = (parts.coordinator.clone(), parts.batch.clone());
     let service = PeerService::new(Arc::clone(context), coordinator, batch, parts.store.clone());
-    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     Ok(tokio::spawn(peer_service::serve(listener, service, stop.peers.clone())))
 }
 
@@ -175,7 +175,7 @@
     ingress: Option<Ingress>,
     stop: &stop::StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
-    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     let parts = OperatorParts {
         dispatcher: parts.dispatcher.clone(),
         coordinator: parts.coordinator.clone(),
@@ -238,7 +238,7 @@
     gateway: Option<Gateway>,
 ) -> Result<JoinHandle<()>, StartError> {
     let entered = traffic.enter();
-    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     drop(entered);
     let answer = move |request| {
         let gateway = gateway.clone();
@@ -261,7 +261,7 @@
     ingress: Ingress,
 ) -> Result<JoinHandle<()>, StartError> {
     let entered = traffic.enter();
-    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     drop(entered);
     let limits_of = ingress.clone();
     let head_limits = move || {
@@ -282,7 +282,7 @@
     listener: std::net::TcpListener,
     stop: ServerStop,
 ) -> Result<(), StartError> {
-    let listener = TcpListener::from_std(listener).map_err(StartError::Thread)?;
+    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     let context = Arc::clone(context);
     let answer = move |_| {
         let answer = readiness::answer(&context);
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -47,6 +47,9 @@
     /// Threads can't be started.
     #[error("a thread can't be started: {0}; raise the limit of threads")]
     Thread(io::Error),
+    /// A bound socket can't be given to a runtime.
+    #[error("a socket can't be used: {0}; raise the limit of open files")]
+    Socket(io::Error),
     /// The store can't use its folder.
     #[error("data_folder: {0}")]
     Store(String),
