--- a/crates/lab/src/configuration_simulation/world.rs
+++ b/crates/lab/src/simulations/configuration/world.rs
@@ -17,6 +17,7 @@
 use super::operator::{ChangeEnd, ChangeRecord, Operator};
 use super::packet::{PLATFORM, node_process};
 use super::platform::{Platform, PlatformFaults};
+use super::report::RunReport;
 
 /// Time between two looks at the world.
 const STEP: Duration = Duration::from_millis(100);
@@ -91,36 +92,6 @@
     }
 }
 
-/// What a run showed.
-#[derive(Clone, Debug, Default)]
-pub struct Report {
-    /// What must never happen and did.
-    pub violations: Vec<Violation>,
-    /// Changes accepted, lost to a race, not written, and unknown to their operator.
-    pub ends: Ends,
-    /// Faults that fell on nodes, and on the platform.
-    pub faults: usize,
-    /// Replies lost after a write took effect.
-    pub lost_replies: u64,
-    /// Times from the operator's answer to the last running, connected node.
-    pub spread_times: Vec<Duration>,
-    /// The most nodes of one region that read the platform at once, takeovers included.
-    pub most_readers: usize,
-}
-
-/// How many changes ended in which way.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
-    /// Accepted.
-    pub accepted: usize,
-    /// Lost a race.
-    pub conflicts: usize,
-    /// Nothing written.
-    pub not_written: usize,
-    /// The operator does not know.
-    pub unknown: usize,
-}
-
 /// An accepted change on its way to every node.
 struct Spreading {
     revision: Revision,
@@ -128,11 +99,11 @@
     /// Nodes that had it in force when it was accepted.
     sources: Vec<usize>,
     platform_up: bool,
-    reached_all: bool,
 }
 
 /// One run.
 pub struct World {
+    seed: u64,
     options: WorldOptions,
     simulation: Simulation<Machine>,
     views: Views,
@@ -147,7 +118,7 @@
     /// When a node or a cut last came or went.
     last_change: Timestamp,
     views_due: Timestamp,
-    report: Report,
+    report: RunReport,
 }
 
 impl World {
@@ -172,6 +143,7 @@
             ))
         };
         Self {
+            seed,
             views: Views::new((0..options.nodes).map(zone).collect()),
             reachability: Reachability { running: vec![true; options.nodes], cuts: Vec::new() },
             healthy_since: vec![Some(Timestamp::ORIGIN); options.nodes],
@@ -181,14 +153,14 @@
             seen_records: vec![0; usize::try_from(options.operators).unwrap_or_default()],
             last_change: Timestamp::ORIGIN,
             views_due: Timestamp::ORIGIN,
-            report: Report::default(),
+            report: RunReport::default(),
             simulation,
             options,
         }
     }
 
     /// Runs a seed to its end.
-    pub fn run(seed: u64, options: WorldOptions) -> Report {
+    pub fn run(seed: u64, options: WorldOptions) -> RunReport {
         let mut world = Self::new(seed, options);
         let node_faults = world.draw_node_faults(seed);
         let platform_faults = world.draw_platform_faults(seed);
@@ -200,37 +172,6 @@
         world.finish()
     }
 
-    /// The simulation, for experiments that drive it themselves.
-    pub fn simulation(&self) -> &Simulation<Machine> {
-        &self.simulation
-    }
-
-    /// Cuts a group of nodes off from all others.
-    pub fn cut_off(&mut self, group: &[usize]) {
-        self.apply(&Fault::CutOff(group.iter().copied().map(node_process).collect()));
-    }
-
-    /// Ends every cut.
-    pub fn heal(&mut self) {
-        self.apply(&Fault::Heal);
-    }
-
-    /// Kills nodes; they stay dead.
-    pub fn kill(&mut self, node: usize) {
-        self.apply(&Fault::Kill(node_process(node)));
-    }
-
-    /// Runs without faults for a while.
-    pub fn run_quietly(&mut self, duration: Duration) {
-        let until = self.simulation.now() + duration;
-        self.run_until(until, &[], &[]);
-    }
-
-    /// What was seen so far.
-    pub fn report(&self) -> &Report {
-        &self.report
-    }
-
     fn draw_node_faults(&self, seed: u64) -> Vec<(Timestamp, Fault)> {
         let Some(rates) = self.options.rates else { return Vec::new() };
         let targets: Vec<ProcessId> = (0..self.options.nodes).map(node_process).collect();
@@ -300,10 +241,7 @@
             }
             Fault::Restart(_) | Fault::Kill(_) | Fault::Freeze(..) => {}
         }
-        self.simulation.apply(fault, |machine| match machine {
-            Machine::Node(node) => Machine::Node(Box::new(node.restarted())),
-            Machine::Platform(_) | Machine::Operator(_) => unreachable!("only nodes are restarted"),
-        });
+        self.simulation.apply(fault, Machine::restarted);
     }
 
     fn set_platform(&mut self, faults: PlatformFaults) {
@@ -403,7 +341,7 @@
     }
 
     fn violate(&mut self, violation: Violation) {
-        self.report.violations.push(violation);
+        self.report.violations.push((self.seed, violation));
     }
 
     /// Changes that operators were told are accepted begin to be watched.
@@ -414,15 +352,15 @@
             let news: Vec<ChangeRecord> = operator.records()[self.seen_records[number]..].to_vec();
             self.seen_records[number] += news.len();
             for record in news {
-                let ends = &mut self.report.ends;
+                let report = &mut self.report;
                 match record.end {
                     ChangeEnd::Accepted(revision) => {
-                        ends.accepted += 1;
+                        report.accepted += 1;
                         self.begin_spreading(revision, now);
                     }
-                    ChangeEnd::Conflict(_) => ends.conflicts += 1,
-                    ChangeEnd::NotWritten => ends.not_written += 1,
-                    ChangeEnd::Unknown => ends.unknown += 1,
+                    ChangeEnd::Conflict(_) => report.conflicts += 1,
+                    ChangeEnd::NotWritten => report.not_written += 1,
+                    ChangeEnd::Unknown => report.unknown += 1,
                 }
             }
         }
@@ -433,13 +371,7 @@
         let sources = (0..self.options.nodes).filter(has).collect();
         let platform = self.simulation.process(PLATFORM).platform();
         let platform_up = platform.is_some_and(|platform| !platform.faults().down);
-        self.spreading.push(Spreading {
-            revision,
-            accepted_at: now,
-            sources,
-            platform_up,
-            reached_all: false,
-        });
+        self.spreading.push(Spreading { revision, accepted_at: now, sources, platform_up });
     }
 
     fn has(&self, number: usize, revision: Revision) -> bool {
@@ -448,16 +380,7 @@
 
     fn check_spreading(&mut self, now: Timestamp) {
         let within = self.options.in_force_within;
-        let mut spreading = std::mem::take(&mut self.spreading);
-        for change in &mut spreading {
-            let healthy = |number: &usize| self.healthy_since[*number].is_some();
-            let missing =
-                (0..self.options.nodes).filter(healthy).find(|number| !self.has(*number, change.revision));
-            if missing.is_none() && !change.reached_all {
-                change.reached_all = true;
-                self.report.spread_times.push(now.saturating_since(change.accepted_at));
-            }
-        }
+        let spreading = std::mem::take(&mut self.spreading);
         let due = |change: &Spreading| now.saturating_since(change.accepted_at) >= within;
         let (due, rest): (Vec<Spreading>, Vec<Spreading>) = spreading.into_iter().partition(due);
         self.spreading = rest;
@@ -504,7 +427,7 @@
         }
     }
 
-    fn finish(mut self) -> Report {
+    fn finish(mut self) -> RunReport {
         let mut records: Vec<ChangeRecord> = Vec::new();
         for process in self.operator_processes() {
             let Some(operator) = self.simulation.process(process).operator() else { continue };
@@ -528,7 +451,7 @@
                 violations.push(Violation::NotConverged { node: number, in_force, expected });
             }
         }
-        self.report.violations.extend(violations);
+        violations.into_iter().for_each(|violation| self.violate(violation));
         self.report
     }
 }
