--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,7 @@
 //! One HTTP request to one of several nodes.
+//!
+//! Owns the choice of a node: addresses are tried in order until one takes the connection, within one time for all. Relies on
+//! the typed bodies of `lichenpulley_protocol`; tells a lost answer from a request that was not sent.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -155,6 +158,7 @@
             return Ok(response.into_body());
         }
         let whole = response.into_body().collect().await;
+        // Where the body is lost the status is still told.
         let bytes = whole.map(http_body_util::Collected::to_bytes).unwrap_or_default();
         Err(refused(status.as_u16(), &bytes))
     }
