--- a/crates/core/src/batch/group_tally.rs
+++ b/crates/core/src/batch/group_tally.rs
@@ -30,7 +30,7 @@
 
 impl GroupTally {
     /// The groups of a job as its ledger stands.
-    pub fn of(state: &JobState) -> Self {
+    pub(crate) fn of(state: &JobState) -> Self {
         let mut tally = Self::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
         for (item, kept) in state.job.items.iter().zip(&state.items) {
@@ -51,22 +51,22 @@
     }
 
     /// The number of an item's group.
-    pub fn group(&self, item: u32) -> Option<usize> {
+    pub(crate) fn group(&self, item: u32) -> Option<usize> {
         *self.groups.get(item as usize)?
     }
 
     /// Items of a group that are not listed yet.
-    pub fn left(&self, group: usize) -> u32 {
+    pub(crate) fn left(&self, group: usize) -> u32 {
         self.left.get(group).copied().unwrap_or(0)
     }
 
     /// How many groups there are.
-    pub fn groups(&self) -> usize {
+    pub(crate) fn groups(&self) -> usize {
         self.left.len()
     }
 
     /// An item was listed; the group that this makes whole. To be called once for each item.
-    pub fn listed(&mut self, item: u32) -> Option<WholeGroup> {
+    pub(crate) fn listed(&mut self, item: u32) -> Option<WholeGroup> {
         let group = self.group(item)?;
         let left = self.left.get_mut(group).filter(|left| **left > 0)?;
         *left -= 1;
--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -59,7 +59,7 @@
 
 impl BatchItem {
     /// What all its runs have in common, in a job that came under this host from this tenant.
-    pub fn fingerprint(&self, host: &str, tenant: Option<&TenantName>) -> Fingerprint {
+    pub(crate) fn fingerprint(&self, host: &str, tenant: Option<&TenantName>) -> Fingerprint {
         Fingerprint::of(&RequestContent { method: METHOD, host, path: &self.path, tenant, body: &self.body })
     }
 }
@@ -123,7 +123,7 @@
 
 impl ItemResult {
     /// The result of an item that came whole.
-    pub fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
+    pub(crate) fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
         let mut versions: Vec<u64> = events.iter().map(|event| event.version).collect();
         versions.sort_unstable();
         versions.dedup();
@@ -132,7 +132,7 @@
     }
 
     /// The result of an item that was given up.
-    pub const fn faulted(item: u32) -> Self {
+    pub(crate) const fn faulted(item: u32) -> Self {
         Self { item, is_complete: false, text: String::new(), versions: Vec::new(), score: None }
     }
 }
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -111,7 +111,7 @@
     }
 
     /// The shard's clock, in milliseconds.
-    pub const fn clock_ms(&self) -> u64 {
+    pub(crate) const fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Replicas that zones are to have by the last order, by service and zone.
-    pub const fn scaled(&self) -> &BTreeMap<(String, String), u32> {
+    pub(crate) const fn scaled(&self) -> &BTreeMap<(String, String), u32> {
         &self.scaled
     }
 
--- a/crates/core/src/batch/load_limit.rs
+++ b/crates/core/src/batch/load_limit.rs
@@ -101,7 +101,7 @@
     }
 
     /// How many loads a second the platform bears, by those that were seen; `None` before any.
-    pub fn loads_per_second(&self, size: PoolSize) -> Option<f64> {
+    pub(crate) fn loads_per_second(&self, size: PoolSize) -> Option<f64> {
         let shortest = self.history.iter().min()?.as_secs_f64();
         Some(self.get(size) as f64 / shortest.max(f64::MIN_POSITIVE))
     }
--- a/crates/core/src/batch/mod.rs
+++ b/crates/core/src/batch/mod.rs
@@ -8,7 +8,7 @@
 pub mod cut_off;
 pub mod election;
 pub mod end_pursuit;
-pub mod group_tally;
+mod group_tally;
 pub mod job;
 pub mod ledger;
 pub mod ledger_follower;
--- a/crates/core/src/batch/record.rs
+++ b/crates/core/src/batch/record.rs
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// When the bytes are none.
-    pub fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
         Self::read_from_buffer(bytes)
     }
 }
--- a/crates/core/src/batch/weights.rs
+++ b/crates/core/src/batch/weights.rs
@@ -48,7 +48,7 @@
 
 impl LoadEnd {
     /// Whether the replica reports this version of the model, or a newer one.
-    pub fn shows(&self, model: &str, version: u64) -> bool {
+    pub(crate) fn shows(&self, model: &str, version: u64) -> bool {
         self.versions.get(model).is_some_and(|reported| *reported >= version)
     }
 }
--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -6,7 +6,7 @@
 use crate::usage::window::WindowNumber;
 
 /// The subject of usage: all windows together.
-pub const USAGE_SUBJECT: &str = "duty/usage";
+pub(crate) const USAGE_SUBJECT: &str = "duty/usage";
 
 /// A call to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 
 impl DutyEnd {
     /// The name used in logs and metrics.
-    pub const fn as_str(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Taken => "taken",
             Self::Superseded => "superseded",
@@ -74,7 +74,7 @@
 
 impl DutyPlan {
     /// A plan that has called nobody.
-    pub fn new(config: DutyConfig) -> Self {
+    pub(crate) fn new(config: DutyConfig) -> Self {
         Self { usage: config.usage.map(UsageReporter::new), scaling: config.scaling.map(ScalePlan::new) }
     }
 }
--- a/crates/core/src/rollout/ledger.rs
+++ b/crates/core/src/rollout/ledger.rs
@@ -67,7 +67,7 @@
 
 impl JobLedger {
     /// A job of which nothing but the specification is known. `decide_once` is on in service.
-    pub fn new(specification: JobSpecification, decide_once: bool) -> Self {
+    pub(crate) fn new(specification: JobSpecification, decide_once: bool) -> Self {
         Self {
             specification,
             step: 0,
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// When the bytes are no ledger.
-    pub fn from_snapshot(bytes: &[u8], decide_once: bool) -> Result<Self, RecordError> {
+    pub(crate) fn from_snapshot(bytes: &[u8], decide_once: bool) -> Result<Self, RecordError> {
         let ledger = Self::read_from_buffer(bytes)?;
         Ok(Self { decide_once, ..ledger })
     }
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// When the codec fails.
-    pub fn snapshot(&self) -> Result<Vec<u8>, RecordError> {
+    pub(crate) fn snapshot(&self) -> Result<Vec<u8>, RecordError> {
         Ok(self.write_to_vec()?)
     }
 
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Says what does not fit.
-    pub fn apply(&mut self, record: &JobRecord) -> Result<(), LedgerError> {
+    pub(crate) fn apply(&mut self, record: &JobRecord) -> Result<(), LedgerError> {
         match record {
             JobRecord::Submitted(_) => Err(LedgerError::NoSpecification),
             JobRecord::Decided { generation, sample } => self.decide(*generation, sample),
@@ -117,42 +117,42 @@
     }
 
     /// The bound on staleness.
-    pub fn staleness_bound(&self) -> StalenessBound {
+    pub(crate) fn staleness_bound(&self) -> StalenessBound {
         StalenessBound(self.specification.staleness_bound)
     }
 
     /// The first step that is not closed; the number of steps once the job is finished.
-    pub fn step(&self) -> u32 {
+    pub(crate) fn step(&self) -> u32 {
         self.step
     }
 
     /// Whether the trainer has saved every sample.
-    pub fn is_finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.step >= self.specification.steps
     }
 
     /// The highest version that the trainer stated.
-    pub fn trainer_version(&self) -> WeightVersion {
+    pub(crate) fn trainer_version(&self) -> WeightVersion {
         self.delivery.trainer_version
     }
 
     /// The cursor that the trainer stated last.
-    pub fn saved_cursor(&self) -> u64 {
+    pub(crate) fn saved_cursor(&self) -> u64 {
         self.delivery.saved
     }
 
     /// Samples handed over and not voided.
-    pub fn delivered(&self) -> u64 {
+    pub(crate) fn delivered(&self) -> u64 {
         self.delivery.delivered()
     }
 
     /// How often a slot was reopened because its sample had grown too old.
-    pub fn reopened(&self) -> u64 {
+    pub(crate) fn reopened(&self) -> u64 {
         self.reopened
     }
 
     /// The generation of a slot, if it can be decided now.
-    pub fn open_generation(&self, slot: Slot) -> Option<u32> {
+    pub(crate) fn open_generation(&self, slot: Slot) -> Option<u32> {
         if slot.step < self.step || !slot.belongs_to(&self.specification) {
             return None;
         }
@@ -164,7 +164,7 @@
     }
 
     /// Samples of the current step that wait to be handed over, in the order of their slots.
-    pub fn ready(&self) -> impl Iterator<Item = &Sample> {
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &Sample> {
         let states = self.slots.iter().take_while(|(slot, _)| slot.step == self.step);
         states.filter_map(|(_, state)| match &state.phase {
             SlotPhase::Ready(sample) => Some(sample),
@@ -173,7 +173,7 @@
     }
 
     /// The position and the samples of the unsaved batch, in the order of their positions.
-    pub fn unsaved_batch(&self) -> Option<(u64, Vec<&Sample>)> {
+    pub(crate) fn unsaved_batch(&self) -> Option<(u64, Vec<&Sample>)> {
         let batch = self.delivery.batch.as_ref()?;
         let sample = |slot: &Slot| match &self.slots.get(slot)?.phase {
             SlotPhase::HandedOver(sample) => Some(sample),
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     /// Says what does not fit.
-    pub fn check_pull(&self, request: &PullRequest) -> Result<(), PullRefusal> {
+    pub(crate) fn check_pull(&self, request: &PullRequest) -> Result<(), PullRefusal> {
         self.delivery.check(request.cursor, request.trainer_version)
     }
 
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -25,6 +25,6 @@
 pub use record::{JobRecord, RecordError};
 pub use sample::{JobStatus, Sample};
 pub use slot::{Slot, SlotPhase};
-pub use span::{SpanError, check_coverage, oldest_version};
+pub use span::SpanError;
 pub use specification::{JobSpecification, SpecificationError};
 pub use staleness::{StalenessBound, TooOld};
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// When the bytes are no record.
-    pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 }
--- a/crates/core/src/rollout/slot.rs
+++ b/crates/core/src/rollout/slot.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether the job has this slot.
-    pub fn belongs_to(&self, specification: &JobSpecification) -> bool {
+    pub(crate) fn belongs_to(&self, specification: &JobSpecification) -> bool {
         self.step < specification.steps
             && (self.prompt as usize) < specification.prompts.len()
             && self.index < specification.samples_per_prompt
--- a/crates/core/src/rollout/span.rs
+++ b/crates/core/src/rollout/span.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// When there are no tokens, or a token is covered by no span or by two.
-pub fn check_coverage(spans: &[VersionSpan], tokens: usize) -> Result<(), SpanError> {
+pub(crate) fn check_coverage(spans: &[VersionSpan], tokens: usize) -> Result<(), SpanError> {
     if tokens == 0 {
         return Err(SpanError::Empty);
     }
@@ -49,6 +49,6 @@
 }
 
 /// The oldest version among spans; `None` where there are none.
-pub fn oldest_version(spans: &[VersionSpan]) -> Option<WeightVersion> {
+pub(crate) fn oldest_version(spans: &[VersionSpan]) -> Option<WeightVersion> {
     spans.iter().map(|span| span.weight_version).min()
 }
--- a/crates/core/src/rollout/staleness.rs
+++ b/crates/core/src/rollout/staleness.rs
@@ -28,7 +28,11 @@
     ///
     /// # Errors
     /// When it is older than allowed.
-    pub fn check(self, weight_version: WeightVersion, trainer_version: WeightVersion) -> Result<(), TooOld> {
+    pub(crate) fn check(
+        self,
+        weight_version: WeightVersion,
+        trainer_version: WeightVersion,
+    ) -> Result<(), TooOld> {
         let staleness = staleness(weight_version, trainer_version);
         if staleness > self.0 {
             return Err(TooOld { staleness, bound: self.0 });
@@ -40,7 +44,11 @@
     ///
     /// # Errors
     /// When it is older than allowed. A sample without spans counts as older than any.
-    pub fn check_spans(self, spans: &[VersionSpan], trainer_version: WeightVersion) -> Result<(), TooOld> {
+    pub(crate) fn check_spans(
+        self,
+        spans: &[VersionSpan],
+        trainer_version: WeightVersion,
+    ) -> Result<(), TooOld> {
         let Some(oldest) = oldest_version(spans) else {
             return Err(TooOld { staleness: u64::MAX, bound: self.0 });
         };
@@ -49,6 +57,6 @@
 }
 
 /// How many versions the trainer is ahead; zero where the tokens are as new as the trainer or newer.
-pub const fn staleness(weight_version: WeightVersion, trainer_version: WeightVersion) -> u64 {
+pub(crate) const fn staleness(weight_version: WeightVersion, trainer_version: WeightVersion) -> u64 {
     trainer_version.0.saturating_sub(weight_version.0)
 }
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether it is time to look again: a look goes over all items of all jobs.
-    pub fn is_due(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn is_due(&mut self, now: Timestamp) -> bool {
         if now < self.next_look {
             return false;
         }
--- a/crates/core/src/usage/account.rs
+++ b/crates/core/src/usage/account.rs
@@ -52,7 +52,7 @@
     }
 
     /// The last window that is closed.
-    pub const fn closed_through(&self) -> Option<WindowNumber> {
+    pub(crate) const fn closed_through(&self) -> Option<WindowNumber> {
         self.closed_through
     }
 
--- a/crates/core/src/usage/window.rs
+++ b/crates/core/src/usage/window.rs
@@ -12,13 +12,13 @@
 impl WallTime {
     /// So much earlier.
     #[must_use]
-    pub fn before(self, duration: Duration) -> Self {
+    pub(crate) fn before(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(to_ms(duration)))
     }
 
     /// So much later.
     #[must_use]
-    pub fn after(self, duration: Duration) -> Self {
+    pub(crate) fn after(self, duration: Duration) -> Self {
         Self(self.0.saturating_add(to_ms(duration)))
     }
 }
@@ -30,7 +30,7 @@
 impl WindowNumber {
     /// The window that follows.
     #[must_use]
-    pub const fn next(self) -> Self {
+    pub(crate) const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
@@ -52,12 +52,12 @@
     }
 
     /// The window in which a time lies.
-    pub fn window_at(self, time: WallTime) -> WindowNumber {
+    pub(crate) fn window_at(self, time: WallTime) -> WindowNumber {
         WindowNumber(time.0 / to_ms(self.0).max(1))
     }
 
     /// When a window ends.
-    pub fn end_of(self, window: WindowNumber) -> WallTime {
+    pub(crate) fn end_of(self, window: WindowNumber) -> WallTime {
         WallTime(window.0.saturating_add(1).saturating_mul(to_ms(self.0)))
     }
 }
--- a/crates/core/src/weights/controller.rs
+++ b/crates/core/src/weights/controller.rs
@@ -199,17 +199,6 @@
         }
     }
 
-    /// The state that the log amounts to.
-    pub fn ledger(&self) -> &WeightsLedger {
-        &self.ledger
-    }
-
-    /// The oldest version that a replica of the pool reported last, leaving out those without one: they take no
-    /// work. `None` where no replica has reported.
-    pub fn oldest_reported(&self) -> Option<WeightVersion> {
-        self.replicas.values().filter_map(|state| state.report?.weight_version).min()
-    }
-
     fn advance(&mut self, now: Timestamp) {
         self.expire_orders(now);
         self.order_roles();
--- a/crates/core/src/weights/ledger.rs
+++ b/crates/core/src/weights/ledger.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// When the bytes are no record.
-    pub fn decode(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 }
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// When the bytes are no ledger.
-    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
+    pub(crate) fn from_snapshot(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 
@@ -87,12 +87,12 @@
     ///
     /// # Errors
     /// When the codec fails.
-    pub fn snapshot(&self) -> Result<Vec<u8>, WeightsRecordError> {
+    pub(crate) fn snapshot(&self) -> Result<Vec<u8>, WeightsRecordError> {
         Ok(self.write_to_vec()?)
     }
 
     /// Applies the next record. A version never goes back: an older `Published` changes nothing.
-    pub fn apply(&mut self, record: &WeightsRecord) {
+    pub(crate) fn apply(&mut self, record: &WeightsRecord) {
         match record {
             WeightsRecord::Published(version) => self.publish(*version),
             WeightsRecord::Ordered(replicas) => self.ordered.extend(replicas.iter().cloned()),
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -52,41 +52,7 @@
     }
 }
 
-/// A setting that can't be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{field} is out of its range; give {allowed}")]
-pub struct WaveConfigError {
-    /// The field.
-    pub field: &'static str,
-    /// What it may be.
-    pub allowed: &'static str,
-}
-
 impl WaveConfig {
-    /// Checks every field.
-    ///
-    /// # Errors
-    /// Names the first field that can't be used.
-    pub fn validate(&self) -> Result<(), WaveConfigError> {
-        if self.max_concurrent_loads == 0 {
-            return Err(WaveConfigError { field: "max_concurrent_loads", allowed: "at least 1" });
-        }
-        if self.max_loading_percent == 0 || self.max_loading_percent > 100 {
-            return Err(WaveConfigError { field: "max_loading_percent", allowed: "1 to 100" });
-        }
-        let durations = [
-            ("load_timeout", self.load_timeout),
-            ("poll_interval", self.poll_interval),
-            ("order_interval", self.order_interval),
-            ("sweep_interval", self.sweep_interval),
-            ("barrier_interval", self.barrier_interval),
-        ];
-        match durations.into_iter().find(|(_, duration)| duration.is_zero()) {
-            Some((field, _)) => Err(WaveConfigError { field, allowed: "more than nothing" }),
-            None => Ok(()),
-        }
-    }
-
     /// How many of `replicas` may load at once.
     pub fn loading_limit(&self, replicas: usize) -> usize {
         let part_of_pool = (replicas * self.max_loading_percent / 100).max(1);
