--- a/crates/core/src/batch/cut_off.rs
+++ b/crates/core/src/batch/cut_off.rs
@@ -1,16 +1,29 @@
 //! When an owner takes itself for cut off from its stores, and leaves before others notice that it is silent.
 //!
-//! Stores that give no answer to appends may be busy, and after this node itself stood still answers lie unread. So silence
-//! alone proves nothing: the owner asks all stores of the deployment a small question, and is cut off only when none
-//! answers it within its time.
+//! Inputs: for how long no append was confirmed and no store has answered, polled at each tick of the owner, and the reply
+//! to the question that the owner then asks of all stores. Stores that give no answer to appends may be busy, and after
+//! this node itself stood still answers lie unread. So silence alone proves nothing: the owner asks all stores of the
+//! deployment a small question, and is cut off only when none answers it within its time. Measured: an owner that relied on
+//! silence alone was taken over from four times in 20 s while its stores were busy with its own first append.
 
 use std::time::Duration;
 
-/// Looks in a row at which the stores were silent, before they are asked.
-const SILENT_LOOKS: u32 = 3;
-/// A question that ended later than this after its time says that this node stood still, not that nobody answered.
+/// Silence after which the owner begins to suspect that it is cut off. Others take over after a second of silence: with this,
+/// three polls and the question's 300 ms the owner has left and offered its progress before.
+const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
+/// Polls in a row at which the stores were silent, before they are asked. With one, an owner whose thread had stood still
+/// just after a takeover left although answers of its stores lay unread.
+const SILENT_POLLS: u32 = 3;
+/// A question that ended later than this after its time says that this node stood still, not that nobody answered. Chosen,
+/// not measured: smaller, and a busy machine asks again for nothing; greater, and one that stood still leaves its jobs.
 const LATE_MARGIN: Duration = Duration::from_millis(150);
 
+/// Whether the stores count as silent at a poll: neither was an append confirmed lately nor did any store answer. While a
+/// store is replaced nothing is confirmed, but the stores answer the owner's heartbeats.
+pub fn is_silent(unconfirmed_for: Duration, unanswered_for: Duration) -> bool {
+    unconfirmed_for >= CUT_OFF_AFTER && unanswered_for >= CUT_OFF_AFTER
+}
+
 /// What became of the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoresReply {
@@ -33,22 +46,22 @@
     Leave,
 }
 
-/// What an owner has seen of its stores' silence.
+/// What an owner has observed of its stores' silence.
 #[derive(Clone, Debug, Default)]
 pub struct CutOffWatch {
-    silent_looks: u32,
+    silent_polls: u32,
     is_asking: bool,
 }
 
 impl CutOffWatch {
-    /// A look at the stores: whether none has answered for long.
-    pub fn look(&mut self, is_silent: bool) -> CutOffStep {
+    /// Takes what a poll of the stores' silence showed (see [`is_silent`]).
+    pub fn poll(&mut self, is_silent: bool) -> CutOffStep {
         if !is_silent {
-            self.silent_looks = 0;
+            self.silent_polls = 0;
             return CutOffStep::GoOn;
         }
-        self.silent_looks = self.silent_looks.saturating_add(1);
-        if self.silent_looks < SILENT_LOOKS || self.is_asking {
+        self.silent_polls = self.silent_polls.saturating_add(1);
+        if self.silent_polls < SILENT_POLLS || self.is_asking {
             return CutOffStep::GoOn;
         }
         self.is_asking = true;
@@ -58,16 +71,16 @@
     /// The question has ended.
     pub fn replied(&mut self, reply: StoresReply) -> CutOffStep {
         self.is_asking = false;
-        // Heard meanwhile: the silence is over.
-        if self.silent_looks == 0 {
+        // A store answered meanwhile: the silence is over.
+        if self.silent_polls == 0 {
             return CutOffStep::GoOn;
         }
         let was_late = reply.took > reply.timeout + LATE_MARGIN;
         if reply.answered == 0 && !was_late {
             return CutOffStep::Leave;
         }
-        // Asked again after as many silent looks.
-        self.silent_looks = 0;
+        // The stores are asked again after as many silent polls.
+        self.silent_polls = 0;
         CutOffStep::GoOn
     }
 }
--- a/crates/core/src/batch/mod.rs
+++ b/crates/core/src/batch/mod.rs
@@ -10,6 +10,7 @@
 pub mod end_pursuit;
 mod group_tally;
 pub mod job;
+pub mod leaving;
 pub mod ledger;
 pub mod ledger_follower;
 pub mod load_limit;
--- a/crates/core/tests/batch_election.rs
+++ b/crates/core/tests/batch_election.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::batch::election::{LeaderSeen, Verdict, judge, looks_now};
+use lichenpulley_core::batch::election::{LeaderSeen, Verdict, judge, polls_now};
 use lichenpulley_core::identity::{Epoch, NodeId};
 
 const AFTER: Duration = Duration::from_millis(1_000);
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn every_node_looks_now_and_then_and_all_together_look_seldom() {
+fn every_node_polls_now_and_then_and_all_together_look_seldom() {
     let looks = |nodes: usize| -> usize {
-        let of_rank = |rank| (0..1_000).filter(|turn| looks_now(rank, *turn)).count();
+        let of_rank = |rank| (0..1_000).filter(|turn| polls_now(rank, *turn)).count();
         (0..nodes).map(of_rank).sum()
     };
-    assert!((0..410).all(|rank| (0..1_000).any(|turn| looks_now(rank, turn))));
+    assert!((0..410).all(|rank| (0..1_000).any(|turn| polls_now(rank, turn))));
     let (few, many) = (looks(7), looks(410));
     assert!(many < few * 4, "{few} looks by 7 nodes, {many} by 410");
 }
--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -1,10 +1,15 @@
-//! A candidate for the ownership of the batch jobs: looks whether the owner still appends, and takes over.
+//! A candidate for the ownership of the batch jobs: asks the stores whether the owner still appends, and takes over.
+//!
+//! Owns the polling, the takeover of the log and the hand-over to the next candidate. When to take over is decided in
+//! `core::batch::election`, who comes first in [`super::owner_order`]; what follows a takeover is the [`Owner`]'s.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use futures::future::join_all;
-use lichenpulley_core::batch::election::{self, LeaderSeen, Verdict};
+use lichenpulley_core::batch::election::{
+    self, LeaderAnswer, LeaderAnswers, LeaderSeen, PollReason, Verdict,
+};
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::ledger_follower::LedgerFollower;
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
@@ -12,6 +17,7 @@
 use lichenpulley_core::batch::recovery::{LedgerRecovery, RecoveryStep};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::NodeId;
+use lichenpulley_core::replication::entry::LogIndex;
 use lichenpulley_core::replication::log::RecoveredLog;
 use lichenpulley_core::replication::replica_set::ReplicaSet;
 use lichenpulley_core::time::Timestamp;
@@ -33,70 +39,30 @@
 use crate::store::replica_sets;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// Time between two looks at the stores.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
-/// A store that has not answered by then counts as missing.
+/// Time between two polls of the stores. Chosen, not measured: a quarter of the second of silence after which an owner is
+/// taken over from; longer delays a takeover by as much, shorter asks every store more often.
+const ELECTION_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// A store that has not answered within this time counts as missing. Chosen, not measured: shorter, and busy stores make
+/// an owner leave; longer, and one that is cut off leaves after others took over.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A candidate that the owner asked takes over where the stores have not heard of the owner for so long.
-const ASKED_IDLE: Duration = Duration::from_millis(300);
-/// The pause between two signs of life while the ledger is put together.
+/// Time between two heartbeats to the stores while the ledger is put together: as often as an owner appends when it has
+/// nothing to record, a fifth of the silence after which others take over.
 const RECOVERY_HEARTBEAT: Duration = Duration::from_millis(200);
-/// How long a successor may take to answer that it was told.
+/// How long a successor may take to answer that it was asked to take over. Chosen, not measured: an owner that leaves
+/// waits for it; a successor that does not answer finds the silence by itself.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What one store says of who leads.
-struct StoreAnswer {
-    store: NodeId,
-    leader: Option<LeaderSeen>,
-}
-
-/// What the stores say of who leads.
-pub(crate) struct StoresSay {
-    answers: Vec<StoreAnswer>,
-    /// The owner under the highest epoch.
-    pub(crate) owner: Option<NodeId>,
-}
-
-impl StoresSay {
-    /// Whether a store heard of the owner less than so long ago.
-    fn heard_within(&self, duration: Duration) -> bool {
-        self.leaders().any(|seen| seen.idle < duration)
-    }
-
-    fn leaders(&self) -> impl Iterator<Item = &LeaderSeen> {
-        self.answers.iter().filter_map(|answer| answer.leader.as_ref())
-    }
-
-    /// The answers that count towards a majority of `set`: those of its members, and of stores that know of a leader, which
-    /// are members of a set that this node has not met yet. All of them where no set is known.
-    fn counted(&self, set: Option<&ReplicaSet>) -> Vec<Option<LeaderSeen>> {
-        let is_member =
-            |set: &ReplicaSet, node: &NodeId| set.members.iter().any(|member| member.node == *node);
-        let counts = |answer: &&StoreAnswer| {
-            answer.leader.is_some() || set.is_none_or(|set| is_member(set, &answer.store))
-        };
-        self.answers.iter().filter(counts).map(|answer| answer.leader.clone()).collect()
-    }
-
-    /// How many stores answered.
-    pub(super) const fn answered(&self) -> usize {
-        self.answers.len()
-    }
-}
-
-/// Asks every live store that may keep the shard.
-pub(crate) async fn ask_stores(scope: &Scope) -> StoresSay {
+/// Asks every live store that may keep the shard who leads.
+pub(crate) async fn ask_stores(scope: &Scope) -> LeaderAnswers {
     let answers = join_all(scope.stores().into_iter().map(|store| ask_store(scope, store))).await;
-    let mut say = StoresSay { answers: answers.into_iter().flatten().collect(), owner: None };
-    let latest = say.leaders().max_by_key(|seen| seen.epoch);
-    say.owner = latest.map(|seen| seen.owner.clone());
-    say
+    LeaderAnswers(answers.into_iter().flatten().collect())
 }
 
 /// Asks one store; `None` where it gives no answer in time.
-async fn ask_store(scope: &Scope, store: Member) -> Option<StoreAnswer> {
+async fn ask_store(scope: &Scope, store: Member) -> Option<LeaderAnswer> {
     let request = StoreRequest::Leadership(scope.shard.clone());
     let peers = &scope.context.peers;
+    // Why a store gives no answer does not matter here: it counts as missing.
     let Ok(StoreResponse::Leadership(seen)) = peers.store(store.peer_address, request, STORE_TIMEOUT).await
     else {
         return None;
@@ -106,7 +72,7 @@
         owner: node_of(seen.proposer.as_str()),
         idle: Duration::from_millis(seen.idle_ms),
     });
-    Some(StoreAnswer { store: store.node, leader })
+    Some(LeaderAnswer { store: store.node, leader })
 }
 
 /// A proposer's id is its node's name, a slash, and a random number.
@@ -118,7 +84,7 @@
 pub(super) async fn run(scope: Scope, pool: ReplicaPool, traffic: Handle, commands: mpsc::Receiver<Command>) {
     let stopped = scope.context.stopped.clone();
     let follower = LogFollower::spawn(scope.clone());
-    let mut candidate = Candidate { scope, pool, traffic, commands, looks: 0, offer: None, follower };
+    let mut candidate = Candidate { scope, pool, traffic, commands, polls: 0, offer: None, follower };
     tokio::select! {
         () = stopped.cancelled() => {}
         () = candidate.run() => {}
@@ -130,35 +96,13 @@
     pool: ReplicaPool,
     traffic: Handle,
     commands: mpsc::Receiver<Command>,
-    /// Times at which a look was due.
-    looks: u64,
+    /// Turns so far at which the stores may have been asked.
+    polls: u64,
     /// What an owner that can't reach its stores left.
     offer: Option<ProgressOffer>,
     follower: LogFollower,
 }
 
-/// Why a candidate looks.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LookReason {
-    /// It is time.
-    Due,
-    /// The owner left the jobs to this node.
-    Told,
-    /// The owner can't reach its stores, and asked this node to try.
-    Asked,
-}
-
-impl LookReason {
-    /// The name used in logs, as the reason of a takeover.
-    const fn as_str(self) -> &'static str {
-        match self {
-            Self::Due => "owner_silent",
-            Self::Told => "owner_left",
-            Self::Asked => "owner_cut_off",
-        }
-    }
-}
-
 impl Candidate {
     async fn run(&mut self) {
         loop {
@@ -166,7 +110,7 @@
             if self.scope.context.draining.is_cancelled() {
                 continue;
             }
-            if let Some(idle) = self.look(reason).await {
+            if let Some(idle) = self.poll(reason).await {
                 let followed = self.follower.take();
                 self.take_over(reason, idle, followed).await;
                 self.follower.resume();
@@ -174,16 +118,16 @@
         }
     }
 
-    /// Waits for the next look; answers commands with who owns meanwhile.
-    async fn wait(&mut self) -> LookReason {
-        let next = tokio::time::sleep(LOOK_INTERVAL);
+    /// Waits for the next poll; answers commands with who owns meanwhile.
+    async fn wait(&mut self) -> PollReason {
+        let next = tokio::time::sleep(ELECTION_POLL_INTERVAL);
         tokio::pin!(next);
         loop {
             tokio::select! {
-                () = &mut next => return LookReason::Due,
+                () = &mut next => return PollReason::Due,
                 Some(command) = self.commands.recv() => {
                     if let BatchRequest::TakeOver(offer) = &command.request {
-                        let reason = if offer.is_some() { LookReason::Asked } else { LookReason::Told };
+                        let reason = if offer.is_some() { PollReason::OwnerCutOff } else { PollReason::OwnerLeft };
                         self.offer.clone_from(offer);
                         command.answer(BatchResponse::Ended);
                         return reason;
@@ -197,30 +141,26 @@
     }
 
     /// Whether to take over now, and how long the owner before has been silent.
-    async fn look(&mut self, reason: LookReason) -> Option<Duration> {
+    async fn poll(&mut self, reason: PollReason) -> Option<Duration> {
         let rank = rank(&self.scope);
-        self.looks += 1;
-        if reason == LookReason::Due && !election::looks_now(rank, self.looks) {
+        self.polls += 1;
+        if reason == PollReason::Due && !election::polls_now(rank, self.polls) {
             return None;
         }
         // The first set of the main shard is waited for; one that can't be made in its regions is not tried again and again.
         if !self.scope.is_main() && self.scope.shortage().is_some() {
             return None;
         }
-        let say = ask_stores(&self.scope).await;
-        if let Some(owner) = &say.owner {
+        let answers = ask_stores(&self.scope).await;
+        if let Some(owner) = answers.owner() {
             self.scope.owner.store(Some(Arc::new(owner.clone())));
         }
-        if reason == LookReason::Told {
+        if reason == PollReason::OwnerLeft {
             return Some(Duration::ZERO);
         }
-        let (rank, takeover_after) = match reason {
-            // Nobody else was asked: no turn need be waited for.
-            LookReason::Asked => (0, ASKED_IDLE),
-            _ => (rank, self.scope.context.settings.batch.takeover_after),
-        };
-        let (answers, needed) = self.count(&say).await;
-        let verdict = election::judge(&self.scope.context.node, rank, &answers, needed, takeover_after);
+        let (rank, takeover_after) = reason.turn(rank, self.scope.context.settings.batch.takeover_after);
+        let (counted, needed) = self.count(&answers).await;
+        let verdict = election::judge(&self.scope.context.node, rank, &counted, needed, takeover_after);
         match verdict {
             Verdict::Wait(_) => None,
             Verdict::TakeOver(None) => Some(self.scope.context.settings.batch.order_lease),
@@ -230,21 +170,21 @@
 
     /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller or larger than
     /// the settings want. Where too few count, the set that this node has met may have been replaced since.
-    async fn count(&self, say: &StoresSay) -> (Vec<Option<LeaderSeen>>, usize) {
+    async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<LeaderSeen>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
         let least = context.settings.store.set_size.least_members();
         let needed_of = |set: Option<&ReplicaSet>| set.map_or(least, ReplicaSet::majority);
         let mut set = replica_sets::find_among_stores(context, shard).await;
-        if set.is_some() && say.counted(set.as_ref()).len() < needed_of(set.as_ref()) {
+        if set.is_some() && answers.counted(set.as_ref()).len() < needed_of(set.as_ref()) {
             context.replica_sets.forget(shard);
             set = replica_sets::find_among_stores(context, shard).await;
         }
-        (say.counted(set.as_ref()), needed_of(set.as_ref()))
+        (answers.counted(set.as_ref()), needed_of(set.as_ref()))
     }
 
     /// Takes over from what was followed. Where nothing was, the outline of a long log is read first; another may have
     /// taken over meanwhile.
-    async fn take_over(&mut self, reason: LookReason, idle: Duration, followed: Option<LedgerFollower>) {
+    async fn take_over(&mut self, reason: PollReason, idle: Duration, followed: Option<LedgerFollower>) {
         if followed.is_some() {
             return self.own(reason, idle, followed, None).await;
         }
@@ -253,7 +193,7 @@
         if outline.is_none() {
             return self.own(reason, idle, None, None).await;
         }
-        if reason == LookReason::Due && ask_stores(&self.scope).await.heard_within(began.elapsed()) {
+        if reason == PollReason::Due && ask_stores(&self.scope).await.appended_within(began.elapsed()) {
             return;
         }
         let missing = outline.as_ref().map(MissingTexts::of);
@@ -262,16 +202,14 @@
 
     async fn own(
         &mut self,
-        reason: LookReason,
+        reason: PollReason,
         idle: Duration,
         followed: Option<LedgerFollower>,
         missing: Option<MissingTexts>,
     ) {
         let began = Instant::now();
         let known = followed.as_ref().map(LedgerFollower::known).unwrap_or_default();
-        let decision = Decision::new(Component::Rollout, "taking_over", reason.as_str(), &self.scope.shard);
-        let decision = decision.with("idle_ms", idle.as_millis()).with("known_through", known.through);
-        self.scope.context.decisions.record(decision);
+        self.record_takeover(reason, idle, known.through);
         let taken = ShardLog::take_over_knowing(&self.scope.context, &self.scope.shard, known).await;
         let (mut log, recovered) = match taken {
             Ok(taken) => taken,
@@ -281,9 +219,10 @@
             }
         };
         self.scope.owner.store(Some(Arc::new(self.scope.context.node.clone())));
-        let followed_bytes = followed.as_ref().map_or(0, LedgerFollower::held_bytes);
-        let ledger = recover_ledger(&mut log, &recovered, followed).await;
-        let ledger = match ledger {
+        // A snapshot stands for all that was followed.
+        let followed_bytes = followed.as_ref().filter(|_| recovered.snapshot.is_none());
+        let followed_bytes = followed_bytes.map_or(0, LedgerFollower::held_bytes);
+        let ledger = match recover_ledger(&mut log, &recovered, followed).await {
             Ok(ledger) => ledger,
             Err(error) => {
                 ::log::error!(target: "batch", "The log of the batch jobs can't be recovered: {error}.");
@@ -291,14 +230,14 @@
             }
         };
         let read_bytes = recovered.bytes();
-        // A snapshot stands for all that was followed.
-        let followed_bytes = if recovered.snapshot.is_some() { 0 } else { followed_bytes };
-        let decision = Decision::new(Component::Rollout, "ledger_whole", reason.as_str(), &self.scope.shard);
-        let decision = decision.with("followed_bytes", followed_bytes).with("read_bytes", read_bytes);
-        self.scope.context.decisions.record(decision.with("milliseconds", began.elapsed().as_millis()));
+        self.record_recovery(reason, followed_bytes, read_bytes, began);
         let held_bytes = followed_bytes + read_bytes;
         let (latest, offer) = (recovered.latest_origin, self.offer.take());
-        let takeover = Takeover { log, ledger, held_bytes, latest, idle, offer, missing };
+        self.run_owner(Takeover { log, ledger, held_bytes, latest, idle, offer, missing }).await;
+    }
+
+    /// Owns until the owner ends, and hands over where it left by itself.
+    async fn run_owner(&mut self, takeover: Takeover) {
         let owner = Owner::new(self.scope.clone(), self.pool.clone(), self.traffic.clone(), takeover);
         let end = owner.run(&mut self.commands).await;
         self.scope.owner.store(None);
@@ -309,13 +248,26 @@
         }
     }
 
-    /// Tells the next candidate that this node leaves.
+    fn record_takeover(&self, reason: PollReason, idle: Duration, known_through: LogIndex) {
+        let decision = Decision::new(Component::Rollout, "taking_over", reason.as_str(), &self.scope.shard);
+        let decision = decision.with("idle_ms", idle.as_millis()).with("known_through", known_through);
+        self.scope.context.decisions.record(decision);
+    }
+
+    fn record_recovery(&self, reason: PollReason, followed_bytes: usize, read_bytes: usize, began: Instant) {
+        let decision = Decision::new(Component::Rollout, "ledger_whole", reason.as_str(), &self.scope.shard);
+        let decision = decision.with("followed_bytes", followed_bytes).with("read_bytes", read_bytes);
+        self.scope.context.decisions.record(decision.with("milliseconds", began.elapsed().as_millis()));
+    }
+
+    /// Asks the next candidate to take over from this node. Without a candidate, or where it gives no answer, the others
+    /// notice by themselves that nobody appends.
     async fn hand_over(&self, offer: Option<ProgressOffer>) {
         let Some(successor) = best_other(&self.scope) else { return };
-        let told =
-            self.scope.ask_peer(successor.peer_address, BatchRequest::TakeOver(offer), HAND_OVER_TIMEOUT);
-        if let Err(error) = told.await {
-            ::log::info!(target: "batch", "{} was not told to take over: {error}.", successor.node);
+        let request = BatchRequest::TakeOver(offer);
+        let answered = self.scope.ask_peer(successor.peer_address, request, HAND_OVER_TIMEOUT).await;
+        if let Err(error) = answered {
+            ::log::info!(target: "batch", "{} did not answer the request to take over: {error}.", successor.node);
         }
     }
 }
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -1,4 +1,8 @@
 //! The way to the owner of one shard of batch jobs, from any node.
+//!
+//! Owns the channel to this node's candidate, where the node may own the shard. Relies on the stores for who leads where no
+//! node names the owner. It differs from `coordinator::forward`, whose requests can all be repeated: here a request that got
+//! no answer may have been taken, and the caller learns so.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +17,17 @@
 use super::{Command, candidate};
 use crate::ingress::pool::ReplicaPool;
 
-/// Requests that wait for the owner before senders have to wait.
-const COMMAND_BACKLOG: usize = 1_024;
-/// How long a request looks for the owner.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// How long the owner may take, besides what a reader waits.
+/// Requests that wait for the owner before senders have to wait. Chosen, not measured: greater costs memory while the owner
+/// stands still; smaller makes peers wait in a burst.
+const OWNER_COMMAND_BACKLOG: usize = 1_024;
+/// How long a request tries to reach the owner. Chosen, not measured: a takeover after a second of silence fits; longer holds
+/// callers while nobody can own.
+const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long the owner may take, besides what a reader waits. Chosen, not measured: above the appends of a busy owner; longer
+/// delays the search for the next one.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Pause before the owner is looked up again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause before the owner is looked up again. Chosen, not measured: shorter asks every store more often while nobody owns.
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One shard of batch jobs. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
@@ -36,7 +43,7 @@
         let settings = &scope.context.settings;
         let can_own = settings.roles.coordinator && settings.platform.metadata_store.is_some();
         let commands = (can_own && scope.allows_this_node()).then(|| {
-            let (commands, received) = mpsc::channel(COMMAND_BACKLOG);
+            let (commands, received) = mpsc::channel(OWNER_COMMAND_BACKLOG);
             control.spawn(candidate::run(scope.clone(), pool, traffic, received));
             commands
         });
@@ -57,7 +64,7 @@
     /// Asks the owner, wherever it is, and waits while the ownership moves. `InDoubt` where the last owner asked may
     /// have taken the request without an answer.
     pub(crate) async fn ask(&self, request: BatchRequest) -> BatchResponse {
-        let limit = Instant::now() + PATIENCE;
+        let limit = Instant::now() + OWNER_SEARCH_TIMEOUT;
         let wait = match &request {
             BatchRequest::Read { wait_ms, .. } => Duration::from_millis(*wait_ms),
             _ => Duration::ZERO,
@@ -77,10 +84,10 @@
                 Some(BatchResponse::Unavailable) => {}
                 Some(response) => return response,
             }
-            if Instant::now() + PAUSE >= limit {
+            if Instant::now() + OWNER_RETRY_INTERVAL >= limit {
                 return if may_be_taken { BatchResponse::InDoubt } else { BatchResponse::Unavailable };
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
 
@@ -109,11 +116,11 @@
         }
     }
 
-    /// Takes another's word for who owns, or asks the stores.
+    /// Takes the owner that another node named, or asks the stores who owns.
     async fn learn(&self, named: Option<NodeId>) {
         let owner = match named {
             Some(named) if Some(&named) != self.scope.known_owner().as_ref() => Some(named),
-            _ => candidate::ask_stores(&self.scope).await.owner,
+            _ => candidate::ask_stores(&self.scope).await.owner().cloned(),
         };
         if let Some(owner) = owner {
             self.scope.owner.store(Some(Arc::new(owner)));
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -19,9 +19,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::log::Replacement;
 use super::scope::Scope;
 use crate::metadata::retirements::Retirements;
+use crate::store::log_writer::Replacement;
 use crate::store::{exchange, placement, replica_sets};
 
 /// Time between two looks at the stores.
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -10,7 +10,6 @@
 mod job_shard;
 mod keeper;
 mod load;
-mod log;
 mod outline;
 mod owner;
 mod owner_order;
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -1,51 +1,58 @@
 //! Drives the state machine of the batch jobs that this node owns.
+//!
+//! Owns the controller, the log, what is under way at replicas, and the callers that wait, from a takeover until the node
+//! drains, a much more capable one can own, or the log is lost. Relies on the controller (`core::batch::controller`) for all
+//! that concerns jobs; the files beside this one each hold one of the owner's parts.
 
 mod actions;
 mod callers;
+mod fenced_calls;
 mod leaving;
+mod running;
+mod stores;
+mod waiting;
 
-use std::collections::HashMap;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 use lichenpulley_core::batch::controller::{Controller, ControllerConfig, RunEvent, RunId};
-use lichenpulley_core::batch::cut_off::{CutOffStep, CutOffWatch, StoresReply};
+use lichenpulley_core::batch::leaving::LeaveWatch;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::order_lease::OrderLease;
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
-use lichenpulley_core::batch::score_plan::ScoreId;
 use lichenpulley_core::duties::DutyConfig;
-use lichenpulley_core::identity::{BatchId, Epoch, NodeId};
+use lichenpulley_core::identity::Epoch;
 use lichenpulley_core::time::Timestamp;
 use tokio::runtime::Handle;
-use tokio::sync::mpsc;
-use tokio::task::AbortHandle;
-use tokio::time::Instant;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, Interval, MissedTickBehavior};
+use tokio_util::sync::CancellationToken;
 
-use callers::Reader;
+use fenced_calls::FencedCalls;
+use running::RunningWork;
+pub(super) use stores::CONFIRMED_FOR;
+use stores::OwnedStores;
+use waiting::WaitingCallers;
 
 use super::Command;
-use super::keeper::StoreKeeper;
-use super::load::{LoadEnded, LoadOrders};
-use super::log::{LogWriter, Written};
+use super::load::LoadEnded;
 use super::outline::{self, MissingTexts};
 use super::scope::Scope;
 use super::score::ScoreEnded;
-use crate::boot_clock::{BootClock, BootInstant};
 use crate::context::Context;
-use crate::duties::{self, DutyCalls, DutyEnded};
+use crate::duties::{self, DutyEnded};
 use crate::ingress::pool::ReplicaPool;
 use crate::metrics::Latency;
+use crate::store::log_writer::AppendOutcome;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// What was read under a confirmation may be shown for so long: any later owner began after it.
-pub(super) const CONFIRMED_FOR: Duration = Duration::from_millis(600);
-/// Events of runs that wait for the owner.
-const EVENT_BACKLOG: usize = 4_096;
-/// The part of the machine's memory that items and results may take.
-const HELD_PERCENT: usize = 35;
+/// The part of the machine's memory that items and results may take, in percent. Chosen, not measured: a follower may hold
+/// nearly as much on the same machine; more, and the machine runs out of memory; less, and hand-ins are refused early.
+const MAIN_MEMORY_PERCENT: usize = 35;
 /// The same for the jobs that are bound to some regions: a machine may own these beside the main shard.
-const REGIONAL_HELD_PERCENT: usize = 20;
-/// Margin above the order lease and the time for which an order may leave after its record.
+const REGIONAL_MEMORY_PERCENT: usize = 20;
+/// Margin above the order lease and the time for which an order may leave after its record. Chosen, not measured: covers
+/// clocks that run unlike; longer, and a new owner orders nothing for as much longer.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The batch jobs as a new owner takes them over.
@@ -70,43 +77,19 @@
 pub(super) struct Owner {
     scope: Scope,
     context: Context,
-    pool: ReplicaPool,
-    traffic: Handle,
     controller: Controller,
+    /// Time zero of the controller's clock.
     origin: Instant,
-    log: LogWriter,
     epoch: Epoch,
-    /// Counts the time in which the machine is suspended: others take over meanwhile.
-    clock: BootClock,
-    /// When the last append that is known to be decided was begun.
-    confirmed_at: BootInstant,
-    runs: HashMap<RunId, AbortHandle>,
-    run_events: mpsc::Receiver<(RunId, RunEvent)>,
-    run_sender: mpsc::Sender<(RunId, RunEvent)>,
-    scores: HashMap<ScoreId, AbortHandle>,
-    score_ends: mpsc::UnboundedReceiver<ScoreEnded>,
-    score_sender: mpsc::UnboundedSender<ScoreEnded>,
-    loads: LoadOrders,
-    keeper: StoreKeeper,
-    load_ends: mpsc::UnboundedReceiver<LoadEnded>,
-    submissions: Vec<(BatchId, Command)>,
-    ends: Vec<(BatchId, Command)>,
-    /// Counts of nodes that are on their way to the stores: the node's life, and the entry before which all are taken.
-    usages: Vec<(String, u64, Command)>,
+    stores: OwnedStores,
+    running: RunningWork,
+    calls: FencedCalls,
+    callers: WaitingCallers,
     /// The ledger with the texts that were not read when this owner began.
     texts: mpsc::Receiver<Ledger>,
-    duty_calls: DutyCalls,
-    duty_ends: mpsc::UnboundedReceiver<DutyEnded>,
-    readers: Vec<Reader>,
+    leave_watch: LeaveWatch,
+    /// Why the log can't be written any more.
     failure: Option<ShardLogError>,
-    cut_off: CutOffWatch,
-    /// What the stores reply to the question whether any can be reached.
-    stores_replies: mpsc::UnboundedReceiver<StoresReply>,
-    stores_asked: mpsc::UnboundedSender<StoresReply>,
-    /// Whether a store is being replaced.
-    is_replacing: bool,
-    /// A much more capable node, and since when it has been seen.
-    better: Option<(NodeId, Instant)>,
 }
 
 /// Why a node owns the batch jobs no longer.
@@ -120,6 +103,23 @@
     Superseded,
 }
 
+/// What an owner waits for besides its own parts.
+struct OwnerInputs<'a> {
+    commands: &'a mut mpsc::Receiver<Command>,
+    metadata: watch::Receiver<u64>,
+    ticks: Interval,
+    draining: CancellationToken,
+}
+
+/// Why an owner stops by itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StopReason {
+    /// The node drains, or a more capable one can own.
+    Leaves,
+    /// No store answers.
+    CutOff,
+}
+
 impl Owner {
     /// The owner of what it has taken over.
     pub(super) fn new(scope: Scope, pool: ReplicaPool, traffic: Handle, takeover: Takeover) -> Self {
@@ -130,131 +130,100 @@
             length: context.settings.batch.order_lease + CONFIRMED_FOR + LEASE_MARGIN,
             idle,
         };
-        let memory = context.settings.machine.memory_bytes;
-        let config = ControllerConfig::default();
-        let held_percent = if scope.is_main() { HELD_PERCENT } else { REGIONAL_HELD_PERCENT };
-        let capacity_bytes = config.capacity_bytes.min(memory / 100 * held_percent);
-        let duties = context.settings.duties;
-        let duties = DutyConfig { usage: duties.usage(), scaling: duties.scaling() };
-        let duties = if scope.is_main() { duties } else { DutyConfig::default() };
-        let (zones, regions) = (context.settings.places.zones.clone(), scope.regions.clone());
-        let config = ControllerConfig { capacity_bytes, duties, zones, regions, ..config };
-        let mut controller = Controller::new(config, ledger, Timestamp::ORIGIN, lease);
+        let mut controller = Controller::new(controller_config(&scope), ledger, Timestamp::ORIGIN, lease);
         if let Some(offer) = offer {
             let adopted = controller.adopt(offer, latest);
             ::log::info!(target: "batch", "{adopted} events came from the owner before.");
         }
-        let (run_sender, run_events) = mpsc::channel(EVENT_BACKLOG);
-        let (load_sender, load_ends) = mpsc::unbounded_channel();
-        let (score_sender, score_ends) = mpsc::unbounded_channel();
-        let (stores_asked, stores_replies) = mpsc::unbounded_channel();
-        let (texts_sender, texts) = mpsc::channel(1);
-        if let Some(missing) = missing.filter(|_| controller.ledger().is_outline()) {
-            tokio::spawn(read_texts(scope.clone(), missing, texts_sender));
-        }
-        let (duty_sender, duty_ends) = mpsc::unbounded_channel();
+        let missing = missing.filter(|_| controller.ledger().is_outline());
         let epoch = log.epoch();
-        let now = Instant::now();
-        let clock = context.boot_clock.clone();
         Self {
-            duty_calls: DutyCalls::new(context.clone(), epoch, duty_sender),
-            duty_ends,
-            texts,
-            usages: Vec::new(),
-            loads: LoadOrders::new(context.clone(), epoch, load_sender),
-            keeper: StoreKeeper::start(scope.clone(), log.set().clone()),
-            context,
-            scope,
-            pool,
-            traffic,
             controller,
-            origin: now,
-            log: LogWriter::start(log, held_bytes, clock.clone()),
+            origin: Instant::now(),
             epoch,
-            confirmed_at: clock.now(),
-            clock,
-            runs: HashMap::new(),
-            run_events,
-            run_sender,
-            scores: HashMap::new(),
-            score_ends,
-            score_sender,
-            load_ends,
-            submissions: Vec::new(),
-            ends: Vec::new(),
-            readers: Vec::new(),
+            running: RunningWork::new(context.clone(), pool, traffic),
+            calls: FencedCalls::new(&context, epoch),
+            callers: WaitingCallers::default(),
+            texts: read_missing(&scope, missing),
+            stores: OwnedStores::new(scope.clone(), log, held_bytes),
+            leave_watch: LeaveWatch::default(),
             failure: None,
-            cut_off: CutOffWatch::default(),
-            stores_replies,
-            stores_asked,
-            is_replacing: false,
-            better: None,
+            scope,
+            context,
         }
     }
 
     /// Owns until the node drains, a much more capable one can own, or the log fails.
     pub(super) async fn run(mut self, commands: &mut mpsc::Receiver<Command>) -> OwnerEnd {
-        let mut metadata = self.context.metadata.watch();
         let mut ticks = tokio::time::interval(self.context.settings.batch.tick_interval);
-        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let draining = self.context.draining.clone();
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let (metadata, draining) = (self.context.metadata.watch(), self.context.draining.clone());
+        let mut inputs = OwnerInputs { commands, metadata, ticks, draining };
         self.update();
-        let mut is_cut_off = false;
-        while self.failure.is_none() {
-            tokio::select! {
-                () = draining.cancelled() => break,
-                Some(command) = commands.recv() => self.handle_command(command),
-                written = self.log.next() => self.handle_written(written),
-                Some((run, event)) = self.run_events.recv() => self.handle_run(run, event),
-                Some(ended) = self.score_ends.recv() => self.handle_score(&ended),
-                Some(ended) = self.load_ends.recv() => self.handle_load(&ended),
-                Some(ended) = self.duty_ends.recv() => self.handle_duty(&ended),
-                Some(whole) = self.texts.recv() => {
-                    self.controller.fill_texts(whole);
-                    self.answer_readers();
-                }
-                // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is decided; 0.25 s after it.
-                replacement = self.keeper.next(), if !self.controller.ledger().is_outline() => {
-                    self.is_replacing = true;
-                    self.log.replace(replacement);
-                }
-                Ok(()) = metadata.changed() => self.update(),
-                Some(reply) = self.stores_replies.recv() => {
-                    is_cut_off = self.cut_off.replied(reply) == CutOffStep::Leave;
-                    if is_cut_off {
-                        ::log::warn!(target: "batch", "No store answers this owner: the batch jobs are left.");
-                        break;
-                    }
-                }
-                _ = ticks.tick() => {
-                    if self.should_leave() {
-                        break;
-                    }
-                    self.watch_silence();
-                    self.tick();
-                }
+        let mut stop = None;
+        while self.failure.is_none() && stop.is_none() {
+            match self.step(&mut inputs).await {
+                ControlFlow::Continue(()) => self.act(),
+                ControlFlow::Break(reason) => stop = Some(reason),
             }
-            self.act();
         }
-        let end = if self.failure.is_some() {
-            OwnerEnd::Superseded
-        } else if is_cut_off {
-            OwnerEnd::CutOff(self.controller.progress_offer(self.epoch))
-        } else {
-            self.flush().await;
-            OwnerEnd::Left
-        };
+        let end = self.conclude(stop).await;
         self.finish();
         end
     }
 
+    /// Waits for the next event and takes it in.
+    async fn step(&mut self, inputs: &mut OwnerInputs<'_>) -> ControlFlow<StopReason> {
+        tokio::select! {
+            () = inputs.draining.cancelled() => return ControlFlow::Break(StopReason::Leaves),
+            Some(command) = inputs.commands.recv() => self.handle_command(command),
+            outcome = self.stores.log.next() => self.handle_append(outcome),
+            Some((run, event)) = self.running.run_events.recv() => self.handle_run(run, event),
+            Some(ended) = self.running.score_ends.recv() => self.handle_score(&ended),
+            Some(ended) = self.calls.load_ends.recv() => self.handle_load(&ended),
+            Some(ended) = self.calls.duty_ends.recv() => self.handle_duty(&ended),
+            Some(whole) = self.texts.recv() => self.fill_texts(whole),
+            // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is decided; 0.25 s after it.
+            replacement = self.stores.keeper.next(), if !self.controller.ledger().is_outline() => {
+                self.stores.log.replace(replacement);
+            }
+            Ok(()) = inputs.metadata.changed() => self.update(),
+            Some(reply) = self.stores.replies.recv() => {
+                if self.stores.is_cut_off_by(reply) {
+                    ::log::warn!(target: "batch", "No store answers this owner: the batch jobs are left.");
+                    return ControlFlow::Break(StopReason::CutOff);
+                }
+            }
+            _ = inputs.ticks.tick() => {
+                if self.should_leave() {
+                    return ControlFlow::Break(StopReason::Leaves);
+                }
+                self.stores.watch_silence();
+                self.tick();
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// How the ownership ends, once the stores keep what an owner that leaves made.
+    async fn conclude(&mut self, stop: Option<StopReason>) -> OwnerEnd {
+        match stop {
+            None => OwnerEnd::Superseded,
+            Some(StopReason::CutOff) => OwnerEnd::CutOff(self.controller.progress_offer(self.epoch)),
+            Some(StopReason::Leaves) => {
+                self.flush().await;
+                OwnerEnd::Left
+            }
+        }
+    }
+
     fn now(&self) -> Timestamp {
         Timestamp::ORIGIN + self.origin.elapsed()
     }
 
-    /// Invariant: nothing is shown, started or ordered on an authority that was not confirmed lately.
-    fn is_confirmed(&self) -> bool {
-        self.clock.since(self.confirmed_at) < CONFIRMED_FOR
+    fn fill_texts(&mut self, whole: Ledger) {
+        self.controller.fill_texts(whole);
+        self.answer_readers();
     }
 
     fn update(&mut self) {
@@ -272,7 +241,7 @@
     }
 
     fn tick(&mut self) {
-        self.controller.set_confirmed(self.is_confirmed());
+        self.controller.set_confirmed(self.stores.is_confirmed());
         self.controller.tick(self.now());
         self.controller.tick_duties(self.now(), duties::wall_time());
         let (running, waiting) = self.controller.item_counts();
@@ -281,40 +250,40 @@
     }
 
     fn handle_run(&mut self, run: RunId, event: RunEvent) {
-        self.controller.set_confirmed(self.is_confirmed());
+        self.controller.set_confirmed(self.stores.is_confirmed());
         let now = self.now();
         self.controller.run_event(now, run, event);
         // A burst is taken in at once.
-        while let Ok((run, event)) = self.run_events.try_recv() {
+        while let Ok((run, event)) = self.running.run_events.try_recv() {
             self.controller.run_event(now, run, event);
         }
     }
 
     fn handle_score(&mut self, ended: &ScoreEnded) {
-        self.scores.remove(&ended.id);
+        self.running.forget_score(ended.id);
         let now = self.now();
-        self.controller.set_confirmed(self.is_confirmed());
+        self.controller.set_confirmed(self.stores.is_confirmed());
         self.controller.score_ended(now, ended.id, &ended.end, ended.busy);
     }
 
     fn handle_load(&mut self, ended: &LoadEnded) {
         let now = self.now();
-        self.controller.set_confirmed(self.is_confirmed());
+        self.controller.set_confirmed(self.stores.is_confirmed());
         self.controller.load_ended(now, &ended.replica, &ended.end);
     }
 
     fn handle_duty(&mut self, ended: &DutyEnded) {
         let now = self.now();
-        self.controller.set_confirmed(self.is_confirmed());
+        self.controller.set_confirmed(self.stores.is_confirmed());
         self.controller.duty_ended(now, &ended.call, ended.end);
     }
 
-    fn handle_written(&mut self, written: Written) {
-        match written {
-            Written::Appended { appends, began, is_long } => {
-                self.context.metrics.observe(Latency::Append, "decided", self.clock.since(began));
-                self.confirmed_at = self.confirmed_at.max(began);
-                self.controller.set_confirmed(self.is_confirmed());
+    fn handle_append(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Appended { appends, began, is_long } => {
+                self.context.metrics.observe(Latency::Append, "decided", self.stores.clock().since(began));
+                self.stores.confirm(began);
+                self.controller.set_confirmed(self.stores.is_confirmed());
                 let now = self.now();
                 for _ in 0..appends {
                     self.controller.appended(now);
@@ -325,17 +294,14 @@
                     self.compact();
                 }
             }
-            Written::Replaced(set) => {
-                self.is_replacing = false;
-                self.keeper.follow(set);
-            }
-            Written::Failed(error) => self.failure = Some(error),
+            AppendOutcome::Replaced(set) => self.stores.keeper.follow(set),
+            AppendOutcome::Failed(error) => self.failure = Some(error),
         }
     }
 
     fn compact(&mut self) {
         match self.controller.snapshot() {
-            Ok(Some(snapshot)) => self.log.compact(snapshot),
+            Ok(Some(snapshot)) => self.stores.log.compact(snapshot),
             // Records are on their way: the next append tries again.
             Ok(None) => {}
             Err(error) => ::log::error!(target: "batch", "The log can't be compacted: {error}."),
@@ -343,6 +309,27 @@
     }
 }
 
+/// The controller's settings for a shard on this machine. Only the owner of the main shard has duties.
+fn controller_config(scope: &Scope) -> ControllerConfig {
+    let settings = &scope.context.settings;
+    let config = ControllerConfig::default();
+    let memory_percent = if scope.is_main() { MAIN_MEMORY_PERCENT } else { REGIONAL_MEMORY_PERCENT };
+    let capacity_bytes = config.capacity_bytes.min(settings.machine.memory_bytes / 100 * memory_percent);
+    let duties = DutyConfig { usage: settings.duties.usage(), scaling: settings.duties.scaling() };
+    let duties = if scope.is_main() { duties } else { DutyConfig::default() };
+    let (zones, regions) = (settings.places.zones.clone(), scope.regions.clone());
+    ControllerConfig { capacity_bytes, duties, zones, regions, ..config }
+}
+
+/// Begins to read the texts that an owner lacks, where any are missing.
+fn read_missing(scope: &Scope, missing: Option<MissingTexts>) -> mpsc::Receiver<Ledger> {
+    let (sender, texts) = mpsc::channel(1);
+    if let Some(missing) = missing {
+        tokio::spawn(read_texts(scope.clone(), missing, sender));
+    }
+    texts
+}
+
 /// Reads the texts that an owner lacks and hands them to it, unless it ends before.
 async fn read_texts(scope: Scope, missing: MissingTexts, texts: mpsc::Sender<Ledger>) {
     tokio::select! {
--- a/crates/daemon/src/coordinator/forward.rs
+++ b/crates/daemon/src/coordinator/forward.rs
@@ -1,4 +1,8 @@
 //! Brings a request to the owner of its shard, wherever that is.
+//!
+//! Relies on the members that this node knows: the owner of a shard of the own interface follows from them alone. The way to
+//! the owner of batch jobs (`batch::job_shard`) is another, because that owner is found by asking the stores, and because a
+//! hand-in that got no answer there is in doubt, where every request here can be repeated.
 
 use std::time::Duration;
 
@@ -10,14 +14,18 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// How long a request looks for its owner.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// How long one node is given to answer; above the time of a take-over.
+/// How long a request tries to reach the owner of its shard. Chosen, not measured: above one deadline of an answer and a
+/// takeover; longer holds callers of a shard that nobody can own.
+const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long one node may take to answer. Chosen, not measured: above the time of a takeover, which a request waits for at its
+/// new owner.
 const ANSWER_DEADLINE: Duration = Duration::from_secs(5);
-/// Pause before the owner is looked up again.
-const PAUSE: Duration = Duration::from_millis(100);
-/// When a caller should come back where no owner was found, in milliseconds.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// Pause before the owner is looked up again. Chosen, not measured: well below the time in which the membership notices a
+/// change; shorter asks nodes that can't answer yet.
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// When a caller should come back where no owner was found, in milliseconds. Chosen, not measured: the caller has waited for
+/// [`OWNER_SEARCH_TIMEOUT`] already.
+const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 /// The member that should own a shard, as this node sees it.
 pub(super) fn owner(context: &Context, shard: &ShardId) -> Option<Member> {
@@ -31,7 +39,7 @@
     coordinator: &Coordinator,
     request: CoordinatorRequest,
 ) -> CoordinatorResponse {
-    let limit = Instant::now() + PATIENCE;
+    let limit = Instant::now() + OWNER_SEARCH_TIMEOUT;
     let shard = request.shard();
     let mut named = None;
     loop {
@@ -52,7 +60,7 @@
             return no_owner(&shard);
         }
         if named.is_none() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
 }
@@ -86,6 +94,6 @@
         kind: "no_owner".to_owned(),
         message: format!("no node answers for shard {shard} now"),
         remedy: "ask again: repeating the request does no harm".to_owned(),
-        retry_after_ms: RETRY_AFTER_MS,
+        retry_after_ms: NO_OWNER_RETRY_AFTER_MS,
     }
 }
--- a/crates/daemon/src/coordinator/job_owner.rs
+++ b/crates/daemon/src/coordinator/job_owner.rs
@@ -1,4 +1,7 @@
 //! Drives the state machine of one job that this node owns.
+//!
+//! Owns the job's controller, its log, its running attempts and the callers that wait. Relies on `core::rollout` for every
+//! choice. Unlike the owner of batch jobs it has no confirmed authority: each answer waits until its records are kept.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,15 +17,18 @@
 use tokio_util::sync::CancellationToken;
 
 use super::attempt::AttemptRunner;
-use super::log_writer::{LogWriter, Written};
-use super::shard::{ShardClock, ShardCommand, log_refusal, refuse_waiting, refused};
+use super::shard::{ShardClock, ShardCommand, encode_all, last_answer, refused};
 use crate::context::Context;
 use crate::gateway::Dispatcher;
 use crate::http::client::HttpClient;
+use crate::store::log_writer::{AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// A connection to the scorer that is not made by then is given up.
-const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The prefix of this part's log lines.
+const PART: &str = "rollout";
+/// A connection to the scorer that is not made within this time is given up. Chosen, not measured: some round trips of a
+/// busy machine; longer, and an attempt loses its time to a scorer that is gone.
+const SCORER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How an attempt's task ended.
 struct AttemptEnd {
@@ -36,7 +42,7 @@
     runner: AttemptRunner,
     controller: JobController,
     clock: ShardClock,
-    log: LogWriter,
+    log: LogWriter<Vec<u8>>,
     attempts: JoinSet<AttemptEnd>,
     /// How to stop each running attempt.
     running: HashMap<AttemptId, AbortHandle>,
@@ -59,16 +65,17 @@
         let runner = AttemptRunner {
             context: context.clone(),
             dispatcher,
-            http: HttpClient::new(CONNECT_TIMEOUT),
+            http: HttpClient::new(SCORER_CONNECT_TIMEOUT),
             specification: controller.ledger().specification().clone(),
             timeout: controller.config().attempt_timeout,
         };
+        let clock_of_writes = context.boot_clock.clone();
         Self {
             context,
             runner,
             controller,
             clock,
-            log: LogWriter::start(log),
+            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, clock_of_writes),
             attempts: JoinSet::new(),
             running: HashMap::new(),
             pulls: HashMap::new(),
@@ -90,7 +97,7 @@
                     Some(command) => self.handle_command(command),
                     None => break,
                 },
-                written = self.log.next() => self.handle_written(written),
+                outcome = self.log.next() => self.handle_append(outcome),
                 Some(ended) = self.attempts.join_next() => self.handle_attempt(ended),
                 () = self.clock.sleep_until(wakeup) => self.handle(Event::WakeUp),
             }
@@ -141,13 +148,15 @@
         self.handle(Event::Pull { ticket, request });
     }
 
-    fn handle_written(&mut self, written: Written) {
-        match written {
-            Written::Appended => {
-                self.handle(Event::Appended);
+    fn handle_append(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Appended { appends, .. } => {
+                (0..appends).for_each(|_| self.handle(Event::Appended));
                 self.answer_submissions();
             }
-            Written::Failed(error) => self.failure = Some(error),
+            // This owner replaces no store.
+            AppendOutcome::Replaced(_) => {}
+            AppendOutcome::Failed(error) => self.failure = Some(error),
         }
     }
 
@@ -199,11 +208,9 @@
     }
 
     fn append(&mut self, records: &[JobRecord]) {
-        let encoded: Result<Vec<Vec<u8>>, _> = records.iter().map(JobRecord::encode).collect();
-        match encoded {
-            Ok(encoded) => self.log.append(encoded),
-            // Nothing that rests on these records is ever revealed.
-            Err(error) => log::error!(target: "rollout", "A record can't be written: {error}."),
+        // Nothing that rests on records that can't be encoded is ever revealed.
+        if let Some(encoded) = encode_all(PART, records, JobRecord::encode) {
+            self.log.append(encoded);
         }
     }
 
@@ -217,14 +224,7 @@
 
     fn finish(mut self, commands: &mut mpsc::Receiver<ShardCommand>) {
         let waiting = self.pulls.drain().map(|(_, command)| command).chain(self.submissions.drain(..));
-        let response = match &self.failure {
-            Some(error) => {
-                log::warn!(target: "rollout", "The log failed: {error}.");
-                refuse_waiting(commands, error);
-                log_refusal(error)
-            }
-            None => CoordinatorResponse::NotOwner(None),
-        };
+        let response = last_answer(PART, self.failure.as_ref(), commands);
         for command in waiting {
             command.answer(response.clone());
         }
--- a/crates/daemon/src/coordinator/mod.rs
+++ b/crates/daemon/src/coordinator/mod.rs
@@ -12,7 +12,6 @@
 pub mod http;
 mod job_owner;
 mod job_shard;
-mod log_writer;
 mod shard;
 mod supervisor;
 mod weights_shard;
--- a/crates/daemon/src/coordinator/shard.rs
+++ b/crates/daemon/src/coordinator/shard.rs
@@ -9,8 +9,9 @@
 
 use crate::store::shard_log::ShardLogError;
 
-/// When a caller should come back after the shard's log could not be used, in milliseconds.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// When a caller should come back after the shard's log could not be used, in milliseconds. Chosen, not measured: about the
+/// time of a takeover; shorter, and callers repeat requests that nobody can answer yet.
+const LOG_RETRY_AFTER_MS: u64 = 1_000;
 
 /// A request to a shard's owner, and where its answer goes.
 pub(super) struct ShardCommand {
@@ -63,7 +64,7 @@
 }
 
 /// The answer to whoever asked while the shard's log could not be used.
-pub(super) fn log_refusal(error: &ShardLogError) -> CoordinatorResponse {
+fn log_refusal(error: &ShardLogError) -> CoordinatorResponse {
     let kind = match error {
         ShardLogError::Superseded { .. } => return CoordinatorResponse::NotOwner(None),
         ShardLogError::NoMajority { .. } => "no_majority",
@@ -73,10 +74,38 @@
         kind: kind.to_owned(),
         message: error.to_string(),
         remedy: "ask again: repeating the request does no harm".to_owned(),
-        retry_after_ms: RETRY_AFTER_MS,
+        retry_after_ms: LOG_RETRY_AFTER_MS,
     }
 }
 
+/// The records as bytes for the log; `None`, with a line in the node's log, where one of them can't be encoded.
+pub(super) fn encode_all<R, E: std::fmt::Display>(
+    part: &str,
+    records: &[R],
+    encode: impl Fn(&R) -> Result<Vec<u8>, E>,
+) -> Option<Vec<Vec<u8>>> {
+    match records.iter().map(encode).collect() {
+        Ok(encoded) => Some(encoded),
+        Err(error) => {
+            log::error!(target: part, "A record can't be written: {error}.");
+            None
+        }
+    }
+}
+
+/// The answer to callers that still wait when an owner ends. Where its log failed, commands that it has not taken in are
+/// refused in the same way.
+pub(super) fn last_answer(
+    part: &str,
+    failure: Option<&ShardLogError>,
+    commands: &mut mpsc::Receiver<ShardCommand>,
+) -> CoordinatorResponse {
+    let Some(error) = failure else { return CoordinatorResponse::NotOwner(None) };
+    log::warn!(target: part, "The log failed: {error}.");
+    refuse_waiting(commands, error);
+    log_refusal(error)
+}
+
 /// Answers everything that waits in the same way.
 pub(super) fn refuse_waiting(commands: &mut mpsc::Receiver<ShardCommand>, error: &ShardLogError) {
     commands.close();
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -1,4 +1,8 @@
 //! Takes over the shard of one pool's weights and drives its waves.
+//!
+//! Owns the pool's controller, its log, its calls to engines and the callers that wait. Relies on `core::weights` for every
+//! choice. The versions that batch jobs need are loaded by another owner, with other orders (`batch::load`): its replicas
+//! are the platform's and report differently.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,14 +17,17 @@
 use tokio_util::sync::CancellationToken;
 
 use super::engines::EngineClient;
-use super::log_writer::{LogWriter, Written};
-use super::shard::{ShardClock, ShardCommand, log_refusal, refuse_waiting, refused};
+use super::shard::{ShardClock, ShardCommand, encode_all, last_answer, refuse_waiting, refused};
 use crate::context::Context;
 use crate::http::client::HttpClient;
+use crate::store::log_writer::{AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{RecoveredLog, ShardLog, ShardLogError};
 
-/// A connection to an engine that is not made by then is given up.
-const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The prefix of this part's log lines.
+const PART: &str = "weights";
+/// A connection to an engine that is not made within this time is given up. Chosen, not measured: some round trips of a busy
+/// machine; longer only delays the next question, since the wave goes on with other replicas.
+const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One pool's weights on this node.
 pub(super) struct WeightsShard {
@@ -63,7 +70,7 @@
         };
         log::info!(target: "weights", "Pool {} is owned here under epoch {epoch}.", self.pool);
         let engines = EngineClient {
-            http: HttpClient::new(CONNECT_TIMEOUT),
+            http: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             shard: self.shard.clone(),
             epoch,
             deadline: self.context.settings.coordinator.call_timeout,
@@ -74,7 +81,7 @@
             engines,
             controller,
             clock,
-            log: LogWriter::start(log),
+            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, self.context.boot_clock.clone()),
             calls: JoinSet::new(),
             addresses: HashMap::new(),
             waiting: HashMap::new(),
@@ -99,7 +106,7 @@
     engines: EngineClient,
     controller: WeightsController,
     clock: ShardClock,
-    log: LogWriter,
+    log: LogWriter<Vec<u8>>,
     calls: JoinSet<Option<Event>>,
     addresses: HashMap<ReplicaId, SocketAddr>,
     /// Those who wait for an answer, by ticket.
@@ -121,7 +128,7 @@
                     Some(command) => self.handle_command(command),
                     None => break,
                 },
-                written = self.log.next() => self.handle_written(written),
+                outcome = self.log.next() => self.handle_append(outcome),
                 Some(call) = self.calls.join_next() => self.handle_call(call),
                 _ = refresh.tick() => self.refresh_replicas(),
                 () = self.clock.sleep_until(wakeup) => self.handle(Event::WakeUp),
@@ -178,10 +185,14 @@
         self.handle(Event::Replicas(replicas));
     }
 
-    fn handle_written(&mut self, written: Written) {
-        match written {
-            Written::Appended => self.handle(Event::Appended),
-            Written::Failed(error) => self.end = Some(OwnerEnd::Log(error)),
+    fn handle_append(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Appended { appends, .. } => {
+                (0..appends).for_each(|_| self.handle(Event::Appended))
+            }
+            // This owner replaces no store.
+            AppendOutcome::Replaced(_) => {}
+            AppendOutcome::Failed(error) => self.end = Some(OwnerEnd::Log(error)),
         }
     }
 
@@ -212,11 +223,9 @@
     }
 
     fn append(&mut self, records: &[WeightsRecord]) {
-        let encoded: Result<Vec<Vec<u8>>, _> = records.iter().map(WeightsRecord::encode).collect();
-        match encoded {
-            Ok(encoded) => self.log.append(encoded),
-            // Nothing that rests on these records is ever done.
-            Err(error) => log::error!(target: "weights", "A record can't be written: {error}."),
+        // Nothing that rests on records that can't be encoded is ever done.
+        if let Some(encoded) = encode_all(PART, records, WeightsRecord::encode) {
+            self.log.append(encoded);
         }
     }
 
@@ -250,14 +259,11 @@
     }
 
     fn finish(mut self, commands: &mut mpsc::Receiver<ShardCommand>) {
-        let response = match &self.end {
-            Some(OwnerEnd::Log(error)) => {
-                log::warn!(target: "weights", "The log failed: {error}.");
-                refuse_waiting(commands, error);
-                log_refusal(error)
-            }
-            _ => CoordinatorResponse::NotOwner(None),
+        let failure = match &self.end {
+            Some(OwnerEnd::Log(error)) => Some(error),
+            Some(OwnerEnd::Superseded) | None => None,
         };
+        let response = last_answer(PART, failure, commands);
         for (_, command) in self.waiting.drain() {
             command.answer(response.clone());
         }
--- a/crates/daemon/src/operators/regions.rs
+++ b/crates/daemon/src/operators/regions.rs
@@ -58,7 +58,7 @@
 }
 
 async fn shard_status(scope: &Scope) -> BatchShardStatus {
-    let owner = candidate::ask_stores(scope).await.owner;
+    let owner = candidate::ask_stores(scope).await.owner().cloned();
     let set = replica_sets::find_among_stores(&scope.context, &scope.shard).await;
     let stores = set.into_iter().flat_map(|set| set.members).map(|member| member.node);
     BatchShardStatus {
--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -9,6 +9,7 @@
 pub mod error;
 pub(crate) mod exchange;
 pub mod heard_clock;
+pub(crate) mod log_writer;
 mod metrics;
 pub mod placement;
 pub mod reconfiguration;
