--- /dev/null
+++ b/crates/core/src/batch/controller/jobs.rs
@@ -0,0 +1,133 @@
+//! Jobs from their hand-in to their end, and the items that a new owner finds.
+//!
+//! A job is refused where it would not fit the bytes that this owner may hold: items and the texts of results count.
+
+use std::collections::BTreeMap;
+
+use super::{Controller, LiveItem, Submission};
+use crate::batch::group_tally::GroupTally;
+use crate::batch::job::{BatchItem, BatchJob};
+use crate::batch::ledger::JobState;
+use crate::batch::record::Record;
+use crate::decision::{Component, Decision};
+use crate::identity::{BatchId, TenantName};
+use crate::time::Timestamp;
+
+/// The part of an item's greatest length that is expected of it where no estimate came with it. Chosen, not measured: it only
+/// weighs models against each other and fills a replica's memory.
+const EXPECTED_DIVISOR: u64 = 3;
+
+impl Controller {
+    pub(super) fn restore_items(&mut self) {
+        let mut whole = Vec::new();
+        for (batch, state) in self.ledger.jobs() {
+            self.held_bytes += held_bytes(state);
+            if !state.is_ended {
+                self.tallies.insert(batch.clone(), GroupTally::of(state));
+            }
+            for (item, position) in state.items.iter().zip(0..) {
+                if !state.is_open(position) {
+                    continue;
+                }
+                let key = (batch.clone(), position);
+                let mut live = LiveItem {
+                    failures: item.failures,
+                    score_failures: item.score_failures,
+                    ..LiveItem::default()
+                };
+                if item.is_whole {
+                    whole.push(key.clone());
+                } else {
+                    live.events = item.events.clone();
+                    live.written = item.events.len();
+                }
+                self.items.insert(key, live);
+            }
+        }
+        for (batch, item) in whole {
+            self.begin_scoring(self.began_at, &batch, item);
+        }
+    }
+
+    /// Takes a job.
+    pub fn submit(&mut self, now: Timestamp, job: BatchJob) -> Submission {
+        if let Some(kept) = self.ledger.job(&job.id) {
+            let is_own = kept.job.is_open_to(job.tenant.as_ref());
+            return if is_own { Submission::Kept } else { Submission::IdTaken };
+        }
+        if self.accepting.contains(&job.id) {
+            return Submission::Pending;
+        }
+        let bytes = job_bytes(&job);
+        if self.held_bytes + bytes > self.config.capacity_bytes {
+            let decision = Decision::new(Component::Rollout, "batch_refused", "no_room", &job.id);
+            self.decide(decision.with("held_bytes", self.held_bytes));
+            return Submission::Full;
+        }
+        self.held_bytes += bytes;
+        self.accepting.insert(job.id.clone());
+        let decision = Decision::new(Component::Rollout, "batch_taken", "has_room", &job.id);
+        let decision = decision.with("items", job.items.len()).with("min_version", job.min_version);
+        let decision = decision.with("tenant", job.tenant.as_ref().map_or("none", TenantName::as_str));
+        self.decide(
+            decision.with("step", job.step.map_or_else(|| "none".to_owned(), |step| step.to_string())),
+        );
+        let clock = Record::Clock(self.clock_ms(now));
+        self.append(now, vec![clock, Record::Accepted(job)]);
+        Submission::Pending
+    }
+
+    /// Ends a job: its runs are stopped at once, and the end is shown once it is kept. Returns whether it is kept
+    /// already; `None` where there is no such job.
+    pub fn end(&mut self, now: Timestamp, batch: &BatchId) -> Option<bool> {
+        let is_ended = match self.ledger.job(batch) {
+            Some(job) => job.is_ended,
+            None if self.accepting.contains(batch) => false,
+            None => return None,
+        };
+        if !is_ended && self.ending.insert(batch.clone()) {
+            self.append(now, vec![Record::Ended(batch.clone())]);
+            self.forget_items(now, batch);
+            self.decide(Decision::new(Component::Rollout, "batch_ended", "caller", batch));
+            self.work(now);
+        }
+        Some(is_ended)
+    }
+
+    /// A job is kept: its items may be started, and count towards their models' demand.
+    pub(super) fn accepted(&mut self, batch: &BatchId) {
+        self.accepting.remove(batch);
+        let Some(state) = self.ledger.job(batch).filter(|_| !self.ending.contains(batch)) else { return };
+        self.tallies.insert(batch.clone(), GroupTally::of(state));
+        let job = &state.job;
+        let mut demand: BTreeMap<&str, u64> = BTreeMap::new();
+        for (item, position) in job.items.iter().zip(0..) {
+            self.items.insert((job.id.clone(), position), LiveItem::default());
+            if let Some(model) = &item.model {
+                *demand.entry(model).or_default() += expected_tokens(item);
+            }
+        }
+        for (model, tokens) in demand {
+            self.loads.add_demand(model, tokens);
+        }
+    }
+}
+
+/// Tokens that an item will need: its estimate, or a part of the most that it may.
+pub(super) fn expected_tokens(item: &BatchItem) -> u64 {
+    item.expected_tokens.unwrap_or(item.tokens / EXPECTED_DIVISOR).min(item.tokens.max(1))
+}
+
+/// Bytes that a job counts for: its items, and the texts of its results.
+pub(super) fn held_bytes(state: &JobState) -> usize {
+    let texts: usize = state.results.iter().map(|result| result.text.len()).sum();
+    job_bytes(&state.job) + texts
+}
+
+pub(super) fn job_bytes(job: &BatchJob) -> usize {
+    let item_bytes = |item: &BatchItem| {
+        let headers: usize = item.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
+        item.body.len() + item.path.len() + headers + item.id.len()
+    };
+    job.items.iter().map(item_bytes).sum()
+}
--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -9,7 +9,10 @@
 mod duties;
 mod handing_over;
 mod inputs;
+mod jobs;
 mod live_item;
+mod loading;
+mod records;
 mod retention;
 mod runs;
 mod scoring;
@@ -19,16 +22,16 @@
 use std::sync::Arc;
 
 use super::group_tally::GroupTally;
-use super::job::{BatchItem, BatchJob};
-use super::ledger::{JobState, Ledger};
+use super::job::BatchItem;
+use super::ledger::Ledger;
 use super::order_lease::OrderLease;
 use super::record::Record;
 use super::schedule::{ReplicaState, Slowdown};
 use super::score_plan::ScorePlan;
-use super::weights::{Load, LoadEnd, LoadPlan};
-use crate::decision::{Component, Decision};
+use super::weights::{Load, LoadPlan};
+use crate::decision::Decision;
 use crate::duties::{DutyCall, DutyPlan};
-use crate::identity::{BatchId, TenantName};
+use crate::identity::BatchId;
 use crate::ingress::admission::AdmissionGate;
 use crate::ingress::routes::{Route, RouteTable};
 use crate::ingress::warmups::Warmups;
@@ -177,181 +180,6 @@
         self.clock_base_ms.saturating_add(since)
     }
 
-    fn restore_items(&mut self) {
-        let mut whole = Vec::new();
-        for (batch, state) in self.ledger.jobs() {
-            self.held_bytes += held_bytes(state);
-            if !state.is_ended {
-                self.tallies.insert(batch.clone(), GroupTally::of(state));
-            }
-            for (item, position) in state.items.iter().zip(0..) {
-                if !state.is_open(position) {
-                    continue;
-                }
-                let key = (batch.clone(), position);
-                let mut live = LiveItem {
-                    failures: item.failures,
-                    score_failures: item.score_failures,
-                    ..LiveItem::default()
-                };
-                if item.is_whole {
-                    whole.push(key.clone());
-                } else {
-                    live.events = item.events.clone();
-                    live.written = item.events.len();
-                }
-                self.items.insert(key, live);
-            }
-        }
-        for (batch, item) in whole {
-            self.begin_scoring(self.began_at, &batch, item);
-        }
-    }
-
-    /// Takes a job.
-    pub fn submit(&mut self, now: Timestamp, job: BatchJob) -> Submission {
-        if let Some(kept) = self.ledger.job(&job.id) {
-            let is_own = kept.job.is_open_to(job.tenant.as_ref());
-            return if is_own { Submission::Kept } else { Submission::IdTaken };
-        }
-        if self.accepting.contains(&job.id) {
-            return Submission::Pending;
-        }
-        let bytes = job_bytes(&job);
-        if self.held_bytes + bytes > self.config.capacity_bytes {
-            let decision = Decision::new(Component::Rollout, "batch_refused", "no_room", &job.id);
-            self.decide(decision.with("held_bytes", self.held_bytes));
-            return Submission::Full;
-        }
-        self.held_bytes += bytes;
-        self.accepting.insert(job.id.clone());
-        let decision = Decision::new(Component::Rollout, "batch_taken", "has_room", &job.id);
-        let decision = decision.with("items", job.items.len()).with("min_version", job.min_version);
-        let decision = decision.with("tenant", job.tenant.as_ref().map_or("none", TenantName::as_str));
-        self.decide(
-            decision.with("step", job.step.map_or_else(|| "none".to_owned(), |step| step.to_string())),
-        );
-        let clock = Record::Clock(self.clock_ms(now));
-        self.append(now, vec![clock, Record::Accepted(job)]);
-        Submission::Pending
-    }
-
-    /// Ends a job: its runs are stopped at once, and the end is shown once it is kept. Returns whether it is kept
-    /// already; `None` where there is no such job.
-    pub fn end(&mut self, now: Timestamp, batch: &BatchId) -> Option<bool> {
-        let is_ended = match self.ledger.job(batch) {
-            Some(job) => job.is_ended,
-            None if self.accepting.contains(batch) => false,
-            None => return None,
-        };
-        if !is_ended && self.ending.insert(batch.clone()) {
-            self.append(now, vec![Record::Ended(batch.clone())]);
-            self.forget_items(now, batch);
-            self.decide(Decision::new(Component::Rollout, "batch_ended", "caller", batch));
-            self.work(now);
-        }
-        Some(is_ended)
-    }
-
-    /// The oldest append is decided: what it says is shown from now on.
-    pub fn appended(&mut self, now: Timestamp) {
-        let Some(records) = self.appending.pop_front() else { return };
-        for record in records {
-            self.apply(now, record);
-        }
-        self.work_and_load(now);
-    }
-
-    /// Applies a record that is decided, and does what follows from it.
-    fn apply(&mut self, now: Timestamp, record: Record) {
-        enum Follows {
-            Nothing,
-            Acceptance(BatchId),
-            Scoring(BatchId, u32),
-            Listing(BatchId, u32),
-            Order(String),
-            End(BatchId),
-        }
-        let follows = match &record {
-            Record::Accepted(job) => Follows::Acceptance(job.id.clone()),
-            Record::Whole { batch, item, .. } => Follows::Scoring(batch.clone(), *item),
-            Record::Completed { batch, item, .. } | Record::Scored { batch, item, .. } => {
-                Follows::Listing(batch.clone(), *item)
-            }
-            Record::Ordered { replica, .. } => Follows::Order(replica.clone()),
-            Record::Listed { batch, result } => Follows::Listing(batch.clone(), result.item),
-            Record::Ended(batch) => Follows::End(batch.clone()),
-            _ => Follows::Nothing,
-        };
-        self.ledger.apply(record);
-        match follows {
-            Follows::Nothing => {}
-            Follows::Acceptance(batch) => self.accepted(&batch),
-            Follows::Scoring(batch, item) => self.begin_scoring(now, &batch, item),
-            Follows::Listing(batch, item) => self.note_listed(&batch, item),
-            Follows::Order(replica) => {
-                self.actions.extend(self.ordering.remove(&replica).map(Action::Load));
-                self.call_duty(&replica);
-            }
-            Follows::End(batch) => {
-                self.decide(Decision::new(Component::Rollout, "end_kept", "decided", &batch));
-            }
-        }
-    }
-
-    /// Tells when an item made its group whole.
-    fn note_listed(&mut self, batch: &BatchId, item: u32) {
-        let Some(whole) = self.tallies.get_mut(batch).and_then(|tally| tally.listed(item)) else { return };
-        let desired = self.ledger.job(batch).and_then(|job| job.job.desired_groups).unwrap_or(0);
-        let last = self.item(batch, item).map_or_else(String::new, |item| item.id.clone());
-        let decision = Decision::new(Component::Rollout, "group_whole", "all_listed", last);
-        let decision = decision.with("batch", batch).with("group", whole.name).with("whole", whole.whole);
-        self.decide(decision.with("desired", desired).with("groups", whole.groups));
-    }
-
-    fn accepted(&mut self, batch: &BatchId) {
-        self.accepting.remove(batch);
-        let Some(state) = self.ledger.job(batch).filter(|_| !self.ending.contains(batch)) else { return };
-        self.tallies.insert(batch.clone(), GroupTally::of(state));
-        let job = &state.job;
-        let mut demand: BTreeMap<&str, u64> = BTreeMap::new();
-        for (item, position) in job.items.iter().zip(0..) {
-            self.items.insert((job.id.clone(), position), LiveItem::default());
-            if let Some(model) = &item.model {
-                *demand.entry(model).or_default() += expected_tokens(item);
-            }
-        }
-        for (model, tokens) in demand {
-            self.loads.add_demand(model, tokens);
-        }
-    }
-
-    /// A load has ended, well or not.
-    pub fn load_ended(&mut self, now: Timestamp, replica: &str, end: &LoadEnd) {
-        self.note_load(replica, end);
-        if let Some(state) = self.replicas.get_mut(replica) {
-            state.loading = None;
-            for (model, version) in &end.versions {
-                state.saw_version(model, *version);
-            }
-        }
-        self.work_and_load(now);
-    }
-
-    /// Learns from a load that is done how many may be under way.
-    fn note_load(&mut self, replica: &str, end: &LoadEnd) {
-        let Some(state) = self.replicas.get(replica) else { return };
-        let Some(loading) = &state.loading else { return };
-        let Some(time) = end.time.filter(|_| end.shows(&loading.model, loading.version)) else { return };
-        self.loads.load_done(&state.record.service, loading, time, &self.replicas);
-    }
-
-    fn append(&mut self, now: Timestamp, records: Vec<Record>) {
-        self.last_append_at = now;
-        self.appending.push_back(records.clone());
-        self.actions.push_back(Action::Append(records));
-    }
-
     fn decide(&mut self, decision: Decision) {
         self.actions.push_back(Action::Decide(decision));
     }
@@ -369,22 +197,3 @@
         self.route(batch).is_some_and(|route| route.needs_single_version)
     }
 }
-
-/// Tokens that an item will need: its estimate, or a part of the most that it may.
-fn expected_tokens(item: &BatchItem) -> u64 {
-    item.expected_tokens.unwrap_or(item.tokens / 3).min(item.tokens.max(1))
-}
-
-/// Bytes that a job counts for: its items, and the texts of its results.
-fn held_bytes(state: &JobState) -> usize {
-    let texts: usize = state.results.iter().map(|result| result.text.len()).sum();
-    job_bytes(&state.job) + texts
-}
-
-fn job_bytes(job: &BatchJob) -> usize {
-    let item_bytes = |item: &BatchItem| {
-        let headers: usize = item.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
-        item.body.len() + item.path.len() + headers + item.id.len()
-    };
-    job.items.iter().map(item_bytes).sum()
-}
--- a/crates/core/src/batch/controller/retention.rs
+++ b/crates/core/src/batch/controller/retention.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use super::{Controller, RunId, held_bytes};
+use super::jobs::held_bytes;
+use super::{Controller, RunId};
 use crate::batch::ledger::JobState;
 use crate::batch::record::Record;
 use crate::identity::BatchId;
--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -1,12 +1,11 @@
 //! Which items are started and which versions are loaded, once all events at hand are taken in.
 
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{HashMap, HashSet};
 
-use super::{Action, Controller, DueWork, ItemStage, Run, RunId, RunStart, expected_tokens};
+use super::jobs::expected_tokens;
+use super::{Action, Controller, DueWork, ItemStage, Run, RunId, RunStart};
 use crate::batch::ledger::JobState;
-use crate::batch::record::Record;
-use crate::batch::schedule::{self, Loading, Need, ReplicaState};
-use crate::batch::weights::Load;
+use crate::batch::schedule::{self, Need, ReplicaState};
 use crate::decision::{Component, Decision};
 use crate::identity::{BatchId, TenantName};
 use crate::ingress::places::AllowedRegions;
@@ -55,39 +54,6 @@
         });
     }
 
-    fn start_loads(&mut self, now: Timestamp) {
-        let Some(routes) = self.routes.clone() else { return };
-        let clock_ms = self.clock_ms(now);
-        for service in routes.services.keys() {
-            let (ledger, lease) = (&self.ledger, &self.lease);
-            let replicas = &self.replicas;
-            let may_order = |life: &str| lease.allows(ledger.last_order(name_of(replicas, life)), clock_ms);
-            for load in self.loads.next(service, &self.replicas, &self.gate, may_order, now) {
-                self.begin_load(service, &load);
-                let decision = Decision::new(Component::Weights, "load_ordered", "behind", &load.replica);
-                self.decide(decision.with("model", &load.model).with("version", load.version));
-                self.order(now, clock_ms, load);
-            }
-        }
-    }
-
-    /// Invariant: an order leaves only after a majority of stores keeps that it was given.
-    fn order(&mut self, now: Timestamp, clock_ms: u64, load: Load) {
-        let holder = self.lease.holder.clone();
-        let replica = name_of(&self.replicas, &load.replica).to_owned();
-        self.ordering.insert(replica.clone(), load);
-        self.append(now, vec![Record::Ordered { replica, holder, at_ms: clock_ms }]);
-    }
-
-    fn begin_load(&mut self, service: &str, load: &Load) {
-        let is_loading = |state: &&ReplicaState| state.record.service == service && state.loading.is_some();
-        let beside = self.replicas.values().filter(is_loading).count() + 1;
-        if let Some(state) = self.replicas.get_mut(&load.replica) {
-            let (model, version) = (load.model.clone(), load.version);
-            state.loading = Some(Loading { model, version, beside });
-        }
-    }
-
     fn start_items(&mut self, now: Timestamp) {
         if !self.replicas.values().any(ReplicaState::has_free_slot) {
             return;
@@ -266,11 +232,6 @@
     }
 }
 
-/// The name of the replica that a life is of. Holders of orders take turns at a replica, whichever of its lives is ordered.
-fn name_of<'a>(replicas: &'a BTreeMap<String, ReplicaState>, life: &'a str) -> &'a str {
-    replicas.get(life).map_or(life, |state| &state.record.name)
-}
-
 /// An item to start.
 struct WaitingItem {
     batch: BatchId,
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -133,26 +133,20 @@
     /// Applies a record.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Accepted(job) => {
-                let accepted_at_ms = self.clock_ms;
-                self.jobs.entry(job.id.clone()).or_insert_with(|| JobState::new(job, accepted_at_ms));
-            }
+            Record::Accepted(job) => self.accept(job),
+            Record::Ended(batch) => self.end(&batch),
+            Record::Dropped(batch) => self.drop_job(&batch),
             Record::Progress { batch, item, events } => {
-                if let Some(state) = self.item(&batch, item) {
-                    append_events(state, events);
-                }
+                self.change(&batch, item, |state| append_events(state, events));
             }
             Record::Failed { batch, item, failures } => {
-                if let Some(state) = self.item(&batch, item) {
-                    state.failures = state.failures.max(failures);
-                }
+                self.change(&batch, item, |state| state.failures = state.failures.max(failures));
+            }
+            Record::Whole { batch, item, events, replaces } => {
+                self.change(&batch, item, |state| keep_whole(state, events, replaces));
             }
-            Record::Listed { batch, result } => {
-                if let Some(state) = self.item(&batch, result.item).filter(|state| !state.is_listed) {
-                    // The text came with the result.
-                    state.is_outlined = false;
-                }
-                self.list(&batch, result);
+            Record::ScoreFailed { batch, item, failures } => {
+                self.change(&batch, item, |state| state.score_failures = state.score_failures.max(failures));
             }
             Record::Outlined { batch, item, events, kind } => {
                 self.mark_outlined(&batch, item);
@@ -160,41 +154,56 @@
                 // A text that was begun anew is an outline too.
                 self.mark_outlined(&batch, item);
             }
+            Record::Listed { batch, result } => self.list_with_text(&batch, result),
             Record::Completed { batch, item, events } => self.complete(&batch, item, events),
-            Record::Ended(batch) => {
-                if let Some(job) = self.jobs.get_mut(&batch) {
-                    job.is_ended = true;
-                }
-            }
-            Record::Dropped(batch) => {
-                self.jobs.remove(&batch);
-                self.outlined.remove(&batch);
-            }
-            Record::Whole { batch, item, events, replaces } => {
-                if let Some(state) = self.item(&batch, item) {
-                    keep_whole(state, events, replaces);
-                }
-            }
-            Record::ScoreFailed { batch, item, failures } => {
-                if let Some(state) = self.item(&batch, item) {
-                    state.score_failures = state.score_failures.max(failures);
-                }
-            }
+            Record::Scored { batch, item, score } => self.list_scored(&batch, item, score),
             Record::Ordered { replica, holder, at_ms } => {
-                self.mark_order(replica, OrderMark { holder, at_ms })
+                self.mark_order(replica, OrderMark { holder, at_ms });
             }
-            Record::Scored { batch, item, score } => self.list_scored(&batch, item, score),
             Record::UsageCounted { source, through, counts } => self.usage.count(&source, through, &counts),
             Record::UsageClosed(window) => self.usage.close(window),
             Record::UsageDelivered(window) => self.usage.delivered(window),
             Record::Usage(parts) => self.usage = UsageAccount::from_parts(parts),
-            Record::Scaled { service, zone, desired } => {
-                self.scaled.insert((service, zone), desired);
-            }
+            Record::Scaled { service, zone, desired } => self.scale(service, zone, desired),
             Record::Clock(milliseconds) => self.clock_ms = self.clock_ms.max(milliseconds),
         }
     }
 
+    fn accept(&mut self, job: BatchJob) {
+        let accepted_at_ms = self.clock_ms;
+        self.jobs.entry(job.id.clone()).or_insert_with(|| JobState::new(job, accepted_at_ms));
+    }
+
+    fn end(&mut self, batch: &BatchId) {
+        if let Some(job) = self.jobs.get_mut(batch) {
+            job.is_ended = true;
+        }
+    }
+
+    fn drop_job(&mut self, batch: &BatchId) {
+        self.jobs.remove(batch);
+        self.outlined.remove(batch);
+    }
+
+    fn scale(&mut self, service: String, zone: String, desired: u32) {
+        self.scaled.insert((service, zone), desired);
+    }
+
+    /// Changes what is kept of an item. A record of a job that was dropped meanwhile changes nothing.
+    fn change(&mut self, batch: &BatchId, item: u32, change: impl FnOnce(&mut ItemState)) {
+        if let Some(state) = self.item(batch, item) {
+            change(state);
+        }
+    }
+
+    /// Lists a result whose text stands in its record.
+    fn list_with_text(&mut self, batch: &BatchId, result: ItemResult) {
+        if let Some(state) = self.item(batch, result.item).filter(|state| !state.is_listed) {
+            state.is_outlined = false;
+        }
+        self.list(batch, result);
+    }
+
     fn item(&mut self, batch: &BatchId, item: u32) -> Option<&mut ItemState> {
         self.jobs.get_mut(batch)?.items.get_mut(item as usize)
     }
--- /dev/null
+++ b/crates/core/src/weights/controller/wave.rs
@@ -0,0 +1,103 @@
+//! Which replicas are ordered to load the published version, and when an order is repeated or given up.
+//!
+//! Inputs: the published version, which replicas were ordered and which have confirmed, how often each failed, and the limits
+//! of [`WaveConfig`](crate::weights::WaveConfig). At most so many replicas load at once that each has its share of the weight
+//! store's rate and enough of the pool goes on working; the count holds across owners, since it is kept in the log.
+
+use crate::identity::ReplicaId;
+use crate::time::Timestamp;
+use crate::weights::ledger::WeightsRecord;
+
+use super::{Action, OrderCommand, WeightsController};
+
+impl WeightsController {
+    /// An order without a confirmation for too long: its swap failed partway, it was lost, or the replica died.
+    /// The replica may still be fetching, but its share of the store's rate can't be held for ever.
+    pub(super) fn expire_orders(&mut self, now: Timestamp) {
+        let timeout = self.config.load_timeout;
+        let is_expired = |replica: &&ReplicaId| {
+            let ordered_at = self.replicas.get(*replica).and_then(|state| state.ordered_at);
+            ordered_at.is_some_and(|at| now.saturating_since(at) >= timeout)
+        };
+        let expired: Vec<ReplicaId> = self.ledger.ordered.iter().filter(is_expired).cloned().collect();
+        if expired.is_empty() {
+            return;
+        }
+        for replica in &expired {
+            self.decide("reordered", "load_timeout", replica);
+            if let Some(state) = self.replicas.get_mut(replica) {
+                state.failures += 1;
+            }
+        }
+        self.propose(WeightsRecord::Forgotten(expired));
+    }
+
+    /// Orders again what has been ordered and not confirmed: at once after a take-over or a publication, else now and
+    /// then. The replica keeps its place, so the number of fetches stays at the limit.
+    pub(super) fn repeat_orders(&mut self, now: Timestamp) {
+        let Some(target) = self.ledger.target else { return };
+        let interval = self.config.order_interval;
+        let mut due = Vec::new();
+        for replica in &self.ledger.ordered {
+            let Some(state) = self.replicas.get_mut(replica) else { continue };
+            if state.last_order_at.is_some_and(|at| now.saturating_since(at) < interval) {
+                continue;
+            }
+            if state.last_order_at.is_none() {
+                state.ordered_at = Some(now);
+            }
+            state.last_order_at = Some(now);
+            due.push(replica.clone());
+        }
+        for replica in due {
+            self.send_after_record(replica, OrderCommand::LoadWeights(target));
+        }
+        self.release_when_settled();
+    }
+
+    /// Sends an order once everything proposed so far is kept.
+    fn send_after_record(&mut self, replica: ReplicaId, command: OrderCommand) {
+        let order = Action::Order { replica, command };
+        if self.config.keep_before_order {
+            self.held.push(order);
+        } else {
+            self.actions.push_back(order);
+        }
+    }
+
+    pub(super) fn order_next_wave(&mut self, now: Timestamp) {
+        let Some(target) = self.ledger.target else { return };
+        let limit = self.config.loading_limit(self.replicas.len());
+        let free = limit.saturating_sub(self.ledger.ordered.len());
+        if free == 0 {
+            return;
+        }
+        let mut waiting: Vec<(u32, &ReplicaId)> = self
+            .replicas
+            .iter()
+            .filter(|(replica, _)| self.needs_order(replica))
+            .map(|(replica, state)| (state.failures, replica))
+            .collect();
+        // A replica that failed goes behind those that have not been tried.
+        waiting.sort();
+        let wave: Vec<ReplicaId> =
+            waiting.into_iter().take(free).map(|(_, replica)| replica.clone()).collect();
+        if wave.is_empty() {
+            return;
+        }
+        for replica in &wave {
+            if let Some(state) = self.replicas.get_mut(replica) {
+                state.ordered_at = Some(now);
+                state.last_order_at = Some(now);
+                state.asked_at = Some(now);
+            }
+            self.send_after_record(replica.clone(), OrderCommand::LoadWeights(target));
+            self.decide("ordered", "wave", replica);
+        }
+        self.propose(WeightsRecord::Ordered(wave));
+    }
+
+    fn needs_order(&self, replica: &ReplicaId) -> bool {
+        !self.ledger.ordered.contains(replica) && !self.ledger.confirmed.contains(replica)
+    }
+}
