--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -1,4 +1,6 @@
 //! Calls to the platform that one holder makes at a time: usage by tenant, and replicas ordered.
+//!
+//! This is the half without I/O: what a call is, and which plans decide when one is due. The daemon's `duties` makes the calls.
 
 use crate::scaling::{ScaleOrder, ScalePlan, ScalingPolicy};
 use crate::usage::account::TenantCounts;
@@ -6,7 +8,7 @@
 use crate::usage::window::WindowNumber;
 
 /// The subject of usage: all windows together.
-pub const USAGE_SUBJECT: &str = "duty/usage";
+pub(crate) const USAGE_SUBJECT: &str = "duty/usage";
 
 /// A call to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +47,7 @@
 
 impl DutyEnd {
     /// The name used in logs and metrics.
-    pub const fn as_str(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Taken => "taken",
             Self::Superseded => "superseded",
@@ -74,7 +76,7 @@
 
 impl DutyPlan {
     /// A plan that has called nobody.
-    pub fn new(config: DutyConfig) -> Self {
+    pub(crate) fn new(config: DutyConfig) -> Self {
         Self { usage: config.usage.map(UsageReporter::new), scaling: config.scaling.map(ScalePlan::new) }
     }
 }
