--- a/crates/core/src/configuration/dissemination/mod.rs
+++ b/crates/core/src/configuration/dissemination/mod.rs
@@ -24,7 +24,7 @@
 
 pub use disseminator::{Action, Disseminator};
 pub use gather::Confirmation;
-pub use placement::{Peer, Placement, region_of};
+pub use placement::{Peer, region_of};
 
 /// How a document is spread.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/core/src/configuration/dissemination/placement.rs
+++ b/crates/core/src/configuration/dissemination/placement.rs
@@ -26,7 +26,7 @@
 
 /// The part that each member plays for one document, as this node's view of the members gives it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Placement {
+pub(crate) struct Placement {
     /// Highest rendezvous weight first (highest random weight hashing, Thaler and Ravishankar 1998).
     ranked: Vec<Peer>,
     quorum: usize,
@@ -45,7 +45,7 @@
     }
 
     /// Whether a node is among the readers of its region.
-    pub fn is_reader(&self, node: &NodeId, readers_per_region: usize) -> bool {
+    pub(crate) fn is_reader(&self, node: &NodeId, readers_per_region: usize) -> bool {
         let Some(own) = self.ranked.iter().find(|peer| &peer.node == node) else { return false };
         let region = region_of(&own.zone);
         let in_region = self.ranked.iter().filter(|peer| region_of(&peer.zone) == region);
@@ -53,7 +53,7 @@
     }
 
     /// The quorum set.
-    pub fn quorum_set(&self) -> impl Iterator<Item = &NodeId> {
+    pub(crate) fn quorum_set(&self) -> impl Iterator<Item = &NodeId> {
         self.ranked.iter().take(self.quorum).map(|peer| &peer.node)
     }
 
@@ -62,18 +62,13 @@
         self.ranked.len()
     }
 
-    /// Whether no member is known, not even this node.
-    pub fn is_empty(&self) -> bool {
-        self.ranked.is_empty()
-    }
-
     /// Whether a node is a live member.
     pub fn contains(&self, node: &NodeId) -> bool {
         self.ranked.iter().any(|peer| &peer.node == node)
     }
 
     /// Whether a node is in the quorum set.
-    pub fn in_quorum_set(&self, node: &NodeId) -> bool {
+    pub(crate) fn in_quorum_set(&self, node: &NodeId) -> bool {
         self.quorum_set().any(|member| member == node)
     }
 
@@ -85,7 +80,7 @@
     }
 
     /// Members of the quorum set that must hold a revision before it is put in force.
-    pub fn write_quorum(&self) -> usize {
+    pub(crate) fn write_quorum(&self) -> usize {
         self.quorum / 2 + 1
     }
 
@@ -93,7 +88,7 @@
     ///
     /// Invariant: of the `n` members at least `w` held what was in force, the starting node perhaps among them. Of
     /// the other `n - 1`, at least `w - 1` still do, so any `n - w + 1` of them include one.
-    pub fn read_quorum(&self) -> usize {
+    pub(crate) fn read_quorum(&self) -> usize {
         self.quorum + 1 - self.write_quorum().min(self.quorum)
     }
 }
--- a/crates/core/src/configuration/path.rs
+++ b/crates/core/src/configuration/path.rs
@@ -70,7 +70,7 @@
 }
 
 /// Characters in a name at most.
-pub const LONGEST_NAME: usize = 64;
+pub(crate) const LONGEST_NAME: usize = 64;
 
 impl LevelPath {
     /// The organisation.
@@ -127,7 +127,7 @@
     }
 
     /// This level and those that it inherits from, nearest first.
-    pub fn with_ancestors(&self) -> impl Iterator<Item = Self> {
+    pub(crate) fn with_ancestors(&self) -> impl Iterator<Item = Self> {
         std::iter::successors(Some(self.clone()), Self::parent)
     }
 
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -16,10 +16,10 @@
 pub const OBJECT_KEY: &str = "config/tree";
 
 /// Change ids that are remembered; a repeat of an older one is refused by its base revision.
-pub const REMEMBERED_CHANGE_IDS: usize = 256;
+pub(crate) const REMEMBERED_CHANGE_IDS: usize = 256;
 
 /// Characters in a change id at most.
-pub const LONGEST_CHANGE_ID: usize = 128;
+pub(crate) const LONGEST_CHANGE_ID: usize = 128;
 
 /// A change of one setting, as an operator asks for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/configuration/schema.rs
+++ b/crates/core/src/configuration/schema.rs
@@ -87,7 +87,7 @@
 };
 
 /// Puts a pool under its site, or a job under its pool, where nothing else is set there.
-pub static ATTACHED: BooleanSetting = BooleanSetting {
+pub(crate) static ATTACHED: BooleanSetting = BooleanSetting {
     key: "attached",
     description: "set it to give a pool or a job its place in the tree, so that it inherits from there",
     default: false,
@@ -216,7 +216,7 @@
 ///
 /// # Errors
 /// When there is no such setting, or not at this level.
-pub fn check_key(path: &LevelPath, key: &str) -> Result<Setting, SchemaError> {
+pub(crate) fn check_key(path: &LevelPath, key: &str) -> Result<Setting, SchemaError> {
     let setting = find(key).ok_or_else(|| SchemaError::unknown_key(path, key))?;
     let levels = setting.levels();
     if levels.contains(&path.level()) {
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// The longest node id or zone name that fits the protocol's datagrams, in bytes.
-pub const MAXIMUM_NAME_BYTES: usize = 64;
+pub(crate) const MAXIMUM_NAME_BYTES: usize = 64;
 
 /// The least payload that holds every fixed part of a message and one update, in bytes.
 const MINIMUM_PAYLOAD_BYTES: usize = 512;
@@ -196,7 +196,7 @@
     }
 
     /// On how many messages an update rides in a cluster of `members`.
-    pub fn retransmissions(&self, members: usize) -> u32 {
+    pub(crate) fn retransmissions(&self, members: usize) -> u32 {
         self.retransmission_multiplier * ceiling(logarithm(members + 1))
     }
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -36,7 +36,7 @@
 
 impl Standing {
     /// Whether the member counts as live.
-    pub const fn is_live(self) -> bool {
+    pub(crate) const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -164,7 +164,7 @@
     }
 
     /// The bytes of the payload.
-    pub fn encoded_bytes(&self) -> usize {
+    pub(crate) fn encoded_bytes(&self) -> usize {
         encoded_bytes(self)
     }
 }
@@ -181,7 +181,7 @@
     }
 
     /// The claim about a member as news.
-    pub fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
+    pub(crate) fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
         let news = match claim.standing {
             Standing::Alive => return Self::alive(info, claim.incarnation),
             Standing::Suspect => News::Suspect,
@@ -214,7 +214,7 @@
     }
 
     /// Its bytes inside a payload.
-    pub fn encoded_bytes(&self) -> usize {
+    pub(crate) fn encoded_bytes(&self) -> usize {
         encoded_bytes(self)
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -32,7 +32,7 @@
 mod table;
 mod updates;
 
-pub use config::{Config, ConfigError, MAXIMUM_NAME_BYTES, Mechanisms};
+pub use config::{Config, ConfigError, Mechanisms};
 pub use event::{Cause, Counters, Event, EventKind, HeardRevision};
 pub use machine::{Membership, StartError, Transmit};
 pub use member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing, WireAddress};
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -12,7 +12,7 @@
 use crate::time::Timestamp;
 
 /// Buckets that a table is compared by.
-pub const DIGEST_BUCKETS: u8 = 64;
+pub(crate) const DIGEST_BUCKETS: u8 = 64;
 
 /// Members by id.
 #[derive(Clone, Debug, Default)]
--- a/crates/core/src/replication/claims.rs
+++ b/crates/core/src/replication/claims.rs
@@ -75,12 +75,12 @@
     }
 
     /// Ids issued before this time are refused, and their claims may be dropped.
-    pub fn horizon_unix_ms(&self, now_unix_ms: u64) -> u64 {
+    pub(crate) fn horizon_unix_ms(&self, now_unix_ms: u64) -> u64 {
         now_unix_ms.saturating_sub(milliseconds(self.retention))
     }
 
     /// Ids issued after this time are refused.
-    pub fn latest_unix_ms(&self, now_unix_ms: u64) -> u64 {
+    pub(crate) fn latest_unix_ms(&self, now_unix_ms: u64) -> u64 {
         now_unix_ms.saturating_add(milliseconds(self.maximum_clock_skew))
     }
 }
--- a/crates/core/src/replication/entry.rs
+++ b/crates/core/src/replication/entry.rs
@@ -103,7 +103,7 @@
 }
 
 /// Bytes that an entry takes in a message or on disk besides its body, rounded up.
-pub const ENTRY_OVERHEAD_BYTES: usize = 64;
+pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
     /// Bytes that the entry counts for against limits of messages and disks.
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -36,7 +36,7 @@
 
 /// What one more entry adds to a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LogAddition {
+pub(crate) enum LogAddition {
     /// Nothing yet, or nothing at all.
     Nothing,
     /// A record.
@@ -55,7 +55,7 @@
 /// own records would lie behind it. With `skip_overtaken` it is left out, so that no record follows one of a later
 /// owner.
 #[derive(Debug)]
-pub struct LogAssembler {
+pub(crate) struct LogAssembler {
     parts: PartialSnapshot,
     latest_origin: Epoch,
     skip_overtaken: bool,
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -140,7 +140,7 @@
     }
 
     /// Whether this is a pass of `whole`.
-    pub fn is_pass_of(&self, whole: &Self) -> bool {
+    pub(crate) fn is_pass_of(&self, whole: &Self) -> bool {
         self.0.rsplit_once('/').is_some_and(|(copying, _)| copying == whole.0)
     }
 }
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -68,7 +68,7 @@
     }
 
     /// How many members a set has that is made of these stores, be they members now or not.
-    pub fn wanted_members(&self, shard: &ShardId, stores: &[SetMember]) -> usize {
+    pub(crate) fn wanted_members(&self, shard: &ShardId, stores: &[SetMember]) -> usize {
         self.choose(shard, stores).len().max(self.size.members())
     }
 
--- a/crates/core/src/replication/quorum.rs
+++ b/crates/core/src/replication/quorum.rs
@@ -11,7 +11,7 @@
 
 /// Distinct members that agreed to something.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct VoteCount {
+pub(crate) struct VoteCount {
     voters: BTreeSet<StoreId>,
 }
 
@@ -21,11 +21,6 @@
         self.voters.insert(voter.clone());
     }
 
-    /// Whether a member was counted.
-    pub fn contains(&self, voter: &StoreId) -> bool {
-        self.voters.contains(voter)
-    }
-
     /// How many agreed.
     pub fn len(&self) -> usize {
         self.voters.len()
@@ -37,7 +32,7 @@
     }
 
     /// Whether a majority of `members` agreed.
-    pub fn is_majority_of(&self, members: usize) -> bool {
+    pub(crate) fn is_majority_of(&self, members: usize) -> bool {
         self.voters.len() >= majority(members)
     }
 }
--- a/crates/daemon/src/configuration/view.rs
+++ b/crates/daemon/src/configuration/view.rs
@@ -4,7 +4,7 @@
 use lichenpulley_core::configuration::path::LevelPath;
 use lichenpulley_core::configuration::schema::{BooleanSetting, IntegerSetting};
 use lichenpulley_core::configuration::tree::SettingsTree;
-use lichenpulley_core::identity::{JobId, PoolName, Revision};
+use lichenpulley_core::identity::{PoolName, Revision};
 
 /// The settings tree in force on this node. Replaced as a whole, never changed in place.
 #[derive(Clone, Debug, Default)]
@@ -28,18 +28,13 @@
         self.tree.integer(&self.tree.pool_path(pool), setting)
     }
 
-    /// The whole number in force for a job of a pool.
-    pub fn for_job(&self, pool: &PoolName, job: &JobId, setting: &'static IntegerSetting) -> u64 {
-        self.tree.integer(&self.tree.job_path(pool, job), setting)
-    }
-
     /// The whole number in force at a level.
     pub fn integer(&self, path: &LevelPath, setting: &'static IntegerSetting) -> u64 {
         self.tree.integer(path, setting)
     }
 
     /// Whether a setting is on at a level.
-    pub fn boolean(&self, path: &LevelPath, setting: &'static BooleanSetting) -> bool {
+    pub(crate) fn boolean(&self, path: &LevelPath, setting: &'static BooleanSetting) -> bool {
         self.tree.boolean(path, setting)
     }
 }
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// When no answer comes in time.
-    pub async fn list_stale(&self, kind: &str) -> Result<List, PlatformError> {
+    pub(crate) async fn list_stale(&self, kind: &str) -> Result<List, PlatformError> {
         self.list_pages(kind, objects::stale_list_path).await
     }
 
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     /// As for [`Self::write`].
-    pub async fn write_status(&self, object: &Object, kind: &str, status: Value) -> Result<(), WriteError> {
+    pub(crate) async fn write_status(&self, object: &Object, kind: &str, status: Value) -> Result<(), WriteError> {
         let mut body = object.clone();
         body.status = status;
         let path = objects::status_path(kind, &object.metadata.name);
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -98,12 +98,12 @@
     }
 
     /// Whether this node may send to replicas: it knows which zones are evacuated.
-    pub fn knows_evacuations(&self) -> bool {
+    pub(crate) fn knows_evacuations(&self) -> bool {
         self.slot(MetadataKind::Evacuations).load().is_some()
     }
 
     /// Whether a replica must be sent nothing now. A request asks once more by this just before its first byte.
-    pub fn is_closed(&self, replica: &ReplicaRecord) -> bool {
+    pub(crate) fn is_closed(&self, replica: &ReplicaRecord) -> bool {
         self.evacuated.load().closes(replica)
     }
 
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -58,7 +58,7 @@
 }
 
 /// Whether replicas or nodes stand in a zone.
-pub fn is_known(context: &Context, zone: &str) -> bool {
+pub(crate) fn is_known(context: &Context, zone: &str) -> bool {
     let cluster = context.cluster.load();
     replicas_in(context, zone) > 0 || cluster.members.iter().any(|member| member.zone.as_str() == zone)
 }
@@ -114,6 +114,6 @@
 ///
 /// # Errors
 /// When no answer comes in time.
-pub async fn is_asked_for(client: &MetadataClient, zone: &str) -> Result<bool, PlatformError> {
+pub(crate) async fn is_asked_for(client: &MetadataClient, zone: &str) -> Result<bool, PlatformError> {
     client.read(objects::EVACUATIONS, zone).await.map(|object| object.is_some())
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// When no answer comes within `deadline`.
-    pub async fn regional_batch(
+    pub(crate) async fn regional_batch(
         &self,
         address: SocketAddr,
         shard: ShardId,
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// When no answer comes within `deadline`.
-    pub async fn keep_report(
+    pub(crate) async fn keep_report(
         &self,
         address: SocketAddr,
         request: KeepReport,
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     /// When no answer comes within `deadline`.
-    pub async fn hold_end(
+    pub(crate) async fn hold_end(
         &self,
         address: SocketAddr,
         request: HoldEnd,
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -18,7 +18,7 @@
 use crate::context::Context;
 
 /// Shards over which request ids are spread.
-pub const CLAIM_SHARDS: u64 = 16;
+pub(crate) const CLAIM_SHARDS: u64 = 16;
 /// What the names of claim shards begin with.
 const CLAIM_SHARD_PREFIX: &str = "claims/";
 /// Pause before a replica that gave no vote is asked again.
--- a/crates/daemon/src/store/disk.rs
+++ b/crates/daemon/src/store/disk.rs
@@ -13,7 +13,7 @@
 use super::transaction::Transaction;
 
 /// The store's file under its data folder.
-pub const FILE_NAME: &str = "replicas.redb";
+pub(crate) const FILE_NAME: &str = "replicas.redb";
 /// The file's name until it is whole.
 const UNFINISHED_NAME: &str = "replicas.redb.new";
 /// The format that this release writes.
--- a/crates/daemon/src/store/heard_clock.rs
+++ b/crates/daemon/src/store/heard_clock.rs
@@ -25,7 +25,7 @@
     }
 
     /// How long no store has answered.
-    pub fn silent_for(&self) -> Duration {
+    pub(crate) fn silent_for(&self) -> Duration {
         Duration::from_millis(self.now_ms().saturating_sub(self.last_ms.load(Ordering::Relaxed)))
     }
 
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 /// When too few members answer, or the owner was superseded.
-pub async fn install_majority(
+pub(crate) async fn install_majority(
     context: &Context,
     old: &ReplicaSet,
     next: &ReplicaSet,
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -258,7 +258,7 @@
 }
 
 /// The replica set of a shard as this node or a live store knows it; the platform is not asked.
-pub async fn find_among_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
+pub(crate) async fn find_among_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
     if let Some(set) = context.replica_sets.get(shard) {
         return Some(set);
     }
--- a/crates/daemon/src/store/shard_log.rs
+++ b/crates/daemon/src/store/shard_log.rs
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// As for [`Self::take_over`].
-    pub async fn take_over_knowing(
+    pub(crate) async fn take_over_knowing(
         context: &Context,
         shard: &ShardId,
         known: KnownLog,
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// When superseded or without a majority. The change may then be finished by a later owner, and this one must not go on.
-    pub async fn replace_member(
+    pub(crate) async fn replace_member(
         &mut self,
         leaving: &StoreId,
         joining: SetMember,
