--- a/crates/core/src/replication/acceptor.rs
+++ b/crates/core/src/replication/acceptor.rs
@@ -4,6 +4,13 @@
 //! a promised ballot never goes back, an entry is accepted only under the highest ballot promised, and a replica
 //! that is sealed or not yet installed changes nothing in a generation that it takes no part in.
 
+mod begin;
+mod checks;
+mod decided;
+
+use self::begin::begin;
+pub use self::checks::AcceptorChecks;
+use self::decided::{extend_run, learn_decided, read_decided, repair, truncate};
 use super::ballot::Ballot;
 use super::claims::{self, ClaimVote, ClaimWindow};
 use super::entry::{Entry, IndexedEntry, LogIndex};
@@ -11,41 +18,11 @@
 use super::message::{
     Accept, ClaimRequest, Operation, Read, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal,
 };
-use super::replica_set::{Generation, ReplicaSet, StoreId};
+use super::replica_set::{Generation, StoreId};
 use super::storage::ShardStorage;
 use super::transfer::{self, PAGE_BYTES};
 use crate::identity::ShardId;
 
-/// Mechanisms of an acceptor. All on in service; proofs switch one off to show that it is needed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AcceptorChecks {
-    /// Refuse ballots below the promised one.
-    pub refuse_lower_ballots: bool,
-    /// Refuse to take part under another store's id.
-    pub check_store: bool,
-    /// Refuse to take part once sealed.
-    pub refuse_when_sealed: bool,
-    /// Refuse to be installed without all pages from a majority of the sealed set.
-    pub check_copied: bool,
-    /// Refuse ids whose claims may have been forgotten.
-    pub refuse_forgotten_claims: bool,
-    /// Keep to the highest ballot that the sealed replicas promised, once installed.
-    pub carry_promise: bool,
-}
-
-impl Default for AcceptorChecks {
-    fn default() -> Self {
-        Self {
-            refuse_lower_ballots: true,
-            check_store: true,
-            refuse_when_sealed: true,
-            check_copied: true,
-            refuse_forgotten_claims: true,
-            carry_promise: true,
-        }
-    }
-}
-
 /// One store's acceptor, for all its shards.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
@@ -320,100 +297,3 @@
         Ok(ReplicaAnswer::Voted { request: claim.request, attempt: claim.attempt, vote })
     }
 }
-
-/// Begins as a member that has not taken part in this generation before.
-///
-/// In the first generation there is nothing to have. In a later one the sender knows that a majority has been
-/// installed: every quorum then contains a member with all that was decided before, so one that never took part
-/// may begin with what it has, and is repaired later.
-fn begin<S: ShardStorage>(
-    storage: &mut S,
-    shard: &ShardId,
-    record: Option<GroupRecord>,
-    set: ReplicaSet,
-) -> Result<ReplicaAnswer, S::Error> {
-    let Some(mut record) = record else {
-        storage.put_group(shard, &GroupRecord::first(set))?;
-        return Ok(ReplicaAnswer::Begun);
-    };
-    if record.set == set && record.phase == GroupPhase::Active {
-        return Ok(ReplicaAnswer::Begun);
-    }
-    let waits =
-        record.set.generation < set.generation || (record.set == set && record.phase == GroupPhase::Joining);
-    if !waits {
-        return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
-    }
-    record.set = set;
-    record.phase = GroupPhase::Active;
-    record.copying.clear();
-    storage.put_group(shard, &record)?;
-    Ok(ReplicaAnswer::Begun)
-}
-
-/// Adds accepted positions to the run, or begins a new one where they don't follow it.
-fn extend_run(run: &mut AcceptedRun, from: LogIndex, through: LogIndex) {
-    if through < from {
-        return;
-    }
-    let touches = from <= run.through.next() && through.next() >= run.from && run.through >= run.from;
-    if touches {
-        run.from = run.from.min(from);
-        run.through = run.through.max(through);
-    } else {
-        *run = AcceptedRun { from, through };
-    }
-}
-
-/// Invariant: `decided_through` covers only positions whose decided entry is here. A position of the run holds
-/// what the present owner proposed, so it is decided once the owner says so.
-fn learn_decided(record: &mut GroupRecord, decided_through: LogIndex) {
-    let known = record.position.decided_through;
-    if record.run.from <= known.next() {
-        record.position.decided_through = known.max(decided_through.min(record.run.through));
-    }
-}
-
-fn truncate<S: ShardStorage>(
-    storage: &mut S,
-    shard: &ShardId,
-    record: &mut GroupRecord,
-    before: LogIndex,
-) -> Result<(), S::Error> {
-    if before <= record.position.first() {
-        return Ok(());
-    }
-    record.position.base = before;
-    record.position.decided_through = record.position.decided_through.max(before.previous());
-    storage.remove_entries_before(shard, before)
-}
-
-fn read_decided<S: ShardStorage>(
-    storage: &S,
-    shard: &ShardId,
-    record: &GroupRecord,
-    from: LogIndex,
-) -> Result<ReplicaAnswer, S::Error> {
-    let decided_through = record.position.decided_through;
-    let from = from.max(record.position.first());
-    let mut entries = storage.entries_from(shard, from, PAGE_BYTES)?;
-    entries.retain(|entry| entry.index <= decided_through);
-    Ok(ReplicaAnswer::Decided { from, entries, base: record.position.base, decided_through })
-}
-
-/// Adds decided entries that follow what is known to be decided here.
-fn repair<S: ShardStorage>(
-    storage: &mut S,
-    shard: &ShardId,
-    mut record: GroupRecord,
-    entries: Vec<IndexedEntry>,
-) -> Result<LogIndex, S::Error> {
-    for IndexedEntry { index, entry } in entries {
-        if index == record.position.decided_through.next() {
-            storage.put_entry(shard, index, &entry)?;
-            record.position.decided_through = index;
-        }
-    }
-    storage.put_group(shard, &record)?;
-    Ok(record.position.decided_through)
-}
--- /dev/null
+++ b/crates/core/src/replication/proposer/config.rs
@@ -0,0 +1,46 @@
+//! Limits and times of a proposer, and the mechanisms that proofs switch off one by one.
+
+use std::time::Duration;
+
+/// Limits and times of a proposer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ProposerConfig {
+    /// A request without an answer is sent again after this time.
+    pub retransmit_after: Duration,
+    /// Bytes of entries in one request; one larger record makes a request of its own.
+    pub maximum_batch_bytes: usize,
+    /// Bytes of decided entries kept for replicas that are behind; older ones are left to their repair.
+    pub window_bytes: usize,
+    /// How often a higher epoch met while preparing is outbid before the other proposer is let through.
+    pub maximum_raises: u32,
+}
+
+impl Default for ProposerConfig {
+    fn default() -> Self {
+        Self {
+            retransmit_after: Duration::from_millis(500),
+            maximum_batch_bytes: 1 << 20,
+            window_bytes: 8 << 20,
+            maximum_raises: 3,
+        }
+    }
+}
+
+/// Mechanisms of a proposer. All on in service; proofs switch one off to show that it is needed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProposerChecks {
+    /// Read a majority and accept again what may be decided.
+    pub recover: bool,
+    /// Call a position decided only once a majority has it.
+    pub wait_for_majority: bool,
+    /// Leave out records that a later owner overtook before they were decided.
+    pub skip_overtaken: bool,
+    /// Go on under the same ballot in the next set, instead of asking for the shard anew.
+    pub keep_ballot: bool,
+}
+
+impl Default for ProposerChecks {
+    fn default() -> Self {
+        Self { recover: true, wait_for_majority: true, skip_overtaken: true, keep_ballot: true }
+    }
+}
--- /dev/null
+++ b/crates/core/src/replication/reconfigurer/copying.rs
@@ -0,0 +1,97 @@
+//! Copying the state of the sources to members of the next set, and installing them.
+
+use std::collections::BTreeMap;
+
+use super::{Reconfigurer, ReconfigurerEvent, Sources, Transmit};
+use crate::replication::message::{InstallBasis, PagePosition, StatePage};
+use crate::replication::replica_set::{Generation, StoreId};
+use crate::time::Timestamp;
+
+impl Reconfigurer {
+    pub(super) fn poll_copy(&mut self, now: Timestamp) -> Option<Transmit> {
+        self.sources.as_ref()?;
+        let retry_at = now + self.retransmit_after;
+        let staying_first = self.update_staying_first(now);
+        let sources = self.sources.as_ref()?;
+        let (next, transfer, stays) = (&self.next, &self.transfer, &self.sealed_positions);
+        let found = self.targets.iter_mut().find_map(|(store, target)| {
+            if !target.is_due(now) || (staying_first && !stays.contains_key(store)) {
+                return None;
+            }
+            let (to, generation, operation) = target.wanted(store, sources, next, transfer)?;
+            target.retry_at = Some(retry_at);
+            Some((to, generation, operation))
+        });
+        let (to, generation, operation) = found?;
+        Some(self.request(to, generation, operation))
+    }
+
+    pub(super) fn copy_from(&mut self, basis: InstallBasis, generation: Generation, stores: Vec<StoreId>) {
+        let positions = match basis {
+            InstallBasis::SealedMajority => self.sealed_positions.clone(),
+            InstallBasis::InstalledMember => BTreeMap::new(),
+        };
+        let known_decided = self.owner.as_ref().map(|owner| owner.decided_through).unwrap_or_default();
+        let old_members = self.old.members.len() as u64;
+        self.sources = Some(Sources { basis, generation, stores, positions, old_members, known_decided });
+        for target in self.targets.values_mut() {
+            target.restart(None);
+            target.skip_copying(!self.checks.copy);
+        }
+    }
+
+    pub(super) fn page_read(
+        &mut self,
+        store: &StoreId,
+        generation: Generation,
+        from: &PagePosition,
+        page: &StatePage,
+    ) {
+        if self.is_superseded(&page.position.promised) {
+            return;
+        }
+        let Some(sources) = &mut self.sources else { return };
+        if generation != sources.generation || !sources.stores.contains(store) {
+            return;
+        }
+        sources.positions.insert(store.clone(), page.position.clone());
+        for target in self.targets.values_mut() {
+            target.page_read(sources, store, from, page);
+        }
+    }
+
+    pub(super) fn copied(&mut self, store: &StoreId, source: &StoreId, next: u64) {
+        let target = self.targets.get_mut(store);
+        if let (Some(sources), Some(target)) = (&self.sources, target) {
+            target.copied(sources, source, next);
+        }
+    }
+
+    pub(super) fn after_install(&mut self, store: &StoreId) {
+        if self.next.member(store).is_none() {
+            return;
+        }
+        if self.targets.remove(store).is_none() {
+            return;
+        }
+        self.installed.add(store);
+        if self.installed.len() == self.next.majority() {
+            self.events.push_back(ReconfigurerEvent::Installed);
+        }
+        if self.targets.is_empty() {
+            self.end(ReconfigurerEvent::Complete);
+        }
+    }
+
+    /// This run or another got this far: the installed member has all there is to copy.
+    pub(super) fn found_installed(&mut self, store: &StoreId) {
+        self.sealing.remove(store);
+        self.after_install(store);
+        let sources = self.sources.as_ref();
+        let copies_sealed = sources.is_none_or(|sources| sources.basis == InstallBasis::SealedMajority);
+        if copies_sealed && !self.ended {
+            let generation = self.next.generation;
+            self.copy_from(InstallBasis::InstalledMember, generation, vec![store.clone()]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/replication/reconfigurer/sealing.rs
@@ -0,0 +1,55 @@
+//! Sealing the old set: once a majority of it is sealed it decides nothing any more, and copying begins.
+
+use super::{Reconfigurer, Transmit};
+use crate::replication::group::LogPosition;
+use crate::replication::message::{InstallBasis, Operation};
+use crate::replication::replica_set::StoreId;
+use crate::time::Timestamp;
+
+/// A member of the old set that is not sealed yet.
+#[derive(Default)]
+pub(super) struct Sealing {
+    pub(super) retry_at: Option<Timestamp>,
+    pub(super) must_begin: bool,
+}
+
+impl Reconfigurer {
+    pub(super) fn poll_seal(&mut self, now: Timestamp) -> Option<Transmit> {
+        let is_due = |sealing: &Sealing| sealing.retry_at.is_none_or(|at| at <= now);
+        let (to, sealing) = self.sealing.iter_mut().find(|(_, sealing)| is_due(sealing))?;
+        sealing.retry_at = Some(now + self.retransmit_after);
+        let (to, must_begin) = (to.clone(), sealing.must_begin);
+        let begin = || Operation::Begin(self.old.clone());
+        let operation = if must_begin { begin() } else { Operation::Seal(self.next.clone()) };
+        Some(self.request(to, self.old.generation, operation))
+    }
+
+    pub(super) fn begun(&mut self, store: &StoreId) {
+        if let Some(sealing) = self.sealing.get_mut(store) {
+            *sealing = Sealing::default();
+        }
+    }
+
+    pub(super) fn not_installed(&mut self, store: &StoreId) {
+        if let Some(sealing) = self.sealing.get_mut(store).filter(|sealing| !sealing.must_begin) {
+            *sealing = Sealing { retry_at: None, must_begin: true };
+        }
+    }
+
+    pub(super) fn after_seal(&mut self, store: &StoreId, position: LogPosition) {
+        if self.is_superseded(&position.promised) || self.sealing.remove(store).is_none() {
+            return;
+        }
+        self.sealed.add(store);
+        self.sealed_positions.insert(store.clone(), position);
+        let needed = if self.checks.seal_majority { self.old.majority() } else { 1 };
+        if self.sources.is_none() && self.sealed.len() >= needed {
+            let mut stores: Vec<StoreId> = self.sealed_positions.keys().cloned().collect();
+            // What is known to be decided is copied from the one that has most of it.
+            stores.sort_by_key(|store| {
+                std::cmp::Reverse(self.sealed_positions.get(store).map(|position| position.decided_through))
+            });
+            self.copy_from(InstallBasis::SealedMajority, self.old.generation, stores);
+        }
+    }
+}
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -194,7 +194,12 @@
     ///
     /// # Errors
     /// As for [`Self::write`].
-    pub(crate) async fn write_status(&self, object: &Object, kind: &str, status: Value) -> Result<(), WriteError> {
+    pub(crate) async fn write_status(
+        &self,
+        object: &Object,
+        kind: &str,
+        status: Value,
+    ) -> Result<(), WriteError> {
         let mut body = object.clone();
         body.status = status;
         let path = objects::status_path(kind, &object.metadata.name);
