--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -84,7 +84,8 @@
     /// Members of the quorum set read the platform themselves while they start, so that a cluster which starts as a
     /// whole finds its way; any other node only where the quorum set has not answered for a while.
     fn may_read_once(&self, now: Timestamp) -> bool {
-        let waited = self.started.is_some_and(|since| now.saturating_since(since) >= self.config.patience);
+        let waited =
+            self.started.is_some_and(|since| now.saturating_since(since) >= self.config.bootstrap_timeout);
         waited || self.duties.in_quorum_set(self.config.settle, now)
     }
 }
--- a/crates/core/src/configuration/dissemination/mod.rs
+++ b/crates/core/src/configuration/dissemination/mod.rs
@@ -41,8 +41,8 @@
     /// A member that holds an offered revision takes over gathering its majority after this, where the node that
     /// offered it has not finished.
     pub takeover: Duration,
-    /// A starting node that the quorum set has not answered for so long reads the platform once itself.
-    pub patience: Duration,
+    /// A starting node that the quorum set has not answered within this time reads the platform once itself.
+    pub bootstrap_timeout: Duration,
     /// Members that have been gone for so long are taken to be gone for good.
     pub member_memory: Duration,
     /// Members that a node tells at once when it has put a revision in force, besides the heartbeats.
@@ -59,7 +59,7 @@
             settle: Duration::from_secs(1),
             retry: Duration::from_millis(300),
             takeover: Duration::from_secs(2),
-            patience: Duration::from_secs(5),
+            bootstrap_timeout: Duration::from_secs(5),
             member_memory: Duration::from_secs(600),
             fanout: 3,
             ablation: Ablation::default(),
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,6 +1,6 @@
 //! From where a node of a large deployment takes the platform's metadata: from the platform, or from a peer that does.
 //!
-//! The platform bears few readers and prices each call, also those that it refuses. So a few nodes read it, and the
+//! The platform serves few readers and prices each call, also those that it refuses. So a few nodes read it, and the
 //! others follow one of them. A follower's copy may be as old as its reader's last word from the platform: each answer
 //! tells that age. A follower to which some readers in a row gave nothing fresh asks the platform for a small answer,
 //! and reads for itself only once it got two and a reader after them is still behind: while the platform is away from all, no one asks it more than that.
--- a/crates/core/src/replication/fault_tolerance.rs
+++ b/crates/core/src/replication/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! What a replica set bears: how many disks, zones or regions may be lost while the others still decide.
+//! What losses a replica set tolerates: how many disks, zones or regions may be lost while the others still decide.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,9 +8,9 @@
 use crate::identity::RegionName;
 use crate::ingress::places::ZoneMap;
 
-/// The losses that a replica set should bear, each by itself.
+/// The losses that a replica set should tolerate, each by itself.
 ///
-/// Invariant: where a set bears them, so many members may lose their disks at once, or so many zones or regions, and the
+/// Invariant: where a set tolerates them, that many members may lose their disks at once, or so many zones or regions, and the
 /// members that are left are a majority, which holds each decided entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToleranceTarget {
@@ -20,18 +20,18 @@
 }
 
 impl ToleranceTarget {
-    /// The least set that bears the loss of so many disks at once.
+    /// The smallest set that tolerates the loss of this many disks at once.
     pub const fn tolerating(disks: usize) -> Self {
         Self { disks, zones: 0, regions: 0 }
     }
 
-    /// The same set, which shall bear the loss of so many zones as well.
+    /// The same set, which should also tolerate the loss of this many zones.
     #[must_use]
     pub const fn with_zones(self, zones: usize) -> Self {
         Self { zones, ..self }
     }
 
-    /// The same set, which shall bear the loss of so many regions as well.
+    /// The same set, which should also tolerate the loss of this many regions.
     #[must_use]
     pub const fn with_regions(self, regions: usize) -> Self {
         Self { regions, ..self }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Why a set bears less than it should.
+/// Why a set tolerates less than it should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "its {members} members tolerate the loss of {tolerance}, and {wanted} are wanted; start stores in other zones or \
@@ -77,13 +77,13 @@
 pub struct Shortfall {
     /// How many members it has.
     pub members: usize,
-    /// What it bears.
+    /// What it tolerates.
     pub tolerance: FaultTolerance,
-    /// What it should bear.
+    /// What it should tolerate.
     pub wanted: ToleranceTarget,
 }
 
-/// What a set bears, each loss by itself.
+/// What a set tolerates, each loss by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
     /// Disks, or machines.
@@ -95,9 +95,9 @@
 }
 
 impl FaultTolerance {
-    /// What these members bear.
+    /// What these members tolerate.
     pub fn of(members: &[SetMember], places: &ZoneMap) -> Self {
-        let spread = Spread::of(members, places);
+        let spread = MemberSpread::of(members, places);
         let spare = spread.spare();
         Self {
             disks: spare,
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Whether every loss that is asked for is borne.
-    pub const fn covers(self, size: ToleranceTarget) -> bool {
-        self.disks >= size.disks && self.zones >= size.zones && self.regions >= size.regions
+    /// Whether every loss that is asked for is tolerated.
+    pub const fn covers(self, target: ToleranceTarget) -> bool {
+        self.disks >= target.disks && self.zones >= target.zones && self.regions >= target.regions
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// How members are spread over zones and regions.
-pub(super) struct Spread {
+pub(super) struct MemberSpread {
     members: usize,
     /// Members in each zone, the most first.
     in_zones: Vec<usize>,
@@ -127,7 +127,7 @@
     in_regions: Vec<usize>,
 }
 
-impl Spread {
+impl MemberSpread {
     /// The spread of these members. Zones that the map does not name count as one region.
     pub(super) fn of(members: &[SetMember], places: &ZoneMap) -> Self {
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
@@ -144,13 +144,13 @@
         }
     }
 
-    /// How many members more than may be lost would go with the greatest zones or regions that should be borne; 0 where
+    /// How many members more than may be lost would go with the greatest zones or regions that should be tolerated; 0 where
     /// all of these are.
-    pub(super) fn excess(&self, size: ToleranceTarget) -> usize {
+    pub(super) fn excess(&self, target: ToleranceTarget) -> usize {
         let beyond = |groups: &[usize], lost: usize| {
             groups.iter().take(lost).sum::<usize>().saturating_sub(self.spare())
         };
-        beyond(&self.in_zones, size.zones) + beyond(&self.in_regions, size.regions)
+        beyond(&self.in_zones, target.zones) + beyond(&self.in_regions, target.regions)
     }
 
     /// Whether a majority stands in one region.
@@ -173,9 +173,9 @@
 /// How many of the greatest groups hold no more than `spare` members together.
 fn groups_within(groups: &[usize], spare: usize) -> usize {
     let mut lost = 0;
-    let is_borne = |count: &&usize| {
+    let is_tolerated = |count: &&usize| {
         lost += **count;
         lost <= spare
     };
-    groups.iter().take_while(is_borne).count()
+    groups.iter().take_while(is_tolerated).count()
 }
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::fault_tolerance::Spread;
+use super::fault_tolerance::MemberSpread;
 pub use super::fault_tolerance::{FaultTolerance, Shortfall, ToleranceTarget};
 use super::replica_set::{Generation, ReplicaSet, SetMember};
 use crate::identity::{NodeId, RegionName, ShardId, ZoneName};
@@ -26,7 +26,7 @@
     pub needed: usize,
 }
 
-/// A step by which a set bears more.
+/// A step by which a set tolerates more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Improvement {
     /// The set grows by this store.
@@ -43,7 +43,7 @@
 /// By what stores are chosen.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPolicy {
-    /// What a set should bear.
+    /// What a set should tolerate.
     pub size: ToleranceTarget,
     /// Which region each zone lies in; where it is empty, all stores stand in one.
     pub places: ZoneMap,
@@ -52,8 +52,8 @@
 }
 
 impl PlacementPolicy {
-    /// The first replica set: the smallest that bears what it should, with as many members as can be in the home region,
-    /// evenly over zones, and the stores with the highest weights in each. Where no set bears it, the one that comes
+    /// The first replica set: the smallest that tolerates what it should, with as many members as can be in the home region,
+    /// evenly over zones, and the stores with the highest weights in each. Where no set does, the one that comes
     /// nearest; where fewer stores answer than that takes, all of them.
     ///
     /// # Errors
@@ -72,22 +72,22 @@
         self.choose(shard, stores).len().max(self.size.members())
     }
 
-    /// What these members bear.
+    /// What these members tolerate.
     pub fn fault_tolerance(&self, members: &[SetMember]) -> FaultTolerance {
         FaultTolerance::of(members, &self.places)
     }
 
-    /// Whether these members bear what they should.
+    /// Whether these members tolerate what they should.
     ///
     /// # Errors
-    /// Where they bear less.
+    /// Where they tolerate less.
     pub fn check(&self, members: &[SetMember]) -> Result<(), Shortfall> {
         let (tolerance, wanted) = (self.fault_tolerance(members), self.size);
         let shortfall = Shortfall { members: members.len(), tolerance, wanted };
         if tolerance.covers(wanted) { Ok(()) } else { Err(shortfall) }
     }
 
-    /// The best store to add to `members`: one by which the least is lost of what should be borne, then one in the region
+    /// The best store to add to `members`: one that leaves the smallest excess over the losses to tolerate, then one in the region
     /// where most members stand, in a zone that has fewest of them, with the highest weight.
     pub fn best_addition(
         &self,
@@ -112,7 +112,7 @@
         best.cloned()
     }
 
-    /// The next step by which a set whose members all answer bears more: it grows while it is smaller than these stores
+    /// The next step by which a set whose members all answer tolerates more: it grows while it is smaller than these stores
     /// allow, then members move. Never shrinks a set.
     pub fn improvement(&self, set: &ReplicaSet, candidates: &[SetMember]) -> Option<Improvement> {
         let free = candidates.iter().filter(|candidate| !stands_in(&set.members, candidate));
@@ -141,7 +141,7 @@
     }
 
     fn excess(&self, members: &[SetMember]) -> usize {
-        Spread::of(members, &self.places).excess(self.size)
+        MemberSpread::of(members, &self.places).excess(self.size)
     }
 
     /// The region with the most members; without members, the preferred one, or the one with the most stores.
@@ -187,14 +187,14 @@
         best.map(|(_, chosen)| chosen).unwrap_or_default()
     }
 
-    /// The best set of so many members, and by how much it misses what it should bear. Within a region, stores taken
+    /// The best set of so many members, and by how much it misses what it should tolerate. Within a region, stores taken
     /// evenly over its zones lose the fewest with any number of zones: only the share of each region is to be found.
     fn best_of_size(&self, held: &[Vec<SetMember>], members: usize) -> Option<(usize, Vec<SetMember>)> {
         let capacities: Vec<usize> = held.iter().map(Vec::len).collect();
         let sets = shares(&capacities, members).into_iter().map(|shares| {
             let taken = held.iter().zip(shares).flat_map(|(stores, share)| &stores[..share]);
             let chosen: Vec<SetMember> = taken.cloned().collect();
-            let spread = Spread::of(&chosen, &self.places);
+            let spread = MemberSpread::of(&chosen, &self.places);
             let outside = chosen.iter().filter(|member| self.is_away(&member.zone)).count();
             let cost = (spread.excess(self.size), !spread.has_regional_majority(), outside);
             (cost, spread.excess(self.size.with_zones(1)), chosen)
@@ -217,7 +217,7 @@
 }
 
 /// The best store to add to `members` where all stores stand in one region: first one in a zone that has fewest of them,
-/// then the highest weight. So a set of five in three zones never has three members in one, and bears the loss of any.
+/// then the highest weight. So a set of five in three zones never has three members in one, and tolerates the loss of any.
 pub fn best_addition(shard: &ShardId, members: &[SetMember], candidates: &[SetMember]) -> Option<SetMember> {
     PlacementPolicy::default().best_addition(shard, members, candidates)
 }
--- a/crates/daemon/src/configuration/change.rs
+++ b/crates/daemon/src/configuration/change.rs
@@ -17,7 +17,7 @@
 use crate::context::Context;
 
 /// How long an accepted change may take until a majority of the quorum set holds it.
-const SPREAD_PATIENCE: Duration = Duration::from_secs(8);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -97,7 +97,8 @@
         ChangeOutcome::Accepted { revision, register } => {
             let event = Event::FromPlatform(register.document().clone());
             context.documents.send(DocumentName::Configuration, event);
-            let in_force = context.documents.wait_for(DocumentName::Configuration, revision, SPREAD_PATIENCE);
+            let in_force =
+                context.documents.wait_for(DocumentName::Configuration, revision, IN_FORCE_TIMEOUT);
             if in_force.await {
                 Ok(revision)
             } else {
--- a/crates/daemon/src/configuration/spread.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -24,8 +24,8 @@
 use crate::directory::ReplicaDirectory;
 use crate::membership::{self, HeardRevisions};
 
-/// How often the live members are looked at.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(100);
+/// How often the live members are polled.
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause after a single read of the platform that gave no answer.
 const READ_ONCE_PAUSE: Duration = Duration::from_secs(1);
 /// A message to a peer is given up after this; the disseminator sends it again.
@@ -37,7 +37,7 @@
         log::error!(target: "configuration", "The task of {} was started twice; the second start is ignored.", document.as_str());
         return;
     };
-    let task = Spread::new(Arc::clone(context), document);
+    let task = DocumentTask::new(Arc::clone(context), document);
     let stopped = context.stopped.clone();
     tokio::spawn(async move {
         tokio::select! {
@@ -47,7 +47,7 @@
     });
 }
 
-struct Spread {
+struct DocumentTask {
     context: Context,
     document: DocumentName,
     disseminator: Disseminator,
@@ -61,13 +61,13 @@
     reads_once: bool,
 }
 
-impl Drop for Spread {
+impl Drop for DocumentTask {
     fn drop(&mut self) {
         self.stop_reading();
     }
 }
 
-impl Spread {
+impl DocumentTask {
     fn new(context: Context, document: DocumentName) -> Self {
         let mut config = Config::default();
         if context.settings.peers.seeds.is_empty() {
@@ -89,7 +89,7 @@
 
     async fn run(mut self, mut events: mpsc::UnboundedReceiver<Event>) {
         let mut heard = membership::watch_revisions(&self.context);
-        let mut members = tokio::time::interval(MEMBERS_INTERVAL);
+        let mut members = tokio::time::interval(MEMBERS_POLL_INTERVAL);
         loop {
             let wake = self.next_wake();
             tokio::select! {
@@ -97,7 +97,7 @@
                     Some(event) => self.take_event(event),
                     None => return,
                 },
-                _ = members.tick() => self.look_at_members(),
+                _ = members.tick() => self.update_members(),
                 Ok(()) = heard.changed() => {
                     let revisions = heard.borrow_and_update().clone();
                     self.take_heard(&revisions);
@@ -118,7 +118,7 @@
     fn next_wake(&self) -> Instant {
         let wake = self.disseminator.next_wake();
         let wake = wake.map(|wake| self.started + wake.saturating_since(Timestamp::ORIGIN));
-        wake.unwrap_or_else(|| Instant::now() + MEMBERS_INTERVAL)
+        wake.unwrap_or_else(|| Instant::now() + MEMBERS_POLL_INTERVAL)
     }
 
     fn take_event(&mut self, event: Event) {
@@ -146,7 +146,7 @@
         self.disseminator.heard(announced.revision, announced.holder.node.clone(), now);
     }
 
-    fn look_at_members(&mut self) {
+    fn update_members(&mut self) {
         let members = self.context.cluster.load_full();
         if Arc::ptr_eq(&members, &self.members) {
             return;
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -84,12 +84,12 @@
         &self,
         document: DocumentName,
         revision: Revision,
-        patience: Duration,
+        timeout: Duration,
     ) -> bool {
         let mut in_force = self.watch(document);
         let reached = in_force
             .wait_for(|document| document.as_ref().is_some_and(|document| document.revision() >= revision));
-        matches!(tokio::time::timeout(patience, reached).await, Ok(Ok(_)))
+        matches!(tokio::time::timeout(timeout, reached).await, Ok(Ok(_)))
     }
 
     /// Where the events arrive; only the first caller gets them.
--- a/crates/daemon/src/configuration/mod.rs
+++ b/crates/daemon/src/configuration/mod.rs
@@ -1,13 +1,13 @@
 //! Brings the settings tree and the directory of machines to this node, and takes operators' changes.
 //!
-//! `spread` drives the core's dissemination for each of the two documents, `source` reads the platform where
+//! `document_task` drives the core's dissemination for each of the two documents, `source` reads the platform where
 //! this node is one of its few readers, and `change` settles an operator's change.
 
 pub mod change;
+mod document_task;
 mod handle;
 pub mod platform;
 mod source;
-mod spread;
 mod view;
 
 use lichenpulley_protocol::internal::configuration::DocumentName;
@@ -21,7 +21,7 @@
 /// Starts both documents on the current runtime, the one of the control thread.
 pub fn start(context: &Context) {
     for document in DocumentName::ALL {
-        spread::start(context, document);
+        document_task::start(context, document);
     }
 }
 
--- a/crates/daemon/src/membership/handle.rs
+++ b/crates/daemon/src/membership/handle.rs
@@ -9,7 +9,7 @@
 
 use crate::cluster::Member;
 
-/// How long a planned stop waits for the word of leaving to go out.
+/// How long a planned stop waits for the notice of leaving to be sent.
 const LEAVE_WAIT: Duration = Duration::from_secs(1);
 
 /// The highest revision of a document that has been announced.
@@ -36,7 +36,7 @@
     },
     /// Leave the cluster.
     Leave {
-        /// Told when the word has gone out.
+        /// Notified when the notice has been sent.
         done: oneshot::Sender<()>,
     },
 }
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -110,7 +110,7 @@
 
 /// Tells the other members that this node leaves, so that they needn't find out; for a planned stop.
 ///
-/// Returns when the word has been sent to a few members, or after a short time.
+/// Returns when the notice has been sent to a few members, or after a short time.
 pub async fn leave(context: &Context) {
     context.membership.leave().await;
 }
--- a/crates/daemon/src/metadata/news.rs
+++ b/crates/daemon/src/metadata/announcements.rs
@@ -1,4 +1,4 @@
-//! News of the platform's metadata that ride on the heartbeats, so that a node whose watch is stuck reads again.
+//! Announcements of metadata revisions that ride on the heartbeats, so that a node whose watch is stuck reads again.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::membership::{self, AnnouncedRevision, HeardRevisions};
 
 /// How long a node that heard of something newer waits for its own watch to bring it.
-const HEARD_PATIENCE: Duration = Duration::from_millis(200);
+const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The name under which what a node holds of a kind is announced; none for kinds that change too often, or matter to few.
 const fn announced_name(kind: MetadataKind) -> Option<&'static str> {
@@ -59,7 +59,7 @@
         if heard.wait_for(|heard| newer(context, kind, heard).is_some()).await.is_err() {
             return std::future::pending().await;
         }
-        tokio::time::sleep(HEARD_PATIENCE).await;
+        tokio::time::sleep(OWN_WATCH_TIMEOUT).await;
         if let Some(announcer) = announcer(context, kind) {
             return announcer;
         }
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -5,11 +5,11 @@
 //! copy of a kind never goes back to an earlier revision, nor the configuration to an earlier version, within the life
 //! of a process.
 
+mod announcements;
 pub mod client;
 mod copy;
 mod freshness;
 mod history;
-mod news;
 pub(crate) mod peers;
 mod reachability;
 mod relay;
@@ -173,12 +173,12 @@
 }
 
 /// The longest that an answer to a peer waits for a change.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Answers a peer that follows this node, or can't reach the platform.
 pub async fn answer(context: &Context, request: &MetadataRequest) -> MetadataResponse {
     let metadata = &context.metadata;
-    let until = Instant::now() + LONGEST_WAIT.min(Duration::from_millis(request.wait_ms));
+    let until = Instant::now() + MAX_ANSWER_WAIT.min(Duration::from_millis(request.wait_ms));
     let mut changes = metadata.watch();
     let update = loop {
         let history = metadata.history(request.kind);
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -14,9 +14,9 @@
 /// How long a peer may take to hand over its copy.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two looks at what another reader of the platform has.
-const COMPARE_INTERVAL: Duration = Duration::from_millis(1_000);
+const COMPARE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A watch that stands brings what another reader has well within this time: twice the pause between two watches.
-const COMPARE_PATIENCE: Duration = Duration::from_millis(1_000);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What a peer gave.
 pub(super) struct Given {
@@ -63,14 +63,14 @@
         return std::future::pending().await;
     }
     loop {
-        tokio::time::sleep(COMPARE_INTERVAL).await;
+        tokio::time::sleep(COMPARE_POLL_INTERVAL).await;
         let held = context.metadata.revision(kind);
         let Some(reader) = reader(context) else { continue };
         let Some(given) = ask(context, &reader, kind, held).await else { continue };
         if given.update.is_none() {
             continue;
         }
-        tokio::time::sleep(COMPARE_PATIENCE).await;
+        tokio::time::sleep(CATCH_UP_TIMEOUT).await;
         if context.metadata.revision(kind) == held {
             return given;
         }
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -21,7 +21,7 @@
 use super::kind_index;
 use super::reachability::{Reachability, StoreReach};
 use super::relay::Follower;
-use super::{news, peers, zones};
+use super::{announcements, peers, zones};
 use crate::batch::candidate;
 use crate::batch::scope::Scope;
 use crate::configuration::platform::PlatformError;
@@ -42,11 +42,11 @@
 const FOLLOW_PAUSE: Duration = Duration::from_millis(250);
 
 /// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip.
-const SETTLE_LOOK: Duration = Duration::from_millis(300);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds.
-const SETTLE_LEAST: Duration = Duration::from_millis(1_000);
+const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 /// A node reads after so long though it still hears of others.
-const SETTLE_LIMIT: Duration = Duration::from_millis(2_000);
+const MAX_SETTLE: Duration = Duration::from_millis(2_000);
 
 /// The platform's name of a kind.
 const fn kind_name(kind: MetadataKind) -> &'static str {
@@ -168,11 +168,11 @@
         let began = Instant::now();
         let mut nodes = 0;
         loop {
-            tokio::time::sleep(SETTLE_LOOK).await;
+            tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
             let heard = self.context.cluster.load().members.len();
             // In a large deployment more nodes change nothing; a small one may be the beginning of a large one.
             let is_known = heard == nodes || heard >= self.context.settings.configuration.follow_from_nodes;
-            if (is_known && began.elapsed() >= SETTLE_LEAST) || began.elapsed() >= SETTLE_LIMIT {
+            if (is_known && began.elapsed() >= MIN_SETTLE) || began.elapsed() >= MAX_SETTLE {
                 return;
             }
             nodes = heard;
@@ -193,8 +193,8 @@
                 }
                 return;
             }
-            holder = news::heard_newer(&self.context, self.kind) => {
-                if let Err(error) = self.take_news(&holder).await {
+            holder = announcements::heard_newer(&self.context, self.kind) => {
+                if let Err(error) = self.take_announced(&holder).await {
                     log::info!(target: "metadata", "{:?} can't be listed: {error}.", self.kind);
                     tokio::time::sleep(RETRY_LIMIT).await;
                 }
@@ -227,7 +227,7 @@
         let lapses_end =
             self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
         let watched = tokio::select! {
-            watched = look(&self.client, self.kind, revision, self.failures) => watched?,
+            watched = watch_once(&self.client, self.kind, revision, self.failures) => watched?,
             // The store is silent: this watch hears nothing, whether it was sent before or since.
             Ok(()) = self.reach.changed() => return Ok(RoundEnd::Unconfirmed),
             Ok(()) = self.rereads.changed() => {
@@ -238,8 +238,8 @@
                 self.drop_lapsed();
                 return Ok(RoundEnd::Unconfirmed);
             }
-            holder = news::heard_newer(&self.context, self.kind) => {
-                return self.take_news(&holder).await.map(|()| RoundEnd::Unconfirmed);
+            holder = announcements::heard_newer(&self.context, self.kind) => {
+                return self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed);
             }
             given = peers::behind(&self.context, self.kind) => {
                 log::info!(target: "metadata", "A peer has had newer {:?} for long: its copy is taken, and watched anew.", self.kind);
@@ -333,7 +333,7 @@
         // A copy that says nothing new is not worth asking for.
         let is_rare = matches!(self.kind, MetadataKind::Evacuations | MetadataKind::Quarantine);
         if !is_rare || has_changed {
-            news::announce(&self.context, self.kind);
+            announcements::announce(&self.context, self.kind);
         }
     }
 
@@ -356,7 +356,7 @@
     objects.into_iter().map(|object| (object.metadata.name, object.spec.to_string())).collect()
 }
 
-/// How a look at the platform ended.
+/// How a round of watching ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoundEnd {
     /// The platform answered: the copy is as new as can be.
@@ -367,7 +367,7 @@
 
 /// Waits for changes. After failures the first answer is asked for at once: until one came the copy counts as
 /// unconfirmed, and followers would leave a reader that is well.
-async fn look(
+async fn watch_once(
     client: &MetadataClient,
     kind: MetadataKind,
     revision: u64,
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -7,8 +7,8 @@
 use super::{RETRY_LIMIT, Watcher};
 use crate::cluster::Member;
 use crate::configuration::platform::PlatformError;
+use crate::metadata::announcements;
 use crate::metadata::freshness::Reading;
-use crate::metadata::news;
 use crate::metadata::peers::{self, Given};
 
 /// The pause after failures in a row.
@@ -45,7 +45,7 @@
 
     /// Takes the copy of a peer, where it is newer: of one that announced so, else of a random one.
     pub(super) async fn ask_peer(&mut self) {
-        let announcer = news::announcer(&self.context, self.kind);
+        let announcer = announcements::announcer(&self.context, self.kind);
         let Some(peer) = announcer.or_else(|| peers::any(&self.context)) else { return };
         if let Some(given) = peers::ask(&self.context, &peer, self.kind, self.held()).await {
             self.take_given(given);
@@ -66,11 +66,11 @@
 
     /// Takes what a peer announced, from that peer: it costs the platform nothing, and helps where that turns this node
     /// away. Asks the platform only where the peer gives nothing as new.
-    pub(super) async fn take_news(&mut self, holder: &Member) -> Result<(), PlatformError> {
+    pub(super) async fn take_announced(&mut self, holder: &Member) -> Result<(), PlatformError> {
         if let Some(given) = peers::ask(&self.context, holder, self.kind, self.held()).await {
             self.take_given(given);
         }
-        if news::announcer(&self.context, self.kind).is_none() {
+        if announcements::announcer(&self.context, self.kind).is_none() {
             return Ok(());
         }
         log::info!(target: "metadata", "{} gave no newer {:?} though it announced one: listing.", holder.node, self.kind);
--- a/crates/daemon/src/peers/connection.rs
+++ b/crates/daemon/src/peers/connection.rs
@@ -45,7 +45,7 @@
 }
 
 /// A call on an open connection.
-pub(super) struct Call {
+pub(super) struct PeerCall {
     address: SocketAddr,
     client: Arc<PeerClient>,
     limit: Instant,
@@ -70,11 +70,11 @@
     }
 
     /// Gets a call ready, connecting first where that is needed.
-    pub(super) async fn begin(&self, limit: Instant) -> Result<Call, PeerError> {
+    pub(super) async fn begin(&self, limit: Instant) -> Result<PeerCall, PeerError> {
         self.last_used_ms.store(self.age_ms(), Ordering::Relaxed);
         let connected = tokio::time::timeout_at(limit, self.open()).await;
         let client = connected.unwrap_or_else(|_| Err(self.not_sent("no connection by the deadline")))?;
-        Ok(Call { address: self.address, client, limit })
+        Ok(PeerCall { address: self.address, client, limit })
     }
 
     /// Closes the connection where it has not been used for a while; tells whether it was idle. A call that runs
@@ -158,7 +158,7 @@
     }
 }
 
-impl Call {
+impl PeerCall {
     pub(super) fn client(&self) -> &PeerClient {
         &self.client
     }
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -24,7 +24,7 @@
 /// Pause before a replica that gave no vote is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// How many call timeouts a claim may last.
-const PATIENCE: u32 = 2;
+const CLAIM_TIMEOUTS: u32 = 2;
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 ) -> ClaimOutcome {
     let shard = claim_shard(request);
     let claim = ClaimRequest { request: request.clone(), issued_at_unix_ms, attempt: attempt.clone() };
-    let deadline = Instant::now() + context.settings.store.call_timeout * PATIENCE;
+    let deadline = Instant::now() + context.settings.store.call_timeout * CLAIM_TIMEOUTS;
     let outcome = tokio::time::timeout_at(deadline, claim_on(context, &shard, &claim)).await;
     let outcome = outcome.unwrap_or(ClaimOutcome::NoMajority);
     if outcome == ClaimOutcome::NoMajority {
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -1,4 +1,4 @@
-//! By what this node chooses the stores of a shard, and how it tells what the chosen ones bear.
+//! By what this node chooses the stores of a shard, and how it reports which losses the chosen ones tolerate.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Tells what a set bears in a decision and, where it is less than the settings want, in the log.
+/// Records which losses a set tolerates in a decision and, where it is less than the settings want, in the log.
 pub(crate) fn tell(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
     let policy = policy(context);
     let tolerance = policy.fault_tolerance(&set.members);
@@ -69,11 +69,11 @@
     greatest.next().is_none().then(|| (region.clone(), most))
 }
 
-/// What the logs of batch jobs bear, shown by the owner of each.
+/// Which losses the logs of batch jobs tolerate, shown by the owner of each.
 #[derive(Clone)]
 pub struct PlacementMetrics {
     members: IntGaugeVec,
-    borne: IntGaugeVec,
+    tolerated: IntGaugeVec,
 }
 
 impl PlacementMetrics {
@@ -82,20 +82,21 @@
         let members =
             Opts::new("lichenpulley_log_members", "Stores that keep a log of batch jobs, at its owner");
         let members = IntGaugeVec::new(members, &["shard"])?;
-        let borne = Opts::new(
+        let tolerated = Opts::new(
             "lichenpulley_log_borne_losses",
             "Losses that a log of batch jobs bears, at its owner, by what is lost",
         );
-        let borne = IntGaugeVec::new(borne, &["shard", "of"])?;
+        let tolerated = IntGaugeVec::new(tolerated, &["shard", "of"])?;
         registry.register(Box::new(members.clone()))?;
-        registry.register(Box::new(borne.clone()))?;
-        Ok(Self { members, borne })
+        registry.register(Box::new(tolerated.clone()))?;
+        Ok(Self { members, tolerated })
     }
 
     /// Shows a set.
     pub(crate) fn show(&self, shard: &ShardId, members: usize, tolerance: FaultTolerance) {
         let shard = shard.as_str();
-        let set = |of: &str, count: usize| self.borne.with_label_values(&[shard, of]).set(to_gauge(count));
+        let set =
+            |of: &str, count: usize| self.tolerated.with_label_values(&[shard, of]).set(to_gauge(count));
         self.members.with_label_values(&[shard]).set(to_gauge(members));
         set("disks", tolerance.disks);
         set("zones", tolerance.zones);
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -16,7 +16,7 @@
 use crate::context::Context;
 
 /// How many call timeouts a change may last before it is given up; it can be taken up again.
-const PATIENCE: u32 = 30;
+const RECONFIGURATION_TIMEOUTS: u32 = 30;
 /// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which others read there
 /// meanwhile, its answers wait for longer than one. Requests that were given up after one came again without end, and a
 /// change of two disks was not done after six seconds.
@@ -224,7 +224,7 @@
     extent: Extent,
 ) -> Result<Option<ReplicaSet>, ReconfigurationError> {
     let origin = Instant::now();
-    let deadline = origin + context.settings.store.call_timeout * PATIENCE;
+    let deadline = origin + context.settings.store.call_timeout * RECONFIGURATION_TIMEOUTS;
     let mut exchange = StoreExchange::with_deadline(context.clone(), answer_deadline(context));
     let mut has_majority = false;
     loop {
--- a/crates/daemon/src/store/replacement.rs
+++ b/crates/daemon/src/store/replacement.rs
@@ -18,7 +18,7 @@
 use crate::configuration::platform::MachineListClient;
 use crate::context::Context;
 
-/// Rounds between two readings of the machine list, which bears few readers.
+/// Rounds between two readings of the machine list, which serves few readers.
 const ROUNDS_PER_READING: u64 = 30;
 
 /// Why a member is replaced.
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -301,7 +301,7 @@
 }
 
 /// The first set of a shard. One smaller than wanted only after others were waited for: what is decided before the set has
-/// grown bears fewer losses.
+/// grown tolerates fewer losses.
 fn choose_first(
     context: &Context,
     shard: &ShardId,
