--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -136,10 +136,12 @@
 
 fn bucket_of(node: &NodeId) -> u8 {
     let hash = xxh3_64(node.as_str().as_bytes()) % u64::from(DIGEST_BUCKETS);
+    // Never fails: the remainder is below the number of buckets, which fits.
     u8::try_from(hash).unwrap_or_default()
 }
 
 fn fingerprint(node: &NodeId, claim: MemberClaim) -> u32 {
     let hash = xxh3_64(format!("{node}\n{}", claim.incarnation.0).as_bytes());
+    // Never fails: the upper half is masked off.
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/daemon/src/configuration/change.rs
+++ b/crates/daemon/src/configuration/change.rs
@@ -16,7 +16,8 @@
 use super::source::register_of;
 use crate::context::Context;
 
-/// How long an accepted change may take until a majority of the quorum set holds it.
+/// How long an accepted change may take until a majority of the quorum set holds it. Chosen, not measured: too short tells
+/// an operator that a change is not in force yet which soon is; too long keeps the call waiting while the set can't be reached.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a change was not accepted.
@@ -159,7 +160,13 @@
     base_version: Option<Revision>,
     register: &Register,
 ) -> WriteReply {
-    let Ok(value) = serde_json::to_value(register) else { return WriteReply::NotWritten };
+    let value = match serde_json::to_value(register) {
+        Ok(value) => value,
+        Err(error) => {
+            log::error!(target: "configuration", "The settings tree can't be encoded and was not written: {error}.");
+            return WriteReply::NotWritten;
+        }
+    };
     match client.write(OBJECT_KEY, base_version, value).await {
         Ok(_) => WriteReply::Written,
         Err(WriteError::Conflict { .. }) => WriteReply::Conflict,
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -67,6 +67,7 @@
     ) -> Vec<Message> {
         let (replies, answer) = oneshot::channel();
         self.send(document, Event::Received { from, message, replies });
+        // Without an answer the task has stopped with its node, which sends no replies any more.
         answer.await.unwrap_or_default()
     }
 
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -125,8 +125,13 @@
 fn directory_document(list: &MachineList, latest: Option<&Document>) -> Document {
     let machines = list.machines.iter();
     let entries = machines.filter_map(|machine| {
-        let text = serde_json::to_string(machine).ok()?;
-        Some((machine.id.clone(), text))
+        match serde_json::to_string(machine) {
+            Ok(text) => Some((machine.id.clone(), text)),
+            Err(error) => {
+                log::error!(target: "configuration", "Machine {} is left out of the directory: {error}.", machine.id);
+                None
+            }
+        }
     });
     let entries: BTreeMap<String, String> = entries.collect();
     match latest {
--- a/crates/daemon/src/metadata/announcements.rs
+++ b/crates/daemon/src/metadata/announcements.rs
@@ -22,7 +22,8 @@
     }
 }
 
-/// What this node holds of a kind, in the numbers that are announced: the configuration has versions of its own.
+/// What this node holds of a kind, in the numbers that are announced: the configuration has versions of its own. 0 where it
+/// holds nothing, which is below every announced number and is never announced.
 fn held(context: &Context, kind: MetadataKind) -> u64 {
     let metadata = &context.metadata;
     match kind {
--- a/crates/daemon/src/metadata/history.rs
+++ b/crates/daemon/src/metadata/history.rs
@@ -1,19 +1,23 @@
-//! A copy of one kind of metadata, with what changed in it lately.
+//! A copy of one kind of metadata, with what changed in it lately, so that a follower gets only the changes.
+//!
+//! Owns the copy and the revisions of its last changes; does no I/O. The handle keeps one for each kind.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataUpdate};
 
-/// Revisions remembered; a follower that is further behind gets the whole copy.
+/// Revisions remembered; a follower that is further behind gets the whole copy. Chosen, not measured: fewer make a follower
+/// that missed some answers read all objects again, more cost memory for each name that changed.
 const REVISIONS: usize = 256;
 
 /// A copy and the revisions at which this node saw its objects change.
 ///
-/// Invariant: what changed is told only to a follower whose copy is of a revision that this node has held. A follower
+/// Invariant: what changed is sent only to a follower whose copy is of a revision that this node has held. A follower
 /// may hold an object that came and went between two of this node's revisions, and nothing here knows of it.
 #[derive(Debug)]
-pub(super) struct CopyHistory {
-    pub(super) copy: MetadataCopy,
+pub struct CopyHistory {
+    /// The copy.
+    pub copy: MetadataCopy,
     changed_at: HashMap<String, u64>,
     removed: VecDeque<(u64, String)>,
     /// Revisions held, in rising order.
@@ -22,13 +26,13 @@
 
 impl CopyHistory {
     /// The history that begins with a copy.
-    pub(super) fn begin(copy: MetadataCopy) -> Self {
+    pub fn begin(copy: MetadataCopy) -> Self {
         let held = VecDeque::from([copy.revision]);
         Self { copy, changed_at: HashMap::new(), removed: VecDeque::new(), held }
     }
 
     /// The history with a later copy.
-    pub(super) fn followed_by(&self, copy: MetadataCopy) -> Self {
+    pub fn followed_by(&self, copy: MetadataCopy) -> Self {
         let before: BTreeMap<&str, &str> = pairs(&self.copy).collect();
         let after: BTreeMap<&str, &str> = pairs(&copy).collect();
         let mut changed_at = self.changed_at.clone();
@@ -55,7 +59,7 @@
     }
 
     /// What turns a copy of revision `held` into this one; `None` where that is as late.
-    pub(super) fn update_since(&self, held: Option<u64>) -> Option<MetadataUpdate> {
+    pub fn update_since(&self, held: Option<u64>) -> Option<MetadataUpdate> {
         let revision = self.copy.revision;
         if held.is_some_and(|held| held >= revision) {
             return None;
@@ -75,6 +79,3 @@
 fn pairs(copy: &MetadataCopy) -> impl Iterator<Item = (&str, &str)> {
     copy.objects.iter().map(|(name, text)| (name.as_str(), text.as_str()))
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -9,7 +9,7 @@
 pub mod client;
 mod copy;
 mod freshness;
-mod history;
+pub mod history;
 pub(crate) mod peers;
 mod reachability;
 mod relay;
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -10,7 +10,7 @@
 use lichenpulley_core::ingress::lapse::LapseKeeper;
 use lichenpulley_core::relay::ReadSource;
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_platform::objects::{self, Object};
+use lichenpulley_platform::objects::{self, Events, Object};
 use lichenpulley_platform::quarantine::QUARANTINE;
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataKind, MetadataUpdate};
 use tokio::sync::watch;
@@ -19,11 +19,13 @@
 use super::client::{MetadataClient, Watched};
 use super::freshness::Reading;
 use super::kind_index;
+use super::peers::Given;
 use super::reachability::{Reachability, StoreReach};
 use super::relay::Follower;
 use super::{announcements, peers, zones};
 use crate::batch::candidate;
 use crate::batch::scope::Scope;
+use crate::cluster::Member;
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
 
@@ -222,58 +224,78 @@
         self.publish(update.revision, from.as_str());
     }
 
+    /// One watch, or one list where the revision is not known.
     async fn round(&mut self) -> Result<RoundEnd, PlatformError> {
-        let Some(revision) = self.revision else { return self.list().await.map(|()| RoundEnd::Confirmed) };
-        let lapses_end =
-            self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
-        let watched = tokio::select! {
-            watched = watch_once(&self.client, self.kind, revision, self.failures) => watched?,
-            // The store is silent: this watch hears nothing, whether it was sent before or since.
-            Ok(()) = self.reach.changed() => return Ok(RoundEnd::Unconfirmed),
-            Ok(()) = self.rereads.changed() => {
-                self.revision = None;
-                return self.list().await.map(|()| RoundEnd::Confirmed);
-            }
-            () = sleep_until(lapses_end) => {
+        let Some(revision) = self.revision else { return self.list_all().await };
+        match self.wait_for_change(revision).await? {
+            WatchEnd::Answered(watched) => self.take_watched(watched).await,
+            WatchEnd::ReachChanged => Ok(RoundEnd::Unconfirmed),
+            WatchEnd::RereadWanted => self.list_all().await,
+            WatchEnd::LapsesOver => {
                 self.drop_lapsed();
-                return Ok(RoundEnd::Unconfirmed);
+                Ok(RoundEnd::Unconfirmed)
             }
-            holder = announcements::heard_newer(&self.context, self.kind) => {
-                return self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed);
-            }
-            given = peers::behind(&self.context, self.kind) => {
+            WatchEnd::Announced(holder) => self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed),
+            WatchEnd::PeerAhead(given) => {
                 log::info!(target: "metadata", "A peer has had newer {:?} for long: its copy is taken, and watched anew.", self.kind);
                 self.take_given(given);
-                return Ok(RoundEnd::Unconfirmed);
+                Ok(RoundEnd::Unconfirmed)
             }
+        }
+    }
+
+    /// Watches until the store answers or something else asks for another step.
+    async fn wait_for_change(&mut self, revision: u64) -> Result<WatchEnd, PlatformError> {
+        let lapses_end =
+            self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
+        let end = tokio::select! {
+            watched = watch_once(&self.client, self.kind, revision, self.failures) => WatchEnd::Answered(watched?),
+            Ok(()) = self.reach.changed() => WatchEnd::ReachChanged,
+            Ok(()) = self.rereads.changed() => WatchEnd::RereadWanted,
+            () = sleep_until(lapses_end) => WatchEnd::LapsesOver,
+            holder = announcements::heard_newer(&self.context, self.kind) => WatchEnd::Announced(holder),
+            given = peers::behind(&self.context, self.kind) => WatchEnd::PeerAhead(given),
         };
+        Ok(end)
+    }
+
+    async fn take_watched(&mut self, watched: Watched) -> Result<RoundEnd, PlatformError> {
         match watched {
             Watched::HistoryGone => {
                 log::info!(target: "metadata", "The history of {:?} is gone: listing again.", self.kind);
-                self.revision = None;
-                self.list().await.map(|()| RoundEnd::Confirmed)
+                self.list_all().await
             }
             Watched::Events(events) => {
-                self.store_answered();
-                let has_changes = !events.events.is_empty();
-                for event in events.events {
-                    let name = event.object.metadata.name;
-                    if event.is_removed {
-                        self.remove(&name);
-                    } else {
-                        self.lapses.is_there(&name);
-                        self.objects.insert(name, event.object.spec.to_string());
-                    }
-                }
-                self.revision = Some(events.at);
-                if has_changes {
-                    self.publish(events.at, PLATFORM);
-                }
+                self.take_events(events);
                 Ok(RoundEnd::Confirmed)
             }
         }
     }
 
+    fn take_events(&mut self, events: Events) {
+        self.store_answered();
+        let has_changes = !events.events.is_empty();
+        for event in events.events {
+            let name = event.object.metadata.name;
+            if event.is_removed {
+                self.remove(&name);
+            } else {
+                self.lapses.is_there(&name);
+                self.objects.insert(name, event.object.spec.to_string());
+            }
+        }
+        self.revision = Some(events.at);
+        if has_changes {
+            self.publish(events.at, PLATFORM);
+        }
+    }
+
+    /// Lists anew. Where that fails the next round lists again, since the revision is unknown until then.
+    async fn list_all(&mut self) -> Result<RoundEnd, PlatformError> {
+        self.revision = None;
+        self.list().await.map(|()| RoundEnd::Confirmed)
+    }
+
     async fn list(&mut self) -> Result<(), PlatformError> {
         let list = self.client.list(kind_name(self.kind)).await?;
         self.store_answered();
@@ -356,6 +378,22 @@
     objects.into_iter().map(|object| (object.metadata.name, object.spec.to_string())).collect()
 }
 
+/// Why a watch ended.
+enum WatchEnd {
+    /// The store answered it.
+    Answered(Watched),
+    /// The store fell silent or is back: this watch hears nothing, whether it was sent before or since.
+    ReachChanged,
+    /// The kind is to be listed anew.
+    RereadWanted,
+    /// Entries that lapsed while the store was away had their time to come back.
+    LapsesOver,
+    /// A peer announced something newer.
+    Announced(Member),
+    /// Another reader has had something newer for too long.
+    PeerAhead(Given),
+}
+
 /// How a round of watching ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoundEnd {
--- a/crates/daemon/src/store/replacement.rs
+++ b/crates/daemon/src/store/replacement.rs
@@ -69,7 +69,13 @@
             return;
         }
         let Some(client) = MachineListClient::from_settings(&context.settings) else { return };
-        let Ok(list) = client.read().await else { return };
+        let list = match client.read().await {
+            Ok(list) => list,
+            Err(error) => {
+                log::debug!(target: "store", "Leaving machines stay as last read: {error}.");
+                return;
+            }
+        };
         let leaving = list.machines.into_iter().filter(|machine| machine.state == MachineState::Leaving);
         self.leaving = leaving.map(|machine| NodeId::new(machine.id)).collect();
     }
--- a/crates/daemon/tests/metadata_history.rs
+++ b/crates/daemon/tests/metadata_history.rs
@@ -1,10 +1,11 @@
+//! Whatever a follower holds, an update of a copy's history gives it the later copy.
+
 use std::collections::BTreeMap;
 
+use lichenpulley_daemon::metadata::history::CopyHistory;
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataUpdate};
 use proptest::prelude::*;
 
-use super::CopyHistory;
-
 fn copy(revision: u64, objects: &BTreeMap<String, String>) -> MetadataCopy {
     let objects = objects.iter().map(|(name, text)| (name.clone(), text.clone())).collect();
     MetadataCopy { revision, objects }
