--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -21,7 +21,7 @@
 use crate::peers::PeerClients;
 use crate::quarantine::QuarantineHandle;
 use crate::settings::Settings;
-use crate::store::replica_sets::ReplicaSetCache;
+use crate::store::replica_set_cache::ReplicaSetCache;
 
 /// One node's shared state.
 pub struct NodeContext {
--- a/crates/daemon/src/store/worker/tests.rs
+++ b/crates/daemon/src/store/leaders/tests.rs
@@ -1,7 +1,12 @@
 //! Who is seen to lead.
 
+use std::time::Duration;
+
+use lichenpulley_core::identity::Epoch;
 use lichenpulley_core::replication::ballot::ProposerId;
-use lichenpulley_core::replication::replica_set::StoreId;
+use lichenpulley_core::replication::entry::LogIndex;
+use lichenpulley_core::replication::message::ReplicaResponse;
+use lichenpulley_core::replication::replica_set::{Generation, StoreId};
 
 use super::*;
 
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -3,175 +3,20 @@
 //! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any source
 //! will do, and the ones that need no platform are asked first.
 
-use std::collections::{HashMap, HashSet};
-use std::sync::{Mutex, PoisonError};
-use std::time::Duration;
+mod document;
+mod error;
 
-use arc_swap::ArcSwap;
 use futures::future::join_all;
 use lichenpulley_core::batch::regional::regions_of;
-use lichenpulley_core::identity::{Revision, ShardId};
-use lichenpulley_core::replication::placement::TooFewStores;
-use lichenpulley_core::replication::replica_set::{ReplicaSet, ReplicaSetDocument, SetMember, StoreId};
+use lichenpulley_core::identity::ShardId;
+use lichenpulley_core::replication::replica_set::{ReplicaSet, ReplicaSetDocument, SetMember};
 use lichenpulley_protocol::internal::{StoreRequest, StoreResponse};
-use tokio::time::Instant;
 
+pub(super) use self::document::{DocumentClient, StoredDocument, read, write};
+pub use self::error::ReplicaSetError;
 use super::placement;
 use crate::cluster::Member;
-use crate::configuration::platform::{ObjectClient, PlatformError, WriteError};
 use crate::context::Context;
-use crate::metadata::client::MetadataClient;
-use crate::settings::Settings;
-
-/// Where the object API holds the replica sets of shards; also the kind under which a metadata store holds them.
-const KIND: &str = "replica-sets";
-
-/// What keeps the documents of replica sets: the object API, or the platform's metadata store where one is named.
-#[derive(Clone, Debug)]
-pub(super) enum DocumentClient {
-    Objects(ObjectClient),
-    Metadata(MetadataClient),
-}
-
-impl DocumentClient {
-    /// A client by the settings of this node.
-    pub(super) fn from_settings(settings: &Settings) -> Result<Self, ReplicaSetError> {
-        if let Some(client) = MetadataClient::from_settings(settings) {
-            return Ok(Self::Metadata(client));
-        }
-        let client = ObjectClient::from_settings(settings).ok_or(ReplicaSetError::NoObjectApi)?;
-        Ok(Self::Objects(client))
-    }
-
-    async fn read(&self, shard: &ShardId) -> Result<Option<(serde_json::Value, Revision)>, PlatformError> {
-        match self {
-            Self::Objects(client) => {
-                let object = client.read(&document_key(shard)).await?;
-                Ok(object.map(|object| (object.value, object.version)))
-            }
-            Self::Metadata(client) => {
-                let object = client.read(KIND, &document_name(shard)).await?;
-                let object = object.map(|object| (object.spec, object.metadata.rev.unwrap_or_default()));
-                Ok(object.map(|(value, revision)| (value, Revision(revision))))
-            }
-        }
-    }
-
-    async fn write(
-        &self,
-        shard: &ShardId,
-        base: Option<Revision>,
-        value: serde_json::Value,
-    ) -> Result<(), WriteError> {
-        match self {
-            Self::Objects(client) => client.write(&document_key(shard), base, value).await.map(drop),
-            Self::Metadata(client) => {
-                let base = base.map(|revision| revision.0);
-                client.write(KIND, &document_name(shard), base, value).await
-            }
-        }
-    }
-}
-
-/// Replica sets that this node has met.
-#[derive(Debug, Default)]
-pub struct ReplicaSetCache {
-    sets: ArcSwap<HashMap<ShardId, ReplicaSet>>,
-    shortages: Mutex<HashMap<ShardId, Shortage>>,
-}
-
-impl ReplicaSetCache {
-    /// The set last met for a shard.
-    pub fn get(&self, shard: &ShardId) -> Option<ReplicaSet> {
-        self.sets.load().get(shard).cloned()
-    }
-
-    /// Keeps a set, unless a later one is kept.
-    pub fn put(&self, set: &ReplicaSet) {
-        self.sets.rcu(|sets| {
-            let mut sets = HashMap::clone(sets);
-            let known = sets.get(&set.shard);
-            if known.is_none_or(|known| known.generation < set.generation) {
-                sets.insert(set.shard.clone(), set.clone());
-            }
-            sets
-        });
-    }
-
-    /// Forgets a set that led nowhere, so that it is looked for again.
-    pub fn forget(&self, shard: &ShardId) {
-        self.sets.rcu(|sets| {
-            let mut sets = HashMap::clone(sets);
-            sets.remove(shard);
-            sets
-        });
-    }
-}
-
-/// Fewer stores than a shard should have, as this node has seen them.
-#[derive(Debug)]
-struct Shortage {
-    seen: HashSet<StoreId>,
-    /// When the last of them was seen first.
-    since: Instant,
-}
-
-impl ReplicaSetCache {
-    /// How long no store has come that was not seen before, while a shard has too few.
-    fn short_for(&self, shard: &ShardId, stores: &[SetMember]) -> Duration {
-        let mut shortages = self.shortages.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = Instant::now();
-        let none = || Shortage { seen: HashSet::new(), since: now };
-        let shortage = shortages.entry(shard.clone()).or_insert_with(none);
-        let before = shortage.seen.len();
-        shortage.seen.extend(stores.iter().map(|member| member.store.clone()));
-        if shortage.seen.len() > before {
-            shortage.since = now;
-        }
-        shortage.since.elapsed()
-    }
-}
-
-/// Why no replica set is known.
-#[derive(Debug, thiserror::Error)]
-pub enum ReplicaSetError {
-    /// No object API is named in the settings, and no store knows the shard.
-    #[error("no store knows the shard and no object API is set; set platform.object_api")]
-    NoObjectApi,
-    /// The object API gave no answer, and no store knows the shard.
-    #[error("no store knows the shard: {0}")]
-    Platform(#[from] PlatformError),
-    /// The object API may have kept the set or not.
-    #[error("the first replica set is in doubt: {0}")]
-    Write(#[from] WriteError),
-    /// The object holds something else.
-    #[error("the object {key} is no replica set: {source}; mend or delete it")]
-    Unreadable {
-        /// The object's key.
-        key: String,
-        /// What is wrong with it.
-        source: serde_json::Error,
-    },
-    /// What was written is not there.
-    #[error("the first replica set was taken and is not kept; it is written again")]
-    NotKept,
-    /// There are fewer stores than the smallest set has members.
-    #[error("{0}, or lower store.tolerated_losses")]
-    TooFewStores(#[from] TooFewStores),
-    /// There are fewer stores than a set should have, and others may be about to come.
-    #[error(
-        "{live} stores answer and {wanted} are wanted; a smaller set is made once no other store has come for \
-         {small_set_after:?} (store.small_set_after_ms)"
-    )]
-    WaitingForStores {
-        /// How many answer.
-        live: usize,
-        /// Members of a set, by the settings.
-        wanted: usize,
-        /// How long others are waited for.
-        small_set_after: Duration,
-    },
-}
 
 /// The replica set of a shard; chosen now where it has none.
 ///
@@ -186,45 +31,12 @@
     Ok(set)
 }
 
-/// A replica set document and the version under which the object API holds it.
-#[derive(Clone, Debug)]
-pub(super) struct StoredDocument {
-    pub(super) document: ReplicaSetDocument,
-    pub(super) version: Revision,
-}
-
 /// Whether the platform says that it holds no set of a shard; not where it gives no answer.
 pub(crate) async fn is_unwritten(context: &Context, shard: &ShardId) -> bool {
     let Ok(client) = DocumentClient::from_settings(&context.settings) else { return false };
     matches!(read(&client, shard).await, Ok(None))
 }
 
-/// Reads a shard's document.
-pub(super) async fn read(
-    client: &DocumentClient,
-    shard: &ShardId,
-) -> Result<Option<StoredDocument>, ReplicaSetError> {
-    let key = document_key(shard);
-    let Some((value, version)) = client.read(shard).await? else { return Ok(None) };
-    let document = serde_json::from_value(value);
-    let document = document.map_err(|source| ReplicaSetError::Unreadable { key, source })?;
-    Ok(Some(StoredDocument { document, version }))
-}
-
-/// Writes a shard's document if its version is still `base`.
-pub(super) async fn write(
-    client: &DocumentClient,
-    shard: &ShardId,
-    base: Option<Revision>,
-    document: &ReplicaSetDocument,
-) -> Result<(), ReplicaSetError> {
-    let key = document_key(shard);
-    let value = serde_json::to_value(document);
-    let value = value.map_err(|source| ReplicaSetError::Unreadable { key: key.clone(), source })?;
-    client.write(shard, base, value).await?;
-    Ok(())
-}
-
 /// Live stores that could be members of a shard's set.
 pub(crate) async fn candidates(context: &Context, shard: &ShardId) -> Vec<SetMember> {
     let asked = store_nodes(context, shard);
@@ -232,15 +44,6 @@
     join_all(answers).await.into_iter().flatten().collect()
 }
 
-fn document_key(shard: &ShardId) -> String {
-    format!("{KIND}/{shard}")
-}
-
-/// A name within a kind holds no slash.
-fn document_name(shard: &ShardId) -> String {
-    shard.as_str().replace('/', ".")
-}
-
 /// Live stores in the regions where the shard may be kept.
 fn store_nodes(context: &Context, shard: &ShardId) -> Vec<Member> {
     let regions = regions_of(shard);
--- a/crates/daemon/src/store/worker.rs
+++ b/crates/daemon/src/store/worker.rs
@@ -3,7 +3,6 @@
 //! Requests that wait are done in one transaction, so that one sync of the disk serves them all. No answer leaves
 //! before the transaction is on disk.
 
-use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use lichenpulley_core::identity::{Epoch, ShardId};
@@ -15,11 +14,12 @@
 use lichenpulley_core::replication::replica_set::Generation;
 use lichenpulley_core::replication::storage::ShardStorage;
 use lichenpulley_protocol::internal::StoreResponse;
-use lichenpulley_protocol::internal::store::{KnownSet, Leadership};
+use lichenpulley_protocol::internal::store::KnownSet;
 use tokio::sync::{mpsc, oneshot};
 
 use super::disk::Disk;
 use super::error::DiskError;
+use super::leaders::{Leaders, leadership};
 use super::metrics::StoreMetrics;
 use super::transaction::Transaction;
 use crate::decisions::unix_milliseconds;
@@ -72,53 +72,6 @@
     leaders: Leaders,
 }
 
-/// Who leads each shard, and when it last appended or read here: one that takes over reads a long log for a while. Kept in memory, so that asking needs no disk.
-struct Leaders {
-    started_at: Instant,
-    known: HashMap<ShardId, Leader>,
-}
-
-struct Leader {
-    ballot: Ballot,
-    active_at: Instant,
-}
-
-impl Leaders {
-    fn new() -> Self {
-        Self { started_at: Instant::now(), known: HashMap::new() }
-    }
-
-    /// Learns from what was answered to a proposer.
-    fn learn(&mut self, done: &Done) {
-        let Done::Response(StoreResponse::Replica(response)) = done else { return };
-        let (ReplicaAnswer::Promised { ballot, .. }
-        | ReplicaAnswer::Entries { ballot, .. }
-        | ReplicaAnswer::Accepted { ballot, .. }) = &response.outcome
-        else {
-            return;
-        };
-        let leader = Leader { ballot: ballot.clone(), active_at: Instant::now() };
-        self.known.insert(response.shard.clone(), leader);
-    }
-
-    /// The leader says that it is at work. One that was superseded here is not believed.
-    fn alive(&mut self, shard: &ShardId, ballot: &Ballot) {
-        if let Some(leader) = self.known.get_mut(shard).filter(|leader| &leader.ballot == ballot) {
-            leader.active_at = Instant::now();
-        }
-    }
-
-    fn get(&self, shard: &ShardId) -> Option<Leadership> {
-        let leader = self.known.get(shard)?;
-        Some(leadership(&leader.ballot, leader.active_at))
-    }
-}
-
-fn leadership(ballot: &Ballot, since: Instant) -> Leadership {
-    let idle_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-    Leadership { epoch: ballot.epoch, proposer: ballot.proposer.clone(), idle_ms }
-}
-
 impl Worker {
     pub(super) fn new(disk: Disk, acceptor: Acceptor, metrics: StoreMetrics) -> Self {
         Self { disk: Some(disk), acceptor, metrics, leaders: Leaders::new() }
@@ -285,6 +238,3 @@
     };
     KnownSet { set: record.set, next }
 }
-
-#[cfg(test)]
-mod tests;
