--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -67,6 +67,7 @@
     ) -> Vec<Message> {
         let (replies, answer) = oneshot::channel();
         self.send(document, Event::Received { from, message, replies });
+        // Without an answer the task has stopped with its node, which sends no replies any more.
         answer.await.unwrap_or_default()
     }
 
@@ -84,12 +85,12 @@
         &self,
         document: DocumentName,
         revision: Revision,
-        patience: Duration,
+        timeout: Duration,
     ) -> bool {
         let mut in_force = self.watch(document);
         let reached = in_force
             .wait_for(|document| document.as_ref().is_some_and(|document| document.revision() >= revision));
-        matches!(tokio::time::timeout(patience, reached).await, Ok(Ok(_)))
+        matches!(tokio::time::timeout(timeout, reached).await, Ok(Ok(_)))
     }
 
     /// Where the events arrive; only the first caller gets them.
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -10,7 +10,7 @@
 use lichenpulley_core::ingress::lapse::LapseKeeper;
 use lichenpulley_core::relay::ReadSource;
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_platform::objects::{self, Object};
+use lichenpulley_platform::objects::{self, Events, Object};
 use lichenpulley_platform::quarantine::QUARANTINE;
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataKind, MetadataUpdate};
 use tokio::sync::watch;
@@ -19,11 +19,13 @@
 use super::client::{MetadataClient, Watched};
 use super::freshness::Reading;
 use super::kind_index;
+use super::peers::Given;
 use super::reachability::{Reachability, StoreReach};
 use super::relay::Follower;
-use super::{news, peers, zones};
+use super::{announcements, peers, zones};
 use crate::batch::candidate;
 use crate::batch::scope::Scope;
+use crate::cluster::Member;
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
 
@@ -42,11 +44,11 @@
 const FOLLOW_PAUSE: Duration = Duration::from_millis(250);
 
 /// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip.
-const SETTLE_LOOK: Duration = Duration::from_millis(300);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds.
-const SETTLE_LEAST: Duration = Duration::from_millis(1_000);
+const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 /// A node reads after so long though it still hears of others.
-const SETTLE_LIMIT: Duration = Duration::from_millis(2_000);
+const MAX_SETTLE: Duration = Duration::from_millis(2_000);
 
 /// The platform's name of a kind.
 const fn kind_name(kind: MetadataKind) -> &'static str {
@@ -168,11 +170,11 @@
         let began = Instant::now();
         let mut nodes = 0;
         loop {
-            tokio::time::sleep(SETTLE_LOOK).await;
+            tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
             let heard = self.context.cluster.load().members.len();
             // In a large deployment more nodes change nothing; a small one may be the beginning of a large one.
             let is_known = heard == nodes || heard >= self.context.settings.configuration.follow_from_nodes;
-            if (is_known && began.elapsed() >= SETTLE_LEAST) || began.elapsed() >= SETTLE_LIMIT {
+            if (is_known && began.elapsed() >= MIN_SETTLE) || began.elapsed() >= MAX_SETTLE {
                 return;
             }
             nodes = heard;
@@ -193,8 +195,8 @@
                 }
                 return;
             }
-            holder = news::heard_newer(&self.context, self.kind) => {
-                if let Err(error) = self.take_news(&holder).await {
+            holder = announcements::heard_newer(&self.context, self.kind) => {
+                if let Err(error) = self.take_announced(&holder).await {
                     log::info!(target: "metadata", "{:?} can't be listed: {error}.", self.kind);
                     tokio::time::sleep(RETRY_LIMIT).await;
                 }
@@ -222,58 +224,78 @@
         self.publish(update.revision, from.as_str());
     }
 
+    /// One watch, or one list where the revision is not known.
     async fn round(&mut self) -> Result<RoundEnd, PlatformError> {
-        let Some(revision) = self.revision else { return self.list().await.map(|()| RoundEnd::Confirmed) };
-        let lapses_end =
-            self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
-        let watched = tokio::select! {
-            watched = look(&self.client, self.kind, revision, self.failures) => watched?,
-            // The store is silent: this watch hears nothing, whether it was sent before or since.
-            Ok(()) = self.reach.changed() => return Ok(RoundEnd::Unconfirmed),
-            Ok(()) = self.rereads.changed() => {
-                self.revision = None;
-                return self.list().await.map(|()| RoundEnd::Confirmed);
-            }
-            () = sleep_until(lapses_end) => {
+        let Some(revision) = self.revision else { return self.list_all().await };
+        match self.wait_for_change(revision).await? {
+            WatchEnd::Answered(watched) => self.take_watched(watched).await,
+            WatchEnd::ReachChanged => Ok(RoundEnd::Unconfirmed),
+            WatchEnd::RereadWanted => self.list_all().await,
+            WatchEnd::LapsesOver => {
                 self.drop_lapsed();
-                return Ok(RoundEnd::Unconfirmed);
-            }
-            holder = news::heard_newer(&self.context, self.kind) => {
-                return self.take_news(&holder).await.map(|()| RoundEnd::Unconfirmed);
+                Ok(RoundEnd::Unconfirmed)
             }
-            given = peers::behind(&self.context, self.kind) => {
+            WatchEnd::Announced(holder) => self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed),
+            WatchEnd::PeerAhead(given) => {
                 log::info!(target: "metadata", "A peer has had newer {:?} for long: its copy is taken, and watched anew.", self.kind);
                 self.take_given(given);
-                return Ok(RoundEnd::Unconfirmed);
+                Ok(RoundEnd::Unconfirmed)
             }
+        }
+    }
+
+    /// Watches until the store answers or something else asks for another step.
+    async fn wait_for_change(&mut self, revision: u64) -> Result<WatchEnd, PlatformError> {
+        let lapses_end =
+            self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
+        let end = tokio::select! {
+            watched = watch_once(&self.client, self.kind, revision, self.failures) => WatchEnd::Answered(watched?),
+            Ok(()) = self.reach.changed() => WatchEnd::ReachChanged,
+            Ok(()) = self.rereads.changed() => WatchEnd::RereadWanted,
+            () = sleep_until(lapses_end) => WatchEnd::LapsesOver,
+            holder = announcements::heard_newer(&self.context, self.kind) => WatchEnd::Announced(holder),
+            given = peers::behind(&self.context, self.kind) => WatchEnd::PeerAhead(given),
         };
+        Ok(end)
+    }
+
+    async fn take_watched(&mut self, watched: Watched) -> Result<RoundEnd, PlatformError> {
         match watched {
             Watched::HistoryGone => {
                 log::info!(target: "metadata", "The history of {:?} is gone: listing again.", self.kind);
-                self.revision = None;
-                self.list().await.map(|()| RoundEnd::Confirmed)
+                self.list_all().await
             }
             Watched::Events(events) => {
-                self.store_answered();
-                let has_changes = !events.events.is_empty();
-                for event in events.events {
-                    let name = event.object.metadata.name;
-                    if event.is_removed {
-                        self.remove(&name);
-                    } else {
-                        self.lapses.is_there(&name);
-                        self.objects.insert(name, event.object.spec.to_string());
-                    }
-                }
-                self.revision = Some(events.at);
-                if has_changes {
-                    self.publish(events.at, PLATFORM);
-                }
+                self.take_events(events);
                 Ok(RoundEnd::Confirmed)
             }
         }
     }
 
+    fn take_events(&mut self, events: Events) {
+        self.store_answered();
+        let has_changes = !events.events.is_empty();
+        for event in events.events {
+            let name = event.object.metadata.name;
+            if event.is_removed {
+                self.remove(&name);
+            } else {
+                self.lapses.is_there(&name);
+                self.objects.insert(name, event.object.spec.to_string());
+            }
+        }
+        self.revision = Some(events.at);
+        if has_changes {
+            self.publish(events.at, PLATFORM);
+        }
+    }
+
+    /// Lists anew. Where that fails the next round lists again, since the revision is unknown until then.
+    async fn list_all(&mut self) -> Result<RoundEnd, PlatformError> {
+        self.revision = None;
+        self.list().await.map(|()| RoundEnd::Confirmed)
+    }
+
     async fn list(&mut self) -> Result<(), PlatformError> {
         let list = self.client.list(kind_name(self.kind)).await?;
         self.store_answered();
@@ -333,7 +355,7 @@
         // A copy that says nothing new is not worth asking for.
         let is_rare = matches!(self.kind, MetadataKind::Evacuations | MetadataKind::Quarantine);
         if !is_rare || has_changed {
-            news::announce(&self.context, self.kind);
+            announcements::announce(&self.context, self.kind);
         }
     }
 
@@ -356,7 +378,23 @@
     objects.into_iter().map(|object| (object.metadata.name, object.spec.to_string())).collect()
 }
 
-/// How a look at the platform ended.
+/// Why a watch ended.
+enum WatchEnd {
+    /// The store answered it.
+    Answered(Watched),
+    /// The store fell silent or is back: this watch hears nothing, whether it was sent before or since.
+    ReachChanged,
+    /// The kind is to be listed anew.
+    RereadWanted,
+    /// Entries that lapsed while the store was away had their time to come back.
+    LapsesOver,
+    /// A peer announced something newer.
+    Announced(Member),
+    /// Another reader has had something newer for too long.
+    PeerAhead(Given),
+}
+
+/// How a round of watching ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoundEnd {
     /// The platform answered: the copy is as new as can be.
@@ -367,7 +405,7 @@
 
 /// Waits for changes. After failures the first answer is asked for at once: until one came the copy counts as
 /// unconfirmed, and followers would leave a reader that is well.
-async fn look(
+async fn watch_once(
     client: &MetadataClient,
     kind: MetadataKind,
     revision: u64,
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -13,18 +13,18 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::exchange::{Answer, Exchange};
+use super::exchange::{Answer, StoreExchange};
 use super::{reconfiguration, replica_sets};
 use crate::context::Context;
 
 /// Shards over which request ids are spread.
-pub const CLAIM_SHARDS: u64 = 16;
+pub(crate) const CLAIM_SHARDS: u64 = 16;
 /// What the names of claim shards begin with.
 const CLAIM_SHARD_PREFIX: &str = "claims/";
 /// Pause before a replica that gave no vote is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// How many call timeouts a claim may last.
-const PATIENCE: u32 = 2;
+const CLAIM_TIMEOUTS: u32 = 2;
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 ) -> ClaimOutcome {
     let shard = claim_shard(request);
     let claim = ClaimRequest { request: request.clone(), issued_at_unix_ms, attempt: attempt.clone() };
-    let deadline = Instant::now() + context.settings.store.call_timeout * PATIENCE;
+    let deadline = Instant::now() + context.settings.store.call_timeout * CLAIM_TIMEOUTS;
     let outcome = tokio::time::timeout_at(deadline, claim_on(context, &shard, &claim)).await;
     let outcome = outcome.unwrap_or(ClaimOutcome::NoMajority);
     if outcome == ClaimOutcome::NoMajority {
@@ -106,7 +106,7 @@
 }
 
 async fn collect_votes(context: &Context, set: &ReplicaSet, claim: &ClaimRequest) -> Votes {
-    let mut exchange = Exchange::new(context.clone());
+    let mut exchange = StoreExchange::new(context.clone());
     let mut tally = ClaimTally::new(set);
     let mut operations = BTreeMap::new();
     for member in &set.members {
@@ -147,13 +147,13 @@
     set.generation == Generation::FIRST || tally.answered() >= set.majority()
 }
 
-fn send(exchange: &Exchange, set: &ReplicaSet, to: &StoreId, operations: &BTreeMap<StoreId, Operation>) {
+fn send(exchange: &StoreExchange, set: &ReplicaSet, to: &StoreId, operations: &BTreeMap<StoreId, Operation>) {
     send_after(Duration::ZERO, exchange, set, to, operations);
 }
 
 fn send_after(
     pause: Duration,
-    exchange: &Exchange,
+    exchange: &StoreExchange,
     set: &ReplicaSet,
     to: &StoreId,
     operations: &BTreeMap<StoreId, Operation>,
--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use tokio::sync::mpsc;
 
-use super::heard_clock::HeardClock;
+use super::last_answer::LastAnswer;
 use super::shard_log::{ShardLog, ShardLogError};
 use crate::boot_clock::{BootClock, BootInstant};
 
@@ -65,7 +65,7 @@
 pub(crate) struct LogWriter<R> {
     writes: mpsc::UnboundedSender<Write<R>>,
     outcomes: mpsc::UnboundedReceiver<AppendOutcome>,
-    heard: HeardClock,
+    last_answer: LastAnswer,
 }
 
 impl<R: Send + 'static> LogWriter<R> {
@@ -73,14 +73,14 @@
     pub(crate) fn start(log: ShardLog, format: RecordFormat<R>, held_bytes: usize, clock: BootClock) -> Self {
         let (writes, received) = mpsc::unbounded_channel();
         let (sender, outcomes) = mpsc::unbounded_channel();
-        let heard = log.heard();
+        let last_answer = log.last_answer();
         tokio::spawn(Task { log, format, received, sender, held_bytes, clock }.run());
-        Self { writes, outcomes, heard }
+        Self { writes, outcomes, last_answer }
     }
 
     /// How long no store has answered a write.
     pub(crate) fn silent_for(&self) -> Duration {
-        self.heard.silent_for()
+        self.last_answer.silent_for()
     }
 
     /// Appends records; [`Self::next`] gives the outcome.
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -1,4 +1,4 @@
-//! By what this node chooses the stores of a shard, and how it tells what the chosen ones bear.
+//! By what this node chooses the stores of a shard, and how it reports which losses the chosen ones tolerate.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Tells what a set bears in a decision and, where it is less than the settings want, in the log.
+/// Records which losses a set tolerates in a decision and, where it is less than the settings want, in the log.
 pub(crate) fn tell(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
     let policy = policy(context);
     let tolerance = policy.fault_tolerance(&set.members);
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -11,12 +11,12 @@
 use lichenpulley_core::time::Timestamp;
 use tokio::time::Instant;
 
-use super::exchange::Exchange;
+use super::exchange::StoreExchange;
 use super::replica_sets::{self, DocumentClient, ReplicaSetError, StoredDocument};
 use crate::context::Context;
 
 /// How many call timeouts a change may last before it is given up; it can be taken up again.
-const PATIENCE: u32 = 30;
+const RECONFIGURATION_TIMEOUTS: u32 = 30;
 /// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which others read there
 /// meanwhile, its answers wait for longer than one. Requests that were given up after one came again without end, and a
 /// change of two disks was not done after six seconds.
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 /// When too few members answer, or the owner was superseded.
-pub async fn install_majority(
+pub(crate) async fn install_majority(
     context: &Context,
     old: &ReplicaSet,
     next: &ReplicaSet,
@@ -224,8 +224,8 @@
     extent: Extent,
 ) -> Result<Option<ReplicaSet>, ReconfigurationError> {
     let origin = Instant::now();
-    let deadline = origin + context.settings.store.call_timeout * PATIENCE;
-    let mut exchange = Exchange::with_deadline(context.clone(), answer_deadline(context));
+    let deadline = origin + context.settings.store.call_timeout * RECONFIGURATION_TIMEOUTS;
+    let mut exchange = StoreExchange::with_deadline(context.clone(), answer_deadline(context));
     let mut has_majority = false;
     loop {
         match reconfigurer.poll_event() {
