--- a/crates/core/src/ingress/attempts.rs
+++ b/crates/core/src/ingress/attempts.rs
@@ -22,6 +22,11 @@
 }
 
 impl SendOutcome {
+    /// Whether it is proved that the replica did not run the request.
+    pub const fn has_not_run(self) -> bool {
+        matches!(self, Self::NotSent | Self::Withheld | Self::Rejected)
+    }
+
     /// The name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -73,9 +78,9 @@
         Self { is_repeatable, max_sends, sends: 0, unsent: 0, may_have_run: false }
     }
 
-    /// Whether the next send is the last that is allowed.
-    pub const fn is_last(&self) -> bool {
-        self.sends + 1 >= self.max_sends
+    /// Whether another replica may be tried if the next one gives no answer.
+    pub const fn may_try_another(&self) -> bool {
+        self.is_repeatable && self.sends + 1 < self.max_sends
     }
 
     /// Takes the outcome of a send.
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -17,7 +17,7 @@
 use crate::boot_clock::BootInstant;
 use crate::context::Context;
 use crate::ingress::callers;
-use crate::ingress::pool::{Exchange, ReplicaPool, SendError};
+use crate::ingress::pool::{HttpExchange, ReplicaPool, SendError};
 use crate::ingress::sse::EventSplitter;
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
@@ -61,7 +61,7 @@
     pool: &ReplicaPool,
     start: &RunStart,
     decided_at: BootInstant,
-) -> Result<Exchange, SendError> {
+) -> Result<HttpExchange, SendError> {
     let request = build(start).ok_or(SendError::NotSent)?;
     let may_send = || {
         let waited = context.boot_clock.since(decided_at);
@@ -104,11 +104,11 @@
 async fn read(
     pool: &ReplicaPool,
     start: &RunStart,
-    exchange: Exchange,
+    exchange: HttpExchange,
     events: &mpsc::Sender<(RunId, RunEvent)>,
     traced: &mut TracedRun,
 ) -> RunEnd {
-    let Exchange { response, connection } = exchange;
+    let HttpExchange { response, connection } = exchange;
     if let Some(end) = end_by_head(&response, &start.item.id) {
         match end {
             RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::context::Context;
-use crate::ingress::pool::{Exchange, ReplicaPool, SendError};
+use crate::ingress::pool::{HttpExchange, ReplicaPool, SendError};
 use crate::ingress::{callers, headers as fields};
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
@@ -49,7 +49,7 @@
     let mut traced = TracedRun::begin(context, fingerprint, &start.replica, RunSender::Owner);
     let may_send = || !context.metadata.is_closed(&start.replica);
     let sent = pool.send(&start.replica, request, false, start.timeout, may_send).await;
-    let Exchange { response, connection } = match sent {
+    let HttpExchange { response, connection } = match sent {
         Ok(exchange) => exchange,
         Err(error) => {
             traced.got_no_answer(error).await;
--- a/crates/daemon/src/ingress/batch_calls.rs
+++ b/crates/daemon/src/ingress/batch_calls.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::callers::Caller;
-use super::forward::read_body;
 use super::refusal::Refusal;
+use super::request_body::read_body;
 use super::{Ingress, headers, job_places};
 use crate::http::{Body, request, response};
 
--- /dev/null
+++ b/crates/daemon/src/ingress/caller_request.rs
@@ -0,0 +1,190 @@
+//! A caller's request, read whole, and what is sent to replicas of it.
+//!
+//! Owns the request's head and body, its deadline, the service that was drawn for it and where it may be served. Relies on
+//! the route table for these and on the quarantine for whether it may be sent. Requests that are sent again, as plain
+//! requests or as resumed streams, are built anew from it.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::http::request::Parts;
+use hyper::{Request, Response, Uri};
+use lichenpulley_core::decision::{Component, Decision};
+use lichenpulley_core::identity::TenantName;
+use lichenpulley_core::ingress::places::AllowedRegions;
+use lichenpulley_core::ingress::routes::{Route, RouteTable};
+use lichenpulley_core::ingress::selection::NoCandidate;
+use lichenpulley_core::quarantine::{Fingerprint, RequestContent};
+use lichenpulley_platform::headers as names;
+use tokio::time::Instant;
+
+use super::callers::Caller;
+use super::in_flight::InFlightRequest;
+use super::refusal::Refusal;
+use super::request_body::read_body;
+use super::{Ingress, headers};
+use crate::http::Body;
+use crate::metrics::Latency;
+use crate::quarantine::begin_trial;
+
+/// How long a request is held whose caller names no deadline. Chosen, not measured: shorter cuts off callers that wait
+/// longer without naming it, longer keeps places at replicas for callers that have given up.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+
+/// A caller's request, read whole.
+pub(super) struct CallerRequest {
+    pub(super) parts: Parts,
+    pub(super) body: Bytes,
+    pub(super) request_id: Option<String>,
+    /// When the caller's deadline or the route's timeout ends it.
+    pub(super) limit: Instant,
+    pub(super) service: String,
+    /// Who sent it.
+    pub(super) caller: Caller,
+    /// Where it may be served.
+    pub(super) regions: AllowedRegions,
+    /// The same for the same request sent again, under whatever id.
+    pub(super) fingerprint: Fingerprint,
+    /// Whether it may be sent to one replica though it is quarantined.
+    pub(super) is_trial: bool,
+    /// When it was read whole.
+    began: Instant,
+    /// The version of the configuration by which it was routed.
+    configuration: u64,
+}
+
+impl CallerRequest {
+    /// Reads a request whole and picks the service that it goes to.
+    ///
+    /// # Errors
+    /// The answer to the caller, where the body can't be read or no service takes the request.
+    pub(super) async fn read(
+        ingress: &Ingress,
+        table: &RouteTable,
+        route: &Route,
+        caller: Caller,
+        request: Request<Incoming>,
+    ) -> Result<Self, Response<Body>> {
+        let began = Instant::now();
+        let host = headers::host(&request);
+        let (parts, body) = request.into_parts();
+        let request_id = headers::text(&parts.headers, names::REQUEST_ID).map(str::to_owned);
+        let refuse = |refusal: Refusal| refusal.respond_to(&ingress.context, request_id.as_deref());
+        let wanted = headers::deadline(&parts.headers).unwrap_or(DEFAULT_DEADLINE);
+        let limit = began + route.timeout.map_or(wanted, |timeout| timeout.min(wanted));
+        let body = read_body(body, table.limits.body_bytes, limit).await.map_err(refuse)?;
+        let Some(service) = route.service_at(rand::random()).map(str::to_owned) else {
+            return Err(refuse(Refusal::NoReplica));
+        };
+        let regions = table.allowed_regions(route, caller.tenant());
+        let fingerprint = Fingerprint::of(&RequestContent {
+            method: parts.method.as_str(),
+            host: &host,
+            path: path_and_query(&parts.uri),
+            tenant: caller.tenant(),
+            body: &body,
+        });
+        let (began, configuration) = (Instant::now(), table.version);
+        Ok(Self {
+            parts,
+            body,
+            request_id,
+            limit,
+            service,
+            caller,
+            regions,
+            fingerprint,
+            is_trial: false,
+            began,
+            configuration,
+        })
+    }
+
+    /// How many replicas it may be sent to: as many as the route allows; one where it is quarantined, which lets it through
+    /// once after [`lichenpulley_core::quarantine::TRIAL_AFTER`].
+    pub(super) async fn sends_allowed(&mut self, ingress: &Ingress, route: &Route) -> u32 {
+        let quarantine = &ingress.context.quarantine;
+        if !quarantine.holds(&self.fingerprint) {
+            return route.max_attempts;
+        }
+        quarantine.came_again(self.fingerprint);
+        let is_due = quarantine.is_trial_due(&self.fingerprint);
+        self.is_trial = is_due && begin_trial(&ingress.context, self.fingerprint).await;
+        if self.is_trial {
+            let decision = Decision::new(Component::Request, "trial", "held_for_long", self.fingerprint);
+            ingress.context.decisions.record(decision);
+        }
+        1
+    }
+
+    pub(super) fn remaining(&self) -> Duration {
+        self.limit.saturating_duration_since(Instant::now())
+    }
+
+    /// The request for one replica; a stream begins after the event `last_event`.
+    pub(super) fn build(&self, replica: &str, last_event: Option<&str>) -> Request<Full<Bytes>> {
+        let mut fields = headers::end_to_end(&self.parts.headers);
+        self.caller.replace_identity(&mut fields);
+        headers::address_to(&mut fields, replica, self.remaining());
+        // Either the caller's own field or a number, both of which are valid field values.
+        if let Some(number) = last_event.and_then(|number| number.parse().ok()) {
+            fields.insert(names::LAST_EVENT_ID, number);
+        }
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.parts.method.clone();
+        *request.uri_mut() = origin_form(&self.parts.uri);
+        *request.headers_mut() = fields;
+        request
+    }
+
+    /// Records a decision about this request, with the facts that it rests on.
+    pub(super) fn record(
+        &self,
+        ingress: &Ingress,
+        in_flight: &InFlightRequest,
+        action: &str,
+        reason: &str,
+        sends: usize,
+    ) {
+        let subject = self.request_id.as_deref().unwrap_or("-");
+        let decision = Decision::new(Component::Request, action, reason, subject)
+            .with("replica", &in_flight.replica.id)
+            .with("service", &self.service)
+            .with("tenant", self.caller.tenant().map_or("none", TenantName::as_str))
+            .with("sends", sends)
+            .with("milliseconds", in_flight.began.elapsed().as_millis())
+            .with("remaining_ms", self.remaining().as_millis())
+            .with("configuration", self.configuration)
+            .with("fingerprint", self.fingerprint);
+        let is_bound = !self.regions.is_all();
+        let decision = if is_bound { decision.with("regions", &self.regions) } else { decision };
+        ingress.context.decisions.record(decision);
+        let latency = if action == "stream_begun" { Latency::StreamBegin } else { Latency::Request };
+        ingress.context.metrics.observe(latency, action, self.began.elapsed());
+    }
+
+    /// The answer where no replica can be sent the request; records the reason.
+    pub(super) fn refuse_no_candidate(&self, ingress: &Ingress, no_candidate: NoCandidate) -> Response<Body> {
+        let subject = self.request_id.as_deref().unwrap_or("-");
+        let decision = Decision::new(Component::Request, "nowhere_to_send", no_candidate.as_str(), subject);
+        let decision = decision.with("service", &self.service).with("fingerprint", self.fingerprint);
+        ingress.context.decisions.record(decision);
+        self.refuse(ingress, no_candidate.into())
+    }
+
+    pub(super) fn refuse(&self, ingress: &Ingress, refusal: Refusal) -> Response<Body> {
+        refusal.respond_within(&ingress.context, self.request_id.as_deref(), &self.regions)
+    }
+}
+
+fn path_and_query(uri: &Uri) -> &str {
+    uri.path_and_query().map_or("/", |path| path.as_str())
+}
+
+/// Path and query alone, as a server expects them that is no proxy.
+fn origin_form(uri: &Uri) -> Uri {
+    // A path and query that were part of a URI are one by themselves.
+    path_and_query(uri).parse().unwrap_or_default()
+}
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -4,7 +4,8 @@
 
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST, HeaderName, HeaderValue};
-use hyper::{HeaderMap, Request};
+use hyper::{HeaderMap, Request, StatusCode};
+use lichenpulley_core::ingress::attempts::SendOutcome;
 use lichenpulley_platform::headers;
 
 /// The host that a request names, without its port, in lower case.
@@ -78,3 +79,14 @@
     let waiting = numbers.next()?.ok()?;
     Some(running.saturating_add(waiting))
 }
+
+/// How a send ended, by the head of its answer. Only the replica's own statement proves that it did not run the request.
+pub(super) fn outcome(status: StatusCode, fields: &HeaderMap) -> SendOutcome {
+    if fields.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
+        return SendOutcome::Rejected;
+    }
+    if !is_signed(fields) {
+        return SendOutcome::Broken;
+    }
+    if status.is_server_error() { SendOutcome::Failed } else { SendOutcome::Answered }
+}
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -1,33 +1,38 @@
-//! Callers in the platform's own form: plain requests are passed on whole, batch jobs go to their owner.
-
+//! Serves callers in the platform's form: plain requests and streams go to replicas, batch jobs to their owner.
+//!
+//! Way of a request: [`Ingress::handle`] finds its route, [`forward`] or [`stream`] reads it as a [`CallerRequest`] and runs
+//! the [`attempt_loop`], which selects a replica by the core's `ingress::selection` and sends it there through the [`pool`].
+//! Owns the connections to replicas, the lock round the selector, and the requests in flight. Relies on the node's metadata
+//! for routes, replicas and evacuated zones, and on the quarantine for requests that end replicas.
+
+mod attempt_loop;
 mod batch_calls;
+mod caller_request;
 pub(crate) mod callers;
 mod end_trace;
 mod ends;
 mod forward;
 pub(crate) mod headers;
+mod in_flight;
 mod job_places;
 pub mod pool;
 pub mod readiness;
 mod refusal;
+mod request_body;
 pub mod sse;
 mod stream;
 mod warming;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::Duration;
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use lichenpulley_core::identity::NodeId;
-use lichenpulley_core::ingress::attempts::SendOutcome;
-use lichenpulley_core::ingress::chooser::ReplicaFeedback;
 use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
 use lichenpulley_core::ingress::routes::{Limits, RouteKind, RouteTable};
-use lichenpulley_core::ingress::selection::{NoCandidate, ReplicaSelector, SelectedReplica, SelectionQuery};
+use lichenpulley_core::ingress::selection::{NoCandidate, ReplicaSelector, SelectionQuery};
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
 use lichenpulley_core::ingress::warmups::Warmups;
-use lichenpulley_core::quarantine::RunSender;
 use lichenpulley_core::time::Timestamp;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
@@ -35,10 +40,10 @@
 use crate::batch::BatchJobs;
 use crate::context::Context;
 use crate::http::Body;
-use crate::quarantine::TracedRun;
+use caller_request::CallerRequest;
 use callers::Caller;
-use forward::CallerRequest;
-use pool::{ReplicaPool, SendError};
+use in_flight::InFlightRequest;
+use pool::ReplicaPool;
 use refusal::Refusal;
 
 /// The selector of replicas with the lists that it was given last. Locked for single steps, never across a wait.
@@ -166,61 +171,3 @@
         self.selection.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
-
-/// A request in flight at a replica, from the selection of the replica until its end.
-struct InFlightRequest {
-    ingress: Ingress,
-    replica: ReplicaRecord,
-    /// Whether the replica was cold when it was chosen.
-    is_cold: bool,
-    began: Instant,
-    feedback: ReplicaFeedback,
-    /// Its end, for the quarantine.
-    run: TracedRun,
-}
-
-impl InFlightRequest {
-    fn begin(ingress: &Ingress, request: &CallerRequest, selected: SelectedReplica) -> Self {
-        let SelectedReplica { record: replica, is_cold } = selected;
-        let run = TracedRun::begin(&ingress.context, request.fingerprint, &replica, RunSender::Gateway);
-        let feedback = ReplicaFeedback::Abandoned;
-        Self { ingress: ingress.clone(), replica, is_cold, began: Instant::now(), feedback, run }
-    }
-
-    fn answered(&mut self) {
-        let took = self.began.elapsed();
-        self.feedback =
-            if self.is_cold { ReplicaFeedback::AnsweredCold } else { ReplicaFeedback::Answered(took) };
-    }
-
-    fn was_full(&mut self) {
-        self.run.has_not_run();
-        self.feedback = ReplicaFeedback::Full;
-    }
-
-    fn was_silent(&mut self) {
-        self.feedback = ReplicaFeedback::Silent;
-    }
-
-    /// No head of an answer came.
-    async fn got_no_answer(&mut self, error: SendError) -> SendOutcome {
-        self.run.got_no_answer(error).await;
-        if error != SendError::Withheld {
-            self.was_silent();
-        }
-        match error {
-            SendError::Withheld => SendOutcome::Withheld,
-            SendError::NotSent => SendOutcome::NotSent,
-            SendError::Broken => SendOutcome::Broken,
-        }
-    }
-}
-
-impl Drop for InFlightRequest {
-    fn drop(&mut self) {
-        self.ingress.selection().selector.ended(&self.replica.id, self.feedback, self.ingress.now());
-    }
-}
-
-/// A connection to a replica that is not made by then is given up.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/daemon/src/ingress/pool.rs
+++ b/crates/daemon/src/ingress/pool.rs
@@ -73,7 +73,7 @@
 }
 
 /// An answer whose body is still to come, with the connection that it comes on.
-pub struct Exchange {
+pub struct HttpExchange {
     /// The answer.
     pub response: Response<Incoming>,
     /// Its connection.
@@ -99,7 +99,7 @@
         needs_fresh: bool,
         connect_timeout: Duration,
         may_send: impl Fn() -> bool,
-    ) -> Result<Exchange, SendError> {
+    ) -> Result<HttpExchange, SendError> {
         let idle = if needs_fresh { None } else { self.take(&replica.id) };
         let mut connection = match idle {
             Some(connection) => connection,
@@ -109,7 +109,7 @@
             return Err(SendError::Withheld);
         }
         match connection.sender.try_send_request(request).await {
-            Ok(response) => Ok(Exchange { response, connection }),
+            Ok(response) => Ok(HttpExchange { response, connection }),
             Err(error) if error.message().is_some() => Err(SendError::NotSent),
             Err(_) => Err(SendError::Broken),
         }
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -1,46 +1,53 @@
-//! Passes streams on event by event. A resumable stream that breaks is continued at another replica within the same
-//! answer, after the last whole event that was passed on.
+//! Passes streams on event by event. A resumable stream that breaks is resumed at another replica within the same answer,
+//! after the last whole event that was passed on.
+//!
+//! Owns the task of each stream from its head on. Relies on the [`AttemptLoop`] for the choice of replicas and for retries,
+//! and on [`EventSplitter`] for whole events.
 
 use std::io;
 use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, StreamBody};
+use http_body_util::{BodyExt, Collected, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
 use hyper::{Request, Response};
-use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
+use lichenpulley_core::ingress::attempts::{Next, SendOutcome};
 use lichenpulley_core::ingress::routes::{Route, RouteTable};
 use lichenpulley_platform::headers as names;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tokio_stream::wrappers::ReceiverStream;
 
+use super::attempt_loop::{AttemptLoop, ReplicaAttempt};
+use super::caller_request::CallerRequest;
 use super::callers::Caller;
-use super::forward::{CallerRequest, is_reason, judge};
-use super::pool::Exchange;
+use super::in_flight::{InFlightRequest, REPLICA_CONNECT_TIMEOUT, SendOptions};
+use super::pool::HttpExchange;
 use super::refusal::Refusal;
 use super::sse::{Event, EventSplitter};
-use super::{CONNECT_TIMEOUT, InFlightRequest, Ingress, headers};
+use super::{Ingress, headers};
 use crate::duties::RunCount;
 use crate::http::{Body, response};
 
-/// Events that may wait for a slow reader.
-const EVENT_BACKLOG: usize = 64;
-/// Longest answer other than a stream that is passed back, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 4 << 20;
-/// A resumable stream without a new event for so long is continued elsewhere.
-const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Events that may wait for a caller that reads slowly; then the replica's stream is read no further. Chosen, not
+/// measured: fewer let a short pause of the caller hold up the replica, more cost memory for each slow caller.
+const CALLER_EVENT_BACKLOG: usize = 64;
+/// Longest answer other than a stream that is passed back, in bytes. Chosen, not measured: error bodies are short; a
+/// smaller limit loses their text, a larger one lets them fill the memory.
+const FAILURE_BODY_LIMIT_BYTES: usize = 4 << 20;
+/// A resumable stream without a new event for this time is resumed at another replica. Chosen, not measured: too short
+/// runs streams twice whose replica is merely slow, too long leaves the caller without events while a replica is silent.
+const EVENT_STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 type Pieces = mpsc::Sender<io::Result<Frame<Bytes>>>;
 
 /// A stream that has begun at a replica.
 struct Stream {
-    call: CallerRequest,
+    request: CallerRequest,
     is_resumable: bool,
-    attempts: Attempts,
-    tried: Vec<String>,
+    attempts: AttemptLoop,
     in_flight: InFlightRequest,
-    exchange: Exchange,
+    exchange: HttpExchange,
 }
 
 /// How the events of one replica ended.
@@ -64,101 +71,89 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let last_event = headers::text(request.headers(), names::LAST_EVENT_ID).map(str::to_owned);
-    let mut call = match CallerRequest::read(ingress, table, route, caller, request).await {
-        Ok(call) => call,
+    let mut request = match CallerRequest::read(ingress, table, route, caller, request).await {
+        Ok(request) => request,
         Err(refusal) => return refusal,
     };
-    let max_sends = call.sends_allowed(ingress, route).await;
-    let mut attempts = Attempts::new(route.is_repeatable(), max_sends);
-    let mut tried = Vec::new();
-    loop {
-        let mut in_flight = match ingress.select(&call, &tried) {
-            Ok(in_flight) => in_flight,
-            Err(no_candidate) if is_reason(no_candidate, &tried, &attempts) => {
-                return call.refuse_no_candidate(ingress, no_candidate);
-            }
-            Err(_) => return call.refuse(ingress, refusal(attempts.give_up())),
-        };
-        tried.push(in_flight.replica.id.clone());
-        let (outcome, exchange) = open(ingress, &call, &mut in_flight, last_event.as_deref()).await;
-        match (attempts.after(outcome, call.remaining()), exchange) {
-            (Next::Answer, Some(exchange)) if exchange.response.status().is_success() => {
-                call.record(ingress, &in_flight, "stream_begun", "answered", tried.len());
-                let is_resumable = route.is_resumable;
-                let stream = Stream { call, is_resumable, attempts, tried, in_flight, exchange };
-                return begin(ingress, stream, last_event.as_deref());
-            }
-            (Next::Answer, Some(exchange)) => {
-                in_flight.run.ended_whole();
-                return pass_failure(exchange, &call).await;
-            }
-            (Next::TryAnother, _) => {
-                call.record(ingress, &in_flight, "tried_another", outcome.as_str(), tried.len())
-            }
-            (next, _) => {
-                call.record(ingress, &in_flight, "given_up", outcome.as_str(), tried.len());
-                return call.refuse(ingress, refusal(next));
-            }
-        }
+    let max_sends = request.sends_allowed(ingress, route).await;
+    let mut attempts = AttemptLoop::new(route, max_sends);
+    let attempt = StreamAttempt { ingress, last_event: last_event.as_deref() };
+    let (mut in_flight, exchange) = match attempts.run(ingress, &request, &attempt).await {
+        Ok(begun) => begun,
+        Err(refused) => return refused,
+    };
+    if !exchange.response.status().is_success() {
+        in_flight.run.ended_whole();
+        return pass_failure(exchange, &request).await;
     }
+    request.record(ingress, &in_flight, "stream_begun", "answered", attempts.sends());
+    let stream = Stream { request, is_resumable: route.is_resumable, attempts, in_flight, exchange };
+    begin(ingress, stream, last_event.as_deref())
 }
 
-const fn refusal(next: Next) -> Refusal {
-    match next {
-        Next::GiveUpNotRun => Refusal::NotRun,
-        _ => Refusal::Unknown,
-    }
+/// A send of a request whose answer is a stream, up to the head of the answer.
+struct StreamAttempt<'a> {
+    ingress: &'a Ingress,
+    /// The stream begins after this event.
+    last_event: Option<&'a str>,
 }
 
-/// Sends the request and judges the head of the answer.
-async fn open(
-    ingress: &Ingress,
-    call: &CallerRequest,
-    in_flight: &mut InFlightRequest,
-    last_event: Option<&str>,
-) -> (SendOutcome, Option<Exchange>) {
-    let request = call.build(&in_flight.replica.name, last_event);
-    let replica = in_flight.replica.clone();
-    let may_send = || ingress.may_send(call, &replica);
-    let sent = ingress.pool.send(&replica, request, true, CONNECT_TIMEOUT, may_send);
-    let exchange = match tokio::time::timeout_at(call.limit, sent).await {
-        Ok(Ok(exchange)) => exchange,
-        Ok(Err(error)) => return (in_flight.got_no_answer(error).await, None),
-        Err(_) => {
-            in_flight.was_silent();
-            return (SendOutcome::TimedOut, None);
+impl ReplicaAttempt for StreamAttempt<'_> {
+    type Answer = HttpExchange;
+
+    async fn send(
+        &self,
+        request: &CallerRequest,
+        in_flight: &mut InFlightRequest,
+        _may_try_another: bool,
+    ) -> (SendOutcome, Option<HttpExchange>) {
+        let options = SendOptions {
+            last_event: self.last_event,
+            needs_fresh: true,
+            connect_timeout: REPLICA_CONNECT_TIMEOUT,
+            limit: request.limit,
+        };
+        let exchange = match in_flight.send(request, options).await {
+            Ok(exchange) => exchange,
+            Err(outcome) => return (outcome, None),
+        };
+        let fields = exchange.response.headers();
+        if !headers::echoes(fields, request.request_id.as_deref()) {
+            return (SendOutcome::Broken, None);
         }
-    };
-    let fields = exchange.response.headers();
-    if let Some(busy) = headers::reported_busy(fields) {
-        ingress.reported(&in_flight.replica.id, busy);
-    }
-    if !headers::echoes(fields, call.request_id.as_deref()) {
-        return (SendOutcome::Broken, None);
-    }
-    let outcome = judge(exchange.response.status(), fields);
-    if outcome == SendOutcome::Answered {
-        // A stream begins to run with its first event, which follows the head at once.
-        drop(RunCount::begin(&ingress.context, call.caller.tenant()));
+        let outcome = headers::outcome(exchange.response.status(), fields);
+        if outcome == SendOutcome::Answered {
+            // A stream begins to run with its first event, which follows the head at once.
+            drop(RunCount::begin(&self.ingress.context, request.caller.tenant()));
+        }
+        match outcome {
+            SendOutcome::Rejected => in_flight.was_full(),
+            SendOutcome::Failed => {
+                in_flight.answered();
+                in_flight.run.ended_whole();
+            }
+            // The events are still to come.
+            _ => in_flight.answered(),
+        }
+        (outcome, Some(exchange))
     }
-    match outcome {
-        SendOutcome::Rejected => in_flight.was_full(),
-        SendOutcome::Failed => {
-            in_flight.answered();
-            in_flight.run.ended_whole();
+
+    fn refusal(&self, _request: &CallerRequest, next: Next) -> Refusal {
+        match next {
+            Next::GiveUpNotRun => Refusal::NotRun,
+            _ => Refusal::Unknown,
         }
-        // The events are still to come.
-        _ => in_flight.answered(),
     }
-    (outcome, Some(exchange))
 }
 
-async fn pass_failure(exchange: Exchange, call: &CallerRequest) -> Response<Body> {
+/// Passes an answer other than a stream back.
+async fn pass_failure(exchange: HttpExchange, request: &CallerRequest) -> Response<Body> {
     let (head, body) = exchange.response.into_parts();
-    let body = http_body_util::Limited::new(body, ANSWER_LIMIT_BYTES).collect();
-    let body = tokio::time::timeout_at(call.limit, body).await;
-    let body = body.ok().and_then(Result::ok).map(http_body_util::Collected::to_bytes);
-    let mut passed = Response::new(response::full(body.unwrap_or_default()));
+    let body = Limited::new(body, FAILURE_BODY_LIMIT_BYTES).collect();
+    let body = tokio::time::timeout_at(request.limit, body).await;
+    // The status alone says that the stream can't begin: where its text is not whole in time, it is passed back without.
+    let body = body.ok().and_then(Result::ok).map(Collected::to_bytes).unwrap_or_default();
+    let mut passed = Response::new(response::full(body));
     *passed.status_mut() = head.status;
     *passed.headers_mut() = headers::end_to_end(&head.headers);
     passed
@@ -168,7 +163,7 @@
 fn begin(ingress: &Ingress, stream: Stream, last_event: Option<&str>) -> Response<Body> {
     let status = stream.exchange.response.status();
     let fields = headers::end_to_end(stream.exchange.response.headers());
-    let (pieces, received) = mpsc::channel(EVENT_BACKLOG);
+    let (pieces, received) = mpsc::channel(CALLER_EVENT_BACKLOG);
     let last_event = last_event.and_then(|number| number.parse().ok());
     tokio::spawn(forward(ingress.clone(), stream, pieces, last_event));
     let mut answer = Response::new(StreamBody::new(ReceiverStream::new(received)).boxed_unsync());
@@ -179,7 +174,8 @@
 
 impl Stream {
     fn record_break(&self, ingress: &Ingress, reason: &str) {
-        self.call.record(ingress, &self.in_flight, "stream_broken", reason, self.tried.len());
+        let sends = self.attempts.sends();
+        self.request.record(ingress, &self.in_flight, "stream_broken", reason, sends);
     }
 }
 
@@ -197,6 +193,7 @@
         if !resume(&ingress, &mut stream, last_event, &pieces).await {
             // An error breaks the connection off, so that a part is not taken for the whole.
             let broken = io::Error::new(io::ErrorKind::UnexpectedEof, "the stream broke off before its end");
+            // A failed send means that the caller has left, who then needs no error.
             let _ = pieces.send(Err(broken)).await;
             return;
         }
@@ -205,9 +202,9 @@
 
 async fn pass_events(stream: &mut Stream, pieces: &Pieces, last_event: &mut Option<u64>) -> StreamEnd {
     let mut splitter = EventSplitter::default();
-    let limit = stream.call.limit;
+    let limit = stream.request.limit;
     loop {
-        let stall = if stream.is_resumable { Instant::now() + STALL_TIMEOUT } else { limit };
+        let stall = if stream.is_resumable { Instant::now() + EVENT_STALL_TIMEOUT } else { limit };
         let body = stream.exchange.response.body_mut();
         let frame = tokio::select! {
             frame = tokio::time::timeout_at(stall.min(limit), body.frame()) => frame,
@@ -250,30 +247,32 @@
     }
 }
 
-/// Continues a broken stream at another replica; tells whether one was found.
+/// Resumes a broken stream at another replica; returns whether one was found.
 async fn resume(ingress: &Ingress, stream: &mut Stream, last_event: Option<u64>, pieces: &Pieces) -> bool {
     if !stream.is_resumable {
         return false;
     }
     let last_event = last_event.map(|number| number.to_string());
+    let attempt = StreamAttempt { ingress, last_event: last_event.as_deref() };
     let mut outcome = SendOutcome::Broken;
     loop {
-        let next = stream.attempts.after(outcome, stream.call.remaining());
+        let next = stream.attempts.after(&stream.request, outcome);
         if next != Next::TryAnother || pieces.is_closed() {
             return false;
         }
-        let Ok(mut in_flight) = ingress.select(&stream.call, &stream.tried) else { return false };
-        stream.tried.push(in_flight.replica.id.clone());
-        let (opened, exchange) = open(ingress, &stream.call, &mut in_flight, last_event.as_deref()).await;
-        match exchange {
-            Some(exchange) if opened == SendOutcome::Answered && exchange.response.status().is_success() => {
-                let sends = stream.tried.len();
-                stream.call.record(ingress, &in_flight, "stream_resumed", "broken", sends);
-                stream.in_flight = in_flight;
+        let Ok(sent) = stream.attempts.send_next(ingress, &stream.request, &attempt).await else {
+            return false;
+        };
+        let is_answered = sent.outcome == SendOutcome::Answered;
+        match sent.answer {
+            Some(exchange) if is_answered && exchange.response.status().is_success() => {
+                let sends = stream.attempts.sends();
+                stream.request.record(ingress, &sent.in_flight, "stream_resumed", "broken", sends);
+                stream.in_flight = sent.in_flight;
                 stream.exchange = exchange;
                 return true;
             }
-            _ => outcome = if opened == SendOutcome::Answered { SendOutcome::Failed } else { opened },
+            _ => outcome = if is_answered { SendOutcome::Failed } else { sent.outcome },
         }
     }
 }
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -81,8 +81,8 @@
         self.verdict.load_full()
     }
 
-    /// A request that is held back has come again.
-    pub(crate) fn saw(&self, fingerprint: Fingerprint) {
+    /// A quarantined request has come again.
+    pub(crate) fn came_again(&self, fingerprint: Fingerprint) {
         let mut seen = lock(&self.seen);
         if seen.len() < SEEN_LIMIT {
             seen.insert(fingerprint);
