--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -125,17 +125,7 @@
     Answer: Future<Output = Response<Body>> + Send + 'static,
 {
     let draining = stop.draining;
-    let service = service_fn(move |request| {
-        let draining = draining.clone();
-        let answer = handler(request);
-        async move {
-            let mut response = answer.await;
-            if draining.is_cancelled() {
-                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            }
-            Ok::<_, Infallible>(response)
-        }
-    });
+    let service = service_fn(move |request| answer_or_close(handler(request), draining.clone()));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(heads.timeout)
@@ -158,3 +148,15 @@
         log::debug!(target: "http", "A connection ended early: {error}.");
     }
 }
+
+/// The handler's answer; while the server drains it asks the caller to close the connection.
+async fn answer_or_close(
+    answer: impl Future<Output = Response<Body>>,
+    draining: CancellationToken,
+) -> Result<Response<Body>, Infallible> {
+    let mut response = answer.await;
+    if draining.is_cancelled() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    Ok(response)
+}
--- a/crates/daemon/src/ingress/batch_calls.rs
+++ b/crates/daemon/src/ingress/batch_calls.rs
@@ -19,6 +19,7 @@
 use super::refusal::Refusal;
 use super::request_body::read_body;
 use super::{Ingress, headers, job_places};
+use crate::batch::JobShard;
 use crate::http::{Body, request, response};
 
 /// A job whose body is not whole after this time is refused. Chosen, not measured: longer lets slow callers
@@ -52,33 +53,47 @@
         Err(refusal) => return refuse(refusal),
     };
     let tenant = caller.tenant().cloned();
-    let job = match batch::read_job(BatchId::new(id.clone()), host, &route.name, tenant, &body) {
+    let job = batch::read_job(BatchId::new(id.clone()), host, &route.name, tenant, &body);
+    let job = match job.map_err(|error| error.to_string()).and_then(|job| check_scorers(table, job)) {
         Ok(job) => job,
-        Err(error) => {
-            ::log::info!(target: "batch", "Batch job {id} is refused: {error}.");
-            return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &error.to_string());
+        Err(cause) => {
+            ::log::info!(target: "batch", "Batch job {id} is refused: {cause}.");
+            return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &cause);
         }
     };
-    if let Some(host) = unknown_scorer_host(table, &job) {
-        let cause = format!("no route has the host {host}, which the field `scorer.host` of an item names");
-        ::log::info!(target: "batch", "Batch job {id} is refused: {cause}.");
-        return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &cause);
-    }
     let regions = table.allowed_regions(route, job.tenant.as_ref());
     let shard = match job_places::shard(ingress, table, route, &regions, &job) {
         Ok(shard) => shard,
         Err(refusal) => return refusal.respond_within(&ingress.context, Some(&id), &regions),
     };
+    match submit_to(ingress, &shard, job).await {
+        Ok(()) => answer_empty(StatusCode::ACCEPTED, &id),
+        Err(refusal) => refuse(refusal),
+    }
+}
+
+/// Has the owner of a shard take a job.
+async fn submit_to(ingress: &Ingress, shard: &JobShard, job: BatchJob) -> Result<(), Refusal> {
     let batch = job.id.clone();
     match shard.ask(BatchRequest::Submit(job)).await {
         BatchResponse::Taken => {
-            ingress.batch.remember(&batch, &shard);
-            answer_empty(StatusCode::ACCEPTED, &id)
+            ingress.batch.remember(&batch, shard);
+            Ok(())
+        }
+        BatchResponse::Full => Err(Refusal::Full),
+        BatchResponse::IdTaken => Err(Refusal::IdTaken),
+        BatchResponse::Unavailable => Err(Refusal::NoOwner),
+        _ => Err(Refusal::InDoubt),
+    }
+}
+
+/// The job, where each scorer's host has a route; otherwise what is wrong with it.
+fn check_scorers(table: &RouteTable, job: BatchJob) -> Result<BatchJob, String> {
+    match unknown_scorer_host(table, &job) {
+        Some(host) => {
+            Err(format!("no route has the host {host}, which the field `scorer.host` of an item names"))
         }
-        BatchResponse::Full => refuse(Refusal::Full),
-        BatchResponse::IdTaken => refuse(Refusal::IdTaken),
-        BatchResponse::Unavailable => refuse(Refusal::NoOwner),
-        _ => refuse(Refusal::InDoubt),
+        None => Ok(job),
     }
 }
 
--- a/crates/daemon/src/ingress/caller_request.rs
+++ b/crates/daemon/src/ingress/caller_request.rs
@@ -79,13 +79,7 @@
             return Err(refuse(Refusal::NoReplica));
         };
         let regions = table.allowed_regions(route, caller.tenant());
-        let fingerprint = Fingerprint::of(&RequestContent {
-            method: parts.method.as_str(),
-            host: &host,
-            path: path_and_query(&parts.uri),
-            tenant: caller.tenant(),
-            body: &body,
-        });
+        let fingerprint = fingerprint(&parts, &host, &caller, &body);
         let (began, configuration) = (Instant::now(), table.version);
         Ok(Self {
             parts,
@@ -179,6 +173,17 @@
     }
 }
 
+/// What identifies the request among others, under whatever id it is sent.
+fn fingerprint(parts: &Parts, host: &str, caller: &Caller, body: &Bytes) -> Fingerprint {
+    Fingerprint::of(&RequestContent {
+        method: parts.method.as_str(),
+        host,
+        path: path_and_query(&parts.uri),
+        tenant: caller.tenant(),
+        body,
+    })
+}
+
 fn path_and_query(uri: &Uri) -> &str {
     uri.path_and_query().map_or("/", |path| path.as_str())
 }
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -227,18 +227,31 @@
         };
         let Ok(bytes) = frame.into_data() else { continue };
         splitter.push(&bytes);
-        loop {
-            match splitter.next_event() {
-                Ok(Some(event)) if is_new(&event, *last_event) => {
-                    *last_event = event.number.or(*last_event);
-                    if pieces.send(Ok(Frame::data(event.raw))).await.is_err() {
-                        return StreamEnd::CallerGone;
-                    }
-                }
-                Ok(Some(_)) => {}
-                Ok(None) => break,
-                Err(_) => return StreamEnd::Stalled,
+        if let Err(end) = pass_whole_events(&mut splitter, pieces, last_event).await {
+            return end;
+        }
+    }
+}
+
+/// Passes on the whole events that have arrived, without those that the caller has already.
+///
+/// # Errors
+/// How the stream ended: its caller left, or what arrived is no event.
+async fn pass_whole_events(
+    splitter: &mut EventSplitter,
+    pieces: &Pieces,
+    last_event: &mut Option<u64>,
+) -> Result<(), StreamEnd> {
+    loop {
+        match splitter.next_event() {
+            Ok(Some(event)) if is_new(&event, *last_event) => {
+                *last_event = event.number.or(*last_event);
+                let sent = pieces.send(Ok(Frame::data(event.raw))).await;
+                sent.map_err(|_| StreamEnd::CallerGone)?;
             }
+            Ok(Some(_)) => {}
+            Ok(None) => return Ok(()),
+            Err(_) => return Err(StreamEnd::Stalled),
         }
     }
 }
