--- a/crates/core/src/ingress/chooser.rs
+++ b/crates/core/src/ingress/chooser.rs
@@ -1,6 +1,6 @@
 //! Chooses among replicas that may be sent a request, by the time in which each is expected to answer.
 //!
-//! Inputs: the replicas' records, what this node observed of them ([`ReplicaStats`]: requests in flight,
+//! Inputs: the replicas' records, what this node observed of them (`ReplicaStats`: requests in flight,
 //! times to answer in milliseconds, failures in a row) and the load that they report themselves. Rule: a
 //! replica that lately gave no answer comes last; otherwise the lowest `time to answer * (1 + busy / slots)`
 //! wins, and the random number decides among equals.
--- a/crates/core/src/ingress/places.rs
+++ b/crates/core/src/ingress/places.rs
@@ -1,4 +1,7 @@
 //! Zones and regions: where replicas and machines stand, and where a request may be served.
+//!
+//! The zones come from the node's settings ([`ZoneMap`]); the regions that are allowed come from routes and
+//! tenants ([`AllowedRegions`]), and both bind together.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -1,4 +1,8 @@
-//! The operator's routes: host and path prefix to services.
+//! The operator's configuration: routes from host and path prefix to services, and what each service and
+//! route allows.
+//!
+//! Values only, never changed: a change makes the next version. The platform's adapter reads them from its
+//! documents; units and bounds stand beside the fields.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,4 +1,5 @@
-//! What makes two requests the same one.
+//! What makes two requests the same one: a digest of method, host, path, tenant and body, and not of the
+//! request's id, which is another for each try. Reports carry it in place of the request.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/core/src/request/execution/choice.rs
+++ b/crates/core/src/request/execution/choice.rs
@@ -1,4 +1,7 @@
 //! Before an engine is asked: the claim, the choice of a replica, the dispatch.
+//!
+//! The rule of the choice stands in [`crate::routing::pool`]; here it is decided what a refusal of the pool
+//! means for the request: wait for a confirmation, or give up.
 
 use rand::Rng;
 
--- a/crates/core/src/request/execution/recovery.rs
+++ b/crates/core/src/request/execution/recovery.rs
@@ -1,4 +1,8 @@
 //! After something broke: resume, go on elsewhere, or give up.
+//!
+//! Inputs: whether the request may run twice, resumes without progress, the pool's retry budget, the
+//! deadline. A stream is resumed at its engine first, since that repeats nothing; only a repeatable request
+//! goes on at another one.
 
 use std::time::Duration;
 
--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -1,4 +1,5 @@
-//! What an execution is made from, what it asks of its driver, and what the driver reports.
+//! What an execution is made from, what it asks of its driver, and what the driver reports. Values only: the
+//! daemon's `gateway::runner` and the lab's simulation are the two drivers.
 
 use crate::identity::{AttemptId, ReplicaId, RequestId, WeightVersion};
 use crate::request::answer::{FinishReason, Priority};
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,4 +1,7 @@
 //! What an engine reports about itself, and what of it still holds some time later.
+//!
+//! Owns the last report of one replica and the sends and ends of this node since the report's figures were
+//! taken. Other nodes' requests show only in the next report.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/core/src/routing/replica.rs
+++ b/crates/core/src/routing/replica.rs
@@ -1,4 +1,5 @@
-//! One replica as one node sees it.
+//! One replica as one node knows it: whether it takes work, its load, its limit and its cached prefixes.
+//! Joins the parts for [`super::pool`], which owns it.
 
 use crate::identity::{WeightVersion, ZoneName};
 use crate::request::answer::Priority;
--- a/crates/daemon/src/gateway/clock.rs
+++ b/crates/daemon/src/gateway/clock.rs
@@ -1,4 +1,5 @@
-//! The traffic threads' monotonic clock as the core's timestamps.
+//! The traffic threads' monotonic clock as the core's timestamps: the core reads no clock, so each step is
+//! given the time.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/gateway/completions.rs
+++ b/crates/daemon/src/gateway/completions.rs
@@ -1,4 +1,7 @@
 //! `POST /v1/completions`, answered whole or as server-sent events.
+//!
+//! Reads and checks the request, has the [`Dispatcher`] run it and writes the outcome. Owns nothing beyond
+//! one request; the answer to an outcome without tokens stands in [`refusal`].
 
 use std::time::Duration;
 
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -1,4 +1,7 @@
 //! Runs generations to their outcome over the engines of a pool.
+//!
+//! Owns what all runs of a node share: the pools, the connections to engines, the clock, and the task that
+//! probes replicas of the pools in use. Each run is a task on the traffic runtime, driven by `runner`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -1,4 +1,7 @@
 //! What the gateway asks of engines, with answers sorted by what they prove.
+//!
+//! Translates the engines' protocol into the core's events. Relies on [`HttpClient`] to distinguish a request
+//! of which nothing was written from one that may have arrived.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,8 +1,8 @@
 //! Serves callers of the project's own interface: takes a request, picks an engine, brings the whole answer
 //! back.
 //!
-//! [`completions`] reads requests and writes answers, [`dispatcher`] starts a run of each, [`runner`] drives
-//! it by the core's `request::execution`, [`pools`] holds what the node knows of engines. Relies on the
+//! `completions` reads requests and writes answers, [`dispatcher`] starts a run of each, `runner` drives
+//! it by the core's `request::execution`, `pools` holds what the node knows of engines. Relies on the
 //! machine list and the settings tree.
 
 mod clock;
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -1,4 +1,7 @@
-//! The pools as the traffic threads of this node see them.
+//! The pools of the node, shared by the requests that run on them.
+//!
+//! Owns each pool's state behind a lock that is held for single steps. Follows the machine list and the
+//! settings tree; the rules of routing stand in the core's `routing`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -1,4 +1,7 @@
 //! Drives one [`Execution`] with real engines: does each step, and reports what came of it.
+//!
+//! Owns the open stream of one request and the channel to its caller. All decisions are the execution's;
+//! dropping a run cancels its stream at the engine.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/http/client/error.rs
+++ b/crates/daemon/src/http/client/error.rs
@@ -1,4 +1,5 @@
-//! What is known about a call that gave no usable answer.
+//! What is known about a call that gave no usable answer: whether any of it was sent, and what was answered.
+//! Callers repeat only what [`ClientError::nothing_sent`] proves not to have run.
 
 use std::error::Error as StdError;
 use std::net::SocketAddr;
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,4 +1,7 @@
-//! HTTP servers and clients, by `hyper`.
+//! HTTP servers and clients, by `hyper`, for all interfaces of the node.
+//!
+//! [`server`] accepts and [`request`], [`response`] and [`events`] read and write what callers see;
+//! [`client`] calls engines and the platform's store. Knows nothing of routes or of replicas.
 
 pub mod client;
 pub mod events;
--- a/crates/daemon/src/http/request.rs
+++ b/crates/daemon/src/http/request.rs
@@ -1,4 +1,5 @@
-//! Reads what callers send.
+//! Reads bodies and query parameters of the project's own interfaces, with the error that answers a bad one.
+//! Bodies on the platform's path are read by `ingress::request_body`, whose callers get other errors.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/http/response.rs
+++ b/crates/daemon/src/http/response.rs
@@ -1,4 +1,5 @@
-//! Builds answers.
+//! Builds answers: JSON, text, empty ones, and errors of the project's own interfaces with their
+//! `Retry-After`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/daemon/src/ingress/callers.rs
+++ b/crates/daemon/src/ingress/callers.rs
@@ -1,4 +1,7 @@
 //! Who sends a request: the tenant whose key it brings.
+//!
+//! Relies on the route table's directory of tenants, which holds digests of keys only. Replicas get the
+//! tenant's name and never the key.
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, HeaderName, HeaderValue};
--- a/crates/daemon/src/ingress/ends.rs
+++ b/crates/daemon/src/ingress/ends.rs
@@ -83,8 +83,8 @@
     tokio::spawn(async move {
         let table = tokio::time::timeout(EARLY_END_TIMEOUT, first_configuration(&ingress)).await;
         drop((place, trace));
-        // Without a configuration in time, or with a key that it does not know, there is nothing to hold: the caller
-        // was refused, and the trace above records that its end was not answered.
+        // Without a configuration in time, or with a key that it does not know, there is nothing to hold: the
+        // caller was refused, and the trace above records that its end was not answered.
         let Some(key) = table.ok().and_then(|table| key(&table, batch, &known)) else { return };
         // The caller was asked to come back: nobody waits.
         drop(ingress.batch.ends().end(key));
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -1,4 +1,7 @@
 //! Header fields of requests that are passed on, and of answers that are passed back.
+//!
+//! Their names stand in the platform's adapter; here they are read into the core's terms, among them how a
+//! send ended by the head of its answer.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/ingress/job_places.rs
+++ b/crates/daemon/src/ingress/job_places.rs
@@ -1,4 +1,6 @@
-//! Whether a batch job can be kept and run where it may, and which shard keeps it.
+//! Whether a batch job can be kept and run in its allowed regions, and which shard keeps it.
+//!
+//! Relies on the route table for regions, on the metadata for replicas and on `batch` for the shards.
 
 use lichenpulley_core::batch::job::BatchJob;
 use lichenpulley_core::ingress::places::AllowedRegions;
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -1,8 +1,8 @@
 //! Serves callers in the platform's form: plain requests and streams go to replicas, batch jobs to their
 //! owner.
 //!
-//! Way of a request: [`Ingress::handle`] finds its route, [`forward`] or [`stream`] reads it as a
-//! [`CallerRequest`] and runs the [`attempt_loop`], which selects a replica by the core's
+//! Way of a request: [`Ingress::handle`] finds its route, `forward` or `stream` reads it as a
+//! `CallerRequest` and runs the `attempt_loop`, which selects a replica by the core's
 //! `ingress::selection` and sends it there through the [`pool`]. Owns the connections to replicas, the lock
 //! round the selector, and the requests in flight. Relies on the node's metadata for routes, replicas and
 //! evacuated zones, and on the quarantine for requests that end replicas.
--- a/crates/daemon/src/ingress/readiness.rs
+++ b/crates/daemon/src/ingress/readiness.rs
@@ -1,4 +1,5 @@
-//! Tells load balancers whether this node takes new connections.
+//! Answers load balancers whether this node takes new connections: it must know what it may send to which
+//! replica.
 
 use hyper::{Response, StatusCode};
 
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Requests under which replicas end: what this node observed of them, and which are quarantined.
 //!
 //! Every sender of this node, for plain requests, streams, items and scores, follows its runs by a
-//! [`TracedRun`]; the crashes that follow are reported to all nodes through the platform's metadata store by
-//! [`spread`]. Owns the watch and the verdict in force; the rules stand in the core's `quarantine`. Relies on
+//! `TracedRun`; the crashes that follow are reported to all nodes through the platform's metadata store by
+//! `spread`. Owns the watch and the verdict in force; the rules stand in the core's `quarantine`. Relies on
 //! the node's metadata for replicas and reports.
 
 mod records;
