--- a/crates/core/src/ingress/chooser.rs
+++ b/crates/core/src/ingress/chooser.rs
@@ -154,7 +154,7 @@
     }
 
     /// Forgets replicas that are not listed any more and hold no request of this node.
-    pub fn retain_listed(&mut self, table: &ReplicaTable) {
+    pub(crate) fn retain_listed(&mut self, table: &ReplicaTable) {
         self.stats.retain(|id, stats| stats.in_flight > 0 || table.records.contains_key(id));
     }
 }
--- a/crates/core/src/ingress/warming_share.rs
+++ b/crates/core/src/ingress/warming_share.rs
@@ -155,7 +155,7 @@
     }
 
     /// Whether this node stands among the first `senders` for a replica.
-    pub fn is_sender(&self, replica: &str, senders: usize) -> bool {
+    pub(crate) fn is_sender(&self, replica: &str, senders: usize) -> bool {
         if !self.is_settled {
             return false;
         }
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -189,7 +189,7 @@
     }
 
     /// Zones were readmitted: their replicas are taken as cold until a later record says otherwise.
-    pub fn zones_returned(&mut self, zones: &BTreeSet<&String>, now: Timestamp) {
+    pub(crate) fn zones_returned(&mut self, zones: &BTreeSet<&String>, now: Timestamp) {
         for known in self.known.values_mut().filter(|known| zones.contains(&known.record.zone)) {
             let Some(budget) = self.budgets.get(&known.record.service) else { continue };
             known.returned_at = Some(now);
@@ -285,7 +285,7 @@
     }
 
     /// When a replica may be sent a request at the earliest; `None` where nothing holds it back.
-    pub fn closed_until(&self, record: &ReplicaRecord, now: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn closed_until(&self, record: &ReplicaRecord, now: Timestamp) -> Option<Timestamp> {
         if !self.has_spells && record.cold_left.is_zero() {
             return None;
         }
--- a/crates/core/src/request/outcome.rs
+++ b/crates/core/src/request/outcome.rs
@@ -273,7 +273,7 @@
     }
 
     /// Whether no engine can have admitted the request.
-    pub const fn is_not_run(&self) -> bool {
+    pub(crate) const fn is_not_run(&self) -> bool {
         matches!(self, Self::Unclaimed | Self::NotRun(_))
     }
 
--- a/crates/core/src/retry/attempt_timeout.rs
+++ b/crates/core/src/retry/attempt_timeout.rs
@@ -30,7 +30,7 @@
 
 /// The time for one replica of a score request, whose route aims at an answer within `target` and may set a
 /// limit of its own.
-pub fn of_score_request(target: Duration, route_timeout: Option<Duration>) -> Duration {
+pub(crate) fn of_score_request(target: Duration, route_timeout: Option<Duration>) -> Duration {
     let timeout = (target * SCORE_TARGETS).clamp(MIN_TIMEOUT, MAX_SCORE_TIMEOUT);
     route_timeout.map_or(timeout, |route_timeout| route_timeout.min(timeout))
 }
--- a/crates/core/src/routing/eligibility.rs
+++ b/crates/core/src/routing/eligibility.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether the machine list says that it leaves.
-    pub const fn is_listed_leaving(&self) -> bool {
+    pub(crate) const fn is_listed_leaving(&self) -> bool {
         self.listed_leaving
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Whether the replica should be asked for its role: it is not confirmed, or will soon not be.
-    pub fn wants_probe(&self, now: Timestamp, holds: Duration) -> bool {
+    pub(crate) fn wants_probe(&self, now: Timestamp, holds: Duration) -> bool {
         let refresh_after = holds * 2 / 3;
         self.confirmed_at.is_none_or(|confirmed_at| now >= confirmed_at + refresh_after)
     }
--- a/crates/core/src/routing/replica.rs
+++ b/crates/core/src/routing/replica.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether it is in the machine list and not listed as leaving.
-    pub fn may_be_used(&self) -> bool {
+    pub(crate) fn may_be_used(&self) -> bool {
         self.listed && !self.confirmation.is_listed_leaving()
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Whether its last report rules out that it generates with `minimum` or later.
-    pub fn is_older_than(&self, minimum: Option<WeightVersion>) -> bool {
+    pub(crate) fn is_older_than(&self, minimum: Option<WeightVersion>) -> bool {
         let Some(minimum) = minimum else { return false };
         let reported = self.load.report().and_then(|report| report.weight_version);
         reported.is_some_and(|version| version < minimum)
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -122,7 +122,7 @@
 
     /// Like [`Dispatcher::generate`]; also sends the answer's tokens as they come, in order and without gaps.
     /// Ends when the receiver is dropped.
-    pub async fn generate_stream(
+    pub(crate) async fn generate_stream(
         &self,
         generation: Generation,
         chunks: mpsc::Sender<Chunk>,
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether a request used the pool within `within`.
-    pub fn is_in_use(&self, now: Timestamp, within: Duration) -> bool {
+    pub(crate) fn is_in_use(&self, now: Timestamp, within: Duration) -> bool {
         self.lock().used_at.is_some_and(|used_at| now < used_at + within)
     }
 
--- a/crates/daemon/src/http/client/mod.rs
+++ b/crates/daemon/src/http/client/mod.rs
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     /// When no successful answer of the expected form comes within `deadline`.
-    pub async fn request_json<Answer: DeserializeOwned>(
+    pub(crate) async fn request_json<Answer: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
--- a/crates/daemon/src/http/request.rs
+++ b/crates/daemon/src/http/request.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// When the body is too long or breaks off.
-pub async fn read_bytes(request: Request<Incoming>, limit_bytes: usize) -> Result<Bytes, BadRequest> {
+pub(crate) async fn read_bytes(request: Request<Incoming>, limit_bytes: usize) -> Result<Bytes, BadRequest> {
     let body = Limited::new(request.into_body(), limit_bytes).collect();
     let Ok(collected) = tokio::time::timeout(BODY_READ_TIMEOUT, body).await else {
         let message = format!("the body was not whole after {} s", BODY_READ_TIMEOUT.as_secs());
--- a/crates/daemon/src/ingress/sse.rs
+++ b/crates/daemon/src/ingress/sse.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub(crate) fn has_rest(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// When an event is too long or not text.
-    pub fn next_event(&mut self) -> Result<Option<Event>, BadEvent> {
+    pub(crate) fn next_event(&mut self) -> Result<Option<Event>, BadEvent> {
         let Some(end) = self.find_end() else {
             return if self.buffer.len() > REPLICA_EVENT_LIMIT_BYTES { Err(BadEvent) } else { Ok(None) };
         };
--- a/crates/daemon/src/ingress/warming.rs
+++ b/crates/daemon/src/ingress/warming.rs
@@ -62,7 +62,7 @@
     }
 
     /// What this node's gateway may send to each replica now.
-    pub fn replica_states(&self) -> Vec<ReplicaSendStatus> {
+    pub(crate) fn replica_states(&self) -> Vec<ReplicaSendStatus> {
         let now = self.now();
         let replicas = self.context.metadata.replicas.load();
         let selection = self.selection();
