--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -123,7 +123,7 @@
 
 impl ItemResult {
     /// The result of an item that came whole.
-    pub(crate) fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
+    pub fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
         let mut versions: Vec<u64> = events.iter().map(|event| event.version).collect();
         versions.sort_unstable();
         versions.dedup();
--- a/crates/core/src/ingress/attempts.rs
+++ b/crates/core/src/ingress/attempts.rs
@@ -1,4 +1,8 @@
-//! What to do after a request was sent to a replica: hand its answer on, try another, or give up.
+//! What to do after a request was sent to a replica: pass its answer on, try another, or give up.
+//!
+//! Inputs: how each send ended ([`SendOutcome`]), whether the request may run twice, how many sends its route
+//! allows, and the time that is left. The time that one replica is given stands in
+//! [`crate::retry::attempt_timeout`].
 
 use std::time::Duration;
 
@@ -22,6 +26,11 @@
 }
 
 impl SendOutcome {
+    /// Whether it is proved that the replica did not run the request.
+    pub const fn has_not_run(self) -> bool {
+        matches!(self, Self::NotSent | Self::Withheld | Self::Rejected)
+    }
+
     /// The name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -39,7 +48,7 @@
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Hand the answer on.
+    /// Pass the answer on.
     Answer,
     /// Send the request to another replica.
     TryAnother,
@@ -52,7 +61,8 @@
 /// One attempt of a client and what became of it so far.
 ///
 /// Invariant: a request that is not repeatable is sent again only while every send before ended in
-/// [`SendOutcome::NotSent`], [`SendOutcome::Withheld`] or [`SendOutcome::Rejected`]; and "not run" is said only where that holds for all sends.
+/// [`SendOutcome::NotSent`], [`SendOutcome::Withheld`] or [`SendOutcome::Rejected`]; and "not run" is said
+/// only where that holds for all sends.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     is_repeatable: bool,
@@ -62,10 +72,12 @@
     may_have_run: bool,
 }
 
-/// Replicas that may be found unreachable before a request is given up.
+/// Replicas that may be found unreachable before a request is given up. Chosen, not measured: fewer give up
+/// while one zone's replicas are still listed after its loss, more spend the caller's time on connections.
 const MAX_UNSENT: u32 = 4;
-/// The least time in which another replica can still answer.
-const MIN_REMAINING: Duration = Duration::from_millis(20);
+/// The least time in which another replica can still answer. Chosen, not measured: shorter sends requests
+/// whose answers come too late, longer gives up those that could still be answered.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(20);
 
 impl Attempts {
     /// A request that has not been sent.
@@ -73,9 +85,9 @@
         Self { is_repeatable, max_sends, sends: 0, unsent: 0, may_have_run: false }
     }
 
-    /// Whether the next send is the last that is allowed.
-    pub const fn is_last(&self) -> bool {
-        self.sends + 1 >= self.max_sends
+    /// Whether another replica may be tried if the next one gives no answer.
+    pub const fn may_try_another(&self) -> bool {
+        self.is_repeatable && self.sends + 1 < self.max_sends
     }
 
     /// Takes the outcome of a send.
@@ -89,7 +101,7 @@
                 self.may_have_run = true;
             }
         }
-        let has_time = remaining >= MIN_REMAINING;
+        let has_time = remaining >= MIN_RETRY_TIME;
         let has_sends = self.sends < self.max_sends && self.unsent < MAX_UNSENT;
         if has_time && has_sends && (self.is_repeatable || !self.may_have_run) {
             return Next::TryAnother;
--- a/crates/core/src/ingress/places.rs
+++ b/crates/core/src/ingress/places.rs
@@ -1,4 +1,7 @@
 //! Zones and regions: where replicas and machines stand, and where a request may be served.
+//!
+//! The zones come from the node's settings ([`ZoneMap`]); the regions that are allowed come from routes and
+//! tenants ([`AllowedRegions`]), and both bind together.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -92,7 +95,8 @@
         }
     }
 
-    /// The regions that both allow: those of a route and of its caller's tenant bind together. May be none at all.
+    /// The regions that both allow: those of a route and of its caller's tenant bind together. May be none at
+    /// all.
     #[must_use]
     pub fn intersect(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
--- a/crates/core/src/request/execution/choice.rs
+++ b/crates/core/src/request/execution/choice.rs
@@ -1,8 +1,11 @@
 //! Before an engine is asked: the claim, the choice of a replica, the dispatch.
+//!
+//! The rule of the choice stands in [`crate::routing::pool`]; here it is decided what a refusal of the pool
+//! means for the request: wait for a confirmation, or give up.
 
 use rand::Rng;
 
-use super::{CONFIRMATION_PAUSE, CONFIRMATION_WAIT, Current, Execution, State, Step};
+use super::{CONFIRMATION_POLL_INTERVAL, CONFIRMATION_WAIT, Current, Execution, State, Step};
 use crate::identity::{AttemptId, ReplicaId};
 use crate::request::outcome::{GiveUpReason, RefusalReason};
 use crate::routing::pool::{Pool, RouteQuery, RouteRefusal};
@@ -53,7 +56,7 @@
         if now >= since + CONFIRMATION_WAIT {
             return self.no_replica(RefusalReason::NoEligibleReplica, now, pool);
         }
-        Step::Probe { replicas, until: self.bounded(now + CONFIRMATION_PAUSE) }
+        Step::Probe { replicas, until: self.bounded(now + CONFIRMATION_POLL_INTERVAL) }
     }
 
     pub(super) fn no_replica(&mut self, reason: RefusalReason, now: Timestamp, pool: &mut Pool) -> Step {
--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -1,4 +1,5 @@
-//! What an execution is made from, what it asks of its driver, and what the driver reports.
+//! What an execution is made from, what it asks of its driver, and what the driver reports. Values only: the
+//! daemon's `gateway::runner` and the lab's simulation are the two drivers.
 
 use crate::identity::{AttemptId, ReplicaId, RequestId, WeightVersion};
 use crate::request::answer::{FinishReason, Priority};
@@ -36,8 +37,10 @@
         /// The attempt to claim for.
         attempt: AttemptId,
     },
-    /// Ask these replicas for their load without waiting for them, hand the answers to [`Pool::observe`](crate::routing::pool::Pool::observe) or
-    /// [`Pool::failed`](crate::routing::pool::Pool::failed), and call `next` again at `until`, or sooner when one has answered.
+    /// Ask these replicas for their load without waiting for them, hand the answers to
+    /// [`Pool::observe`](crate::routing::pool::Pool::observe) or
+    /// [`Pool::failed`](crate::routing::pool::Pool::failed), and call `next` again at `until`, or sooner when
+    /// one has answered.
     Probe {
         /// The replicas; empty where they have been asked already.
         replicas: Vec<ReplicaId>,
@@ -62,7 +65,8 @@
         /// The first token wanted.
         from: u32,
     },
-    /// Wait for the next event of the open stream; call [`Execution::stalled`](super::Execution::stalled) when none came by `until`.
+    /// Wait for the next event of the open stream; call [`Execution::stalled`](super::Execution::stalled)
+    /// when none came by `until`.
     Receive {
         /// When to stop waiting.
         until: Timestamp,
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,4 +1,7 @@
 //! What an engine reports about itself, and what of it still holds some time later.
+//!
+//! Owns the last report of one replica and the sends and ends of this node since the report's figures were
+//! taken. Other nodes' requests show only in the next report.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -47,7 +50,9 @@
     }
 }
 
-/// Most own events that are remembered against a lagging report. Beyond it the oldest count as reported.
+/// The most events of this node that are remembered against a lagging report; beyond it the oldest count as
+/// reported. Chosen, not measured: bounds the memory, and is more than one node sends to a replica between
+/// two reports.
 const OWN_EVENTS: usize = 256;
 
 /// The last report of a replica, corrected by what this node itself has sent and finished since.
@@ -107,6 +112,12 @@
     }
 }
 
+/// The time `by` before a timestamp, at the earliest the origin.
+pub(super) fn earlier(timestamp: Timestamp, by: Duration) -> Timestamp {
+    let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
+    Timestamp::from_micros(timestamp.as_micros().saturating_sub(micros))
+}
+
 fn remember(events: &mut VecDeque<Timestamp>, now: Timestamp) {
     if events.len() == OWN_EVENTS {
         events.pop_front();
--- a/crates/core/src/routing/replica.rs
+++ b/crates/core/src/routing/replica.rs
@@ -1,12 +1,11 @@
-//! One replica as one node sees it.
-
-use std::time::Duration;
+//! One replica as one node knows it: whether it takes work, its load, its limit and its cached prefixes.
+//! Joins the parts for [`super::pool`], which owns it.
 
 use crate::identity::{WeightVersion, ZoneName};
 use crate::request::answer::Priority;
 use crate::routing::concurrency::{ConcurrencyConfig, ConcurrencyLimit};
 use crate::routing::eligibility::Confirmation;
-use crate::routing::load::{LoadEstimate, LoadReport};
+use crate::routing::load::{LoadEstimate, LoadReport, earlier};
 use crate::routing::prefix::PrefixHints;
 use crate::time::Timestamp;
 
@@ -45,8 +44,8 @@
 
     /// Takes a report that came in the answer to a question sent at `asked_at`.
     ///
-    /// For eligibility it stands for the time of the question; for the load, which is a hint, for its arrival, so
-    /// that the report at the end of a long stream is of use.
+    /// For eligibility it stands for the time of the question; for the load, which is a hint, for its
+    /// arrival, so that the report at the end of a long stream is of use.
     pub fn observe(&mut self, asked_at: Timestamp, report: LoadReport, now: Timestamp) {
         let age = report.age();
         self.confirmation.observe(asked_at, age, report.role, now);
@@ -54,7 +53,7 @@
     }
 
     /// Whether it is in the machine list and not listed as leaving.
-    pub fn may_be_used(&self) -> bool {
+    pub(crate) fn may_be_used(&self) -> bool {
         self.listed && !self.confirmation.is_listed_leaving()
     }
 
@@ -64,14 +63,9 @@
     }
 
     /// Whether its last report rules out that it generates with `minimum` or later.
-    pub fn is_older_than(&self, minimum: Option<WeightVersion>) -> bool {
+    pub(crate) fn is_older_than(&self, minimum: Option<WeightVersion>) -> bool {
         let Some(minimum) = minimum else { return false };
         let reported = self.load.report().and_then(|report| report.weight_version);
         reported.is_some_and(|version| version < minimum)
     }
 }
-
-fn earlier(timestamp: Timestamp, by: Duration) -> Timestamp {
-    let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
-    Timestamp::from_micros(timestamp.as_micros().saturating_sub(micros))
-}
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -19,7 +19,7 @@
 use crate::boot_clock::BootInstant;
 use crate::context::Context;
 use crate::ingress::callers;
-use crate::ingress::pool::{Exchange, ReplicaPool, SendError};
+use crate::ingress::pool::{HttpExchange, ReplicaPool, SendError};
 use crate::ingress::sse::EventSplitter;
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
@@ -64,7 +64,7 @@
     pool: &ReplicaPool,
     start: &RunStart,
     decided_at: BootInstant,
-) -> Result<Exchange, SendError> {
+) -> Result<HttpExchange, SendError> {
     let request = build(start).map_err(|error| {
         // The ingress has parsed each part of the item, so that a retry elsewhere fails in the same way: this line says why.
         ::log::error!(target: "batch", "{} can't be sent: {error}. Hand it in again with a valid path and headers.", start.item.id);
@@ -113,11 +113,11 @@
 async fn read(
     pool: &ReplicaPool,
     start: &RunStart,
-    exchange: Exchange,
+    exchange: HttpExchange,
     events: &mpsc::Sender<(RunId, RunEvent)>,
     traced: &mut TracedRun,
 ) -> RunEnd {
-    let Exchange { response, connection } = exchange;
+    let HttpExchange { response, connection } = exchange;
     if let Some(end) = end_by_head(&response, &start.item.id) {
         match end {
             RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -1,4 +1,7 @@
-//! The pools as the traffic threads of this node see them.
+//! The pools of the node, shared by the requests that run on them.
+//!
+//! Owns each pool's state behind a lock that is held for single steps. Follows the machine list and the
+//! settings tree; the rules of routing stand in the core's `routing`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,11 +23,12 @@
 use crate::context::NodeContext;
 use crate::directory::{ReplicaDirectory, ReplicaEntry};
 
-/// One pool, shared by the requests that run on it. Its lock is held for single steps only, never across a wait.
+/// One pool, shared by the requests that run on it. Its lock is held for single steps only, never across a
+/// wait.
 #[derive(Debug)]
 pub struct SharedPool {
     state: Mutex<PoolState>,
-    /// Told whenever a replica has answered a probe.
+    /// Notified whenever a replica has answered a probe.
     pub probed: Notify,
 }
 
@@ -72,7 +76,7 @@
     }
 
     /// Whether a request used the pool within `within`.
-    pub fn is_in_use(&self, now: Timestamp, within: Duration) -> bool {
+    pub(crate) fn is_in_use(&self, now: Timestamp, within: Duration) -> bool {
         self.lock().used_at.is_some_and(|used_at| now < used_at + within)
     }
 
@@ -147,7 +151,8 @@
     }
 }
 
-/// How a pool is routed: the node's settings file for what the machine decides, the settings tree for the rest.
+/// How a pool is routed: the node's settings file for what the machine decides, the settings tree for the
+/// rest.
 fn pool_config(context: &NodeContext, configuration: &ConfigurationView, pool: &PoolName) -> PoolConfig {
     let defaults = PoolConfig::default();
     let retry_percent = configuration.for_pool(pool, &RETRY_BUDGET_PERCENT);
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -1,4 +1,7 @@
 //! Drives one [`Execution`] with real engines: does each step, and reports what came of it.
+//!
+//! Owns the open stream of one request and the channel to its caller. All decisions are the execution's;
+//! dropping a run cancels its stream at the engine.
 
 use std::sync::Arc;
 
@@ -114,7 +117,7 @@
             tokio::spawn(Arc::clone(&self.shared).probe(Arc::clone(&self.pool), replica));
         }
         let limit = self.shared.clock.instant(until);
-        // Late or not: the execution looks again.
+        // Whether a probe was answered or the time is over: the execution asks its pool again.
         let _ = timeout_at(limit, probed).await;
     }
 
--- a/crates/daemon/src/http/client/error.rs
+++ b/crates/daemon/src/http/client/error.rs
@@ -1,4 +1,5 @@
-//! What is known about a call that gave no usable answer.
+//! What is known about a call that gave no usable answer: whether any of it was sent, and what was answered.
+//! Callers repeat only what [`ClientError::nothing_sent`] proves not to have run.
 
 use std::error::Error as StdError;
 use std::net::SocketAddr;
@@ -76,8 +77,8 @@
     }
 }
 
-/// Whether no byte of the request was written: the connection was never made, or `hyper` handed the request back
-/// before it began to write it.
+/// Whether no byte of the request was written: the connection was never made, or `hyper` handed the request
+/// back before it began to write it.
 pub(super) fn is_unsent(error: &legacy::Error) -> bool {
     let unstarted = |source: &(dyn StdError + 'static)| {
         source.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_canceled)
--- a/crates/daemon/src/http/request.rs
+++ b/crates/daemon/src/http/request.rs
@@ -1,4 +1,5 @@
-//! Reads what callers send.
+//! Reads bodies and query parameters of the project's own interfaces, with the error that answers a bad one.
+//! Bodies on the platform's path are read by `ingress::request_body`, whose callers get other errors.
 
 use std::time::Duration;
 
@@ -9,7 +10,8 @@
 use lichenpulley_protocol::error::ErrorBody;
 use serde::de::DeserializeOwned;
 
-/// A body that is not whole by then is given up; a caller that never finishes it would hold up a planned stop.
+/// A body that is not whole after this time is refused: a caller that never finishes it would hold up a
+/// planned stop (docs/decisions/planned-stop.md). Chosen, not measured.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A request that can't be taken as it was sent.
@@ -45,7 +47,7 @@
 ///
 /// # Errors
 /// When the body is too long or breaks off.
-pub async fn read_bytes(request: Request<Incoming>, limit_bytes: usize) -> Result<Bytes, BadRequest> {
+pub(crate) async fn read_bytes(request: Request<Incoming>, limit_bytes: usize) -> Result<Bytes, BadRequest> {
     let body = Limited::new(request.into_body(), limit_bytes).collect();
     let Ok(collected) = tokio::time::timeout(BODY_READ_TIMEOUT, body).await else {
         let message = format!("the body was not whole after {} s", BODY_READ_TIMEOUT.as_secs());
--- a/crates/daemon/src/ingress/batch_calls.rs
+++ b/crates/daemon/src/ingress/batch_calls.rs
@@ -1,4 +1,8 @@
-//! Callers' calls for batch jobs, brought to their owner.
+//! Callers' calls for batch jobs: submits them, reads their results and item bodies, through the owner of
+//! their shard.
+//!
+//! Owns nothing beyond one call. Relies on `batch` for the owner, and on [`job_places`] for whether a job can
+//! be kept.
 
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -12,15 +16,18 @@
 use tokio::time::Instant;
 
 use super::callers::Caller;
-use super::forward::read_body;
 use super::refusal::Refusal;
+use super::request_body::read_body;
 use super::{Ingress, headers, job_places};
+use crate::batch::JobShard;
 use crate::http::{Body, request, response};
 
-/// A job that is not whole by then is given up.
-const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest that a reader is held.
-const LONGEST_WAIT_MS: u64 = 5_000;
+/// A job whose body is not whole after this time is refused. Chosen, not measured: longer lets slow callers
+/// hold memory.
+const JOB_BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The longest time that a reader without new results is held, in milliseconds. Chosen, not measured: longer
+/// holds connections, shorter has readers ask again more often.
+const MAX_READ_WAIT_MS: u64 = 5_000;
 
 /// Whether a path is a call for a batch job that was taken.
 pub(super) fn is_call(path: &str) -> bool {
@@ -40,39 +47,53 @@
         return Refusal::Incomplete.respond(&ingress.context, &request);
     };
     let refuse = |refusal: Refusal| refusal.respond_to(&ingress.context, Some(&id));
-    let limit = Instant::now() + BODY_TIMEOUT;
+    let limit = Instant::now() + JOB_BODY_TIMEOUT;
     let body = match read_body(request.into_body(), table.limits.body_bytes, limit).await {
         Ok(body) => body,
         Err(refusal) => return refuse(refusal),
     };
     let tenant = caller.tenant().cloned();
-    let job = match batch::read_job(BatchId::new(id.clone()), host, &route.name, tenant, &body) {
+    let job = batch::read_job(BatchId::new(id.clone()), host, &route.name, tenant, &body);
+    let job = match job.map_err(|error| error.to_string()).and_then(|job| check_scorers(table, job)) {
         Ok(job) => job,
-        Err(error) => {
-            ::log::info!(target: "batch", "Batch job {id} is refused: {error}.");
-            return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &error.to_string());
+        Err(cause) => {
+            ::log::info!(target: "batch", "Batch job {id} is refused: {cause}.");
+            return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &cause);
         }
     };
-    if let Some(host) = unknown_scorer_host(table, &job) {
-        let cause = format!("no route has the host {host}, which the field `scorer.host` of an item names");
-        ::log::info!(target: "batch", "Batch job {id} is refused: {cause}.");
-        return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &cause);
-    }
     let regions = table.allowed_regions(route, job.tenant.as_ref());
     let shard = match job_places::shard(ingress, table, route, &regions, &job) {
         Ok(shard) => shard,
         Err(refusal) => return refusal.respond_within(&ingress.context, Some(&id), &regions),
     };
+    match submit_to(ingress, &shard, job).await {
+        Ok(()) => answer_empty(StatusCode::ACCEPTED, &id),
+        Err(refusal) => refuse(refusal),
+    }
+}
+
+/// Has the owner of a shard take a job.
+async fn submit_to(ingress: &Ingress, shard: &JobShard, job: BatchJob) -> Result<(), Refusal> {
     let batch = job.id.clone();
     match shard.ask(BatchRequest::Submit(job)).await {
         BatchResponse::Taken => {
-            ingress.batch.remember(&batch, &shard);
-            answer_empty(StatusCode::ACCEPTED, &id)
+            ingress.batch.remember(&batch, shard);
+            Ok(())
+        }
+        BatchResponse::Full => Err(Refusal::Full),
+        BatchResponse::IdTaken => Err(Refusal::IdTaken),
+        BatchResponse::Unavailable => Err(Refusal::NoOwner),
+        _ => Err(Refusal::InDoubt),
+    }
+}
+
+/// The job, where each scorer's host has a route; otherwise what is wrong with it.
+fn check_scorers(table: &RouteTable, job: BatchJob) -> Result<BatchJob, String> {
+    match unknown_scorer_host(table, &job) {
+        Some(host) => {
+            Err(format!("no route has the host {host}, which the field `scorer.host` of an item names"))
         }
-        BatchResponse::Full => refuse(Refusal::Full),
-        BatchResponse::IdTaken => refuse(Refusal::IdTaken),
-        BatchResponse::Unavailable => refuse(Refusal::NoOwner),
-        _ => refuse(Refusal::InDoubt),
+        None => Ok(job),
     }
 }
 
@@ -125,8 +146,9 @@
     let Ok(from) = from.map_or(Ok(0), |from| from.parse::<u64>()) else {
         return Refusal::Incomplete.respond(&ingress.context, call);
     };
+    // Without a time to wait, or with one that is no number, the answer comes at once.
     let wait_ms = headers::text(call.headers(), names::WAIT_MS).and_then(|wait| wait.trim().parse().ok());
-    let wait_ms = wait_ms.unwrap_or(0).min(LONGEST_WAIT_MS);
+    let wait_ms = wait_ms.unwrap_or(0).min(MAX_READ_WAIT_MS);
     let subject = batch.to_string();
     let caller = caller.tenant().cloned();
     let request = BatchRequest::Read { batch: batch.clone(), from, wait_ms, caller };
--- a/crates/daemon/src/ingress/callers.rs
+++ b/crates/daemon/src/ingress/callers.rs
@@ -1,4 +1,7 @@
 //! Who sends a request: the tenant whose key it brings.
+//!
+//! Relies on the route table's directory of tenants, which holds digests of keys only. Replicas get the
+//! tenant's name and never the key.
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, HeaderName, HeaderValue};
@@ -27,7 +30,8 @@
 pub(super) struct UnknownKey;
 
 impl Caller {
-    /// Who sends a request with these header fields. Without a key that is known only public routes are served.
+    /// Who sends a request with these header fields. Without a key that is known only public routes are
+    /// served.
     pub(super) fn identify(
         table: &RouteTable,
         fields: &HeaderMap,
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -1,15 +1,20 @@
 //! Header fields of requests that are passed on, and of answers that are passed back.
+//!
+//! Their names stand in the platform's adapter; here they are read into the core's terms, among them how a
+//! send ended by the head of its answer.
 
 use std::time::Duration;
 
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST, HeaderName, HeaderValue};
-use hyper::{HeaderMap, Request};
+use hyper::{HeaderMap, Request, StatusCode};
+use lichenpulley_core::ingress::attempts::SendOutcome;
 use lichenpulley_platform::headers;
 
 /// The host that a request names, without its port, in lower case.
 pub(super) fn host(request: &Request<Incoming>) -> String {
     let named = request.headers().get(HOST).and_then(|host| host.to_str().ok());
+    // Without any the host is empty, which no route has.
     let named = named.or_else(|| request.uri().host()).unwrap_or_default();
     let bare = named.rsplit_once(':').map_or(named, |(host, port)| {
         if port.chars().all(|digit| digit.is_ascii_digit()) { host } else { named }
@@ -27,7 +32,7 @@
     value.to_str().ok()
 }
 
-/// How long the caller will wait.
+/// How long the caller will wait; `None` where it names no time, or what is none: the default applies then.
 pub(super) fn deadline(fields: &HeaderMap) -> Option<Duration> {
     let milliseconds: f64 = text(fields, headers::DEADLINE_MS)?.trim().parse().ok()?;
     (milliseconds.is_finite() && milliseconds >= 0.0).then(|| Duration::from_secs_f64(milliseconds / 1_000.0))
@@ -78,3 +83,15 @@
     let waiting = numbers.next()?.ok()?;
     Some(running.saturating_add(waiting))
 }
+
+/// How a send ended, by the head of its answer. Only the replica's own statement proves that it did not run
+/// the request.
+pub(super) fn outcome(status: StatusCode, fields: &HeaderMap) -> SendOutcome {
+    if fields.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
+        return SendOutcome::Rejected;
+    }
+    if !is_signed(fields) {
+        return SendOutcome::Broken;
+    }
+    if status.is_server_error() { SendOutcome::Failed } else { SendOutcome::Answered }
+}
--- a/crates/daemon/src/ingress/job_places.rs
+++ b/crates/daemon/src/ingress/job_places.rs
@@ -1,4 +1,6 @@
-//! Whether a batch job can be kept and run where it may, and which shard keeps it.
+//! Whether a batch job can be kept and run in its allowed regions, and which shard keeps it.
+//!
+//! Relies on the route table for regions, on the metadata for replicas and on `batch` for the shards.
 
 use lichenpulley_core::batch::job::BatchJob;
 use lichenpulley_core::ingress::places::AllowedRegions;
@@ -36,8 +38,8 @@
     }
 }
 
-/// Whether what a job keeps for its scorers may be kept wherever the job is. Invariant: a request of a bound route is never
-/// kept by a job that is bound less.
+/// Whether what a job keeps for its scorers may be kept wherever the job is. Invariant: a request of a bound
+/// route is never kept by a job that is bound less.
 fn scorers_fit(table: &RouteTable, regions: &AllowedRegions, job: &BatchJob) -> bool {
     job.items.iter().filter_map(|item| item.scorer.as_ref()).all(|scorer| {
         let route = table.find(&scorer.host, &scorer.path);
--- a/crates/daemon/src/quarantine/records.rs
+++ b/crates/daemon/src/quarantine/records.rs
@@ -1,4 +1,5 @@
-//! What the metadata store holds of the quarantine, as this node has read it.
+//! What the metadata store holds of the quarantine, as this node has read it: crash reports and trials by
+//! name, with the time at which a request of each last came. [`super::spread`] writes and removes them.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +22,7 @@
         self.records.contains_key(name)
     }
 
-    /// What nodes told of replicas that ended.
+    /// The reports of all nodes of replicas that ended.
     pub(super) fn reports(&self) -> Vec<CrashReport> {
         let entries = self.records.values().filter_map(|record| match &record.entry {
             QuarantineEntry::Crash(report) => Some(report.clone()),
