--- a/crates/lab/src/engine/answer.rs
+++ b/crates/lab/src/engine/answer.rs
@@ -55,11 +55,6 @@
     }
 }
 
-/// The token at `index` of the answer to `prompt` under `seed`.
-pub fn token_at(prompt: &str, seed: u64, index: u32) -> u32 {
-    Answer::of(prompt, seed).token(index)
-}
-
 /// Whether `tokens` are the whole answer to `prompt` under `seed`.
 pub fn is_whole_answer(prompt: &str, seed: u64, max_tokens: u32, tokens: &[u32]) -> bool {
     let answer = Answer::of(prompt, seed);
--- a/crates/lab/src/engine/cache.rs
+++ b/crates/lab/src/engine/cache.rs
@@ -30,9 +30,9 @@
     }
 }
 
-/// Blocks of one prompt, or of many, as the cache saw them.
+/// Blocks of one prompt as the cache saw them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lookup {
+pub struct CacheLookup {
     /// Blocks looked up.
     pub blocks: u64,
     /// Leading blocks that were cached.
@@ -46,19 +46,18 @@
     blocks: LruCache<u64, ()>,
     events: VecDeque<(Timestamp, CacheEvent)>,
     next_sequence: u64,
-    lookups: Lookup,
 }
 
 impl PrefixCache {
     /// An empty cache.
     pub fn new(config: CacheConfig) -> Self {
         let blocks = LruCache::new(config.blocks);
-        Self { config, blocks, events: VecDeque::new(), next_sequence: 1, lookups: Lookup::default() }
+        Self { config, blocks, events: VecDeque::new(), next_sequence: 1 }
     }
 
     /// Looks the prompt's blocks up and then caches all of them.
-    pub fn admit(&mut self, now: Timestamp, prompt: &str) -> Lookup {
-        let mut lookup = Lookup::default();
+    pub fn admit(&mut self, now: Timestamp, prompt: &str) -> CacheLookup {
+        let mut lookup = CacheLookup::default();
         for prefix in prefix_hashes(prompt) {
             let all_before_cached = lookup.cached == lookup.blocks;
             lookup.blocks += 1;
@@ -66,16 +65,9 @@
                 lookup.cached += 1;
             }
         }
-        self.lookups.blocks += lookup.blocks;
-        self.lookups.cached += lookup.cached;
         lookup
     }
 
-    /// All lookups so far.
-    pub const fn lookups(&self) -> Lookup {
-        self.lookups
-    }
-
     /// Marks a block as used; true where it was cached.
     fn touch(&mut self, now: Timestamp, prefix: u64) -> bool {
         if self.blocks.get(&prefix).is_some() {
--- a/crates/lab/src/engine/faults.rs
+++ b/crates/lab/src/engine/faults.rs
@@ -71,12 +71,10 @@
 }
 
 impl EngineCounters {
-    /// Counts an admission; by name too where `detailed`.
-    pub(super) fn admitted(&mut self, request: &StreamRequest, detailed: bool) {
+    /// Counts an admission, by attempt and by prompt.
+    pub(super) fn admitted(&mut self, request: &StreamRequest) {
         self.streams_admitted += 1;
-        if detailed {
-            *self.by_attempt.entry(request.attempt.clone()).or_default() += 1;
-            *self.by_prompt.entry(request.prompt.clone()).or_default() += 1;
-        }
+        *self.by_attempt.entry(request.attempt.clone()).or_default() += 1;
+        *self.by_prompt.entry(request.prompt.clone()).or_default() += 1;
     }
 }
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -30,7 +30,7 @@
 use crate::error::LabError;
 use crate::http::{self, Server};
 
-pub use self::cache::{CacheConfig, Lookup};
+pub use self::cache::{CacheConfig, CacheLookup};
 pub use self::stream::{End, Slice, TokenRun};
 
 /// How an engine is started.
@@ -52,8 +52,6 @@
     pub weight_store: Option<SocketAddr>,
     /// Where it registers itself; `None` registers nowhere.
     pub machine_list: Option<SocketAddr>,
-    /// Whether admissions are counted by attempt and prompt, which takes memory for each.
-    pub count_by_name: bool,
 }
 
 impl EngineOptions {
@@ -69,7 +67,6 @@
             faults_address: any_port,
             weight_store: None,
             machine_list: None,
-            count_by_name: true,
         }
     }
 }
--- a/crates/lab/src/engine/model.rs
+++ b/crates/lab/src/engine/model.rs
@@ -16,7 +16,7 @@
 
 use super::answer::Answer;
 use super::batch::Batch;
-use super::cache::{CacheConfig, Lookup, PrefixCache};
+use super::cache::{CacheConfig, CacheLookup, PrefixCache};
 use super::load::LoadHistory;
 use super::stream::{Slice, Stage, Stream};
 use super::weights::{Fences, Weights};
@@ -35,8 +35,6 @@
     pub queue_limit: u32,
     /// Time of a step with an empty batch.
     pub step_time: Duration,
-    /// What each running stream adds to a step.
-    pub step_time_per_stream: Duration,
     /// Uncached prompt blocks that a stream prefills in one step.
     pub prefill_blocks_per_step: u32,
     /// How old load reports are.
@@ -59,7 +57,6 @@
             capacity: 16,
             queue_limit: 256,
             step_time: Duration::from_millis(5),
-            step_time_per_stream: Duration::ZERO,
             prefill_blocks_per_step: 4,
             load_lag: Duration::from_millis(200),
             swap_time: Duration::from_millis(200),
@@ -243,11 +240,6 @@
         self.cache.events(now, after)
     }
 
-    /// Prompt blocks looked up in the prefix cache so far, and how many were there.
-    pub const fn cache_lookups(&self) -> Lookup {
-        self.cache.lookups()
-    }
-
     /// The present incarnation.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
@@ -287,7 +279,7 @@
         Ok(())
     }
 
-    fn prefill_steps(&self, lookup: Lookup, prior_tokens: u32) -> u32 {
+    fn prefill_steps(&self, lookup: CacheLookup, prior_tokens: u32) -> u32 {
         let prior_blocks = prior_tokens.div_ceil(PRIOR_TOKENS_PER_BLOCK);
         let missing = lookup.blocks - lookup.cached + u64::from(prior_blocks);
         let steps = missing.div_ceil(u64::from(self.config.prefill_blocks_per_step.max(1)));
@@ -337,9 +329,7 @@
         if self.batch.is_empty() {
             return;
         }
-        let running = self.batch.running().len() as u32;
-        let step_time = self.config.step_time + self.config.step_time_per_stream * running;
-        self.step_due = Some(now + step_time * self.slow_percent / 100);
+        self.step_due = Some(now + self.config.step_time * self.slow_percent / 100);
     }
 
     fn finish_swap(&mut self, now: Timestamp) {
--- a/crates/lab/src/engine/service.rs
+++ b/crates/lab/src/engine/service.rs
@@ -103,7 +103,7 @@
         let mut state = self.lock();
         let outcome = state.model.as_mut()?.submit(now, request);
         match &outcome {
-            Ok(Submission::Admitted) => state.counters.admitted(request, self.options.count_by_name),
+            Ok(Submission::Admitted) => state.counters.admitted(request),
             Ok(Submission::Attached) => {}
             Err(_) => state.counters.refused += 1,
         }
--- a/crates/lab/src/trainer/report.rs
+++ b/crates/lab/src/trainer/report.rs
@@ -40,12 +40,6 @@
 }
 
 impl TrainerReport {
-    /// Mean staleness over all samples.
-    pub fn mean_staleness(&self) -> f64 {
-        let sum: u64 = self.staleness.iter().map(|(staleness, count)| staleness * count).sum();
-        sum as f64 / self.samples.max(1) as f64
-    }
-
     /// The part of the time in which the trainer waited, from 0 to 1.
     pub fn idle_share(&self) -> f64 {
         let whole = self.idle_ms + self.training_ms;
