--- a/crates/lab/src/simulations/requests/checks.rs
+++ b/crates/lab/src/simulations/requests/checks.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::time::Timestamp;
 
 use super::engine::Admission;
-use super::submission::{SentWork, Submission, Told};
+use super::submission::{CallerAnswer, SentWork, Submission};
 use crate::engine::answer::is_whole_answer;
 
 /// A promise that a schedule broke.
@@ -27,8 +27,8 @@
         /// The submission.
         submission: usize,
     },
-    /// A request told to be not run was admitted (brief point 5).
-    RanThoughToldNotRun {
+    /// A request answered as not run was admitted (brief point 5).
+    RanThoughNotRun {
         /// The submission.
         submission: usize,
     },
@@ -47,7 +47,7 @@
         after: Duration,
     },
     /// A request got no outcome though its gateway lives and its deadline has passed.
-    NeverTold {
+    NeverAnswered {
         /// How many.
         requests: usize,
     },
@@ -68,11 +68,11 @@
     pub completed: u64,
     /// Of these, in more than one attempt.
     pub completed_in_many_attempts: u64,
-    /// Told "not run".
+    /// Answered "not run".
     pub not_run: u64,
-    /// Told "unknown".
+    /// Answered "unknown".
     pub unknown: u64,
-    /// Told nothing: their gateway died.
+    /// Never answered: their gateway died.
     pub gateway_died: u64,
     /// Streams that engines admitted.
     pub admissions: u64,
@@ -119,15 +119,15 @@
     }
 }
 
-/// Checks what one caller was told.
-pub(super) fn check_told(
-    told: &Told,
+/// Checks what one caller was answered.
+pub(super) fn check_answered(
+    answered: &CallerAnswer,
     submission: &Submission,
     admissions: &[Admission],
     violations: &mut Vec<Violation>,
 ) {
-    match &*told.outcome {
-        RequestOutcome::Completed { answer, .. } => check_answer(told, answer, submission, violations),
+    match &*answered.outcome {
+        RequestOutcome::Completed { answer, .. } => check_answer(answered, answer, submission, violations),
         RequestOutcome::NotRun { .. } => {
             // The attempts of this submission bear its number; a claimed id belongs to this submission alone, so
             // that no other may have run it either.
@@ -137,18 +137,23 @@
                 is_own || (!submission.repeatable && admission.prompt == submission.stream.prompt)
             });
             if ran {
-                violations.push(Violation::RanThoughToldNotRun { submission: told.number });
+                violations.push(Violation::RanThoughNotRun { submission: answered.number });
             }
         }
         RequestOutcome::Unknown { .. } => {}
     }
 }
 
-fn check_answer(told: &Told, answer: &Answer, submission: &Submission, violations: &mut Vec<Violation>) {
+fn check_answer(
+    answered: &CallerAnswer,
+    answer: &Answer,
+    submission: &Submission,
+    violations: &mut Vec<Violation>,
+) {
     let stream = &submission.stream;
     let whole = |tokens: &[u32]| is_whole_answer(&stream.prompt, stream.seed, stream.max_tokens, tokens);
-    if !whole(&answer.tokens) || !whole(&told.streamed) {
-        violations.push(Violation::NotTheWholeAnswer { submission: told.number });
+    if !whole(&answer.tokens) || !whole(&answered.streamed) {
+        violations.push(Violation::NotTheWholeAnswer { submission: answered.number });
     }
     let mut next = 0;
     for span in &answer.spans {
@@ -158,7 +163,7 @@
         next += span.token_count;
     }
     if next as usize != answer.tokens.len() {
-        violations.push(Violation::UncoveredTokens { submission: told.number });
+        violations.push(Violation::UncoveredTokens { submission: answered.number });
     }
 }
 
--- a/crates/lab/src/simulations/requests/gateway.rs
+++ b/crates/lab/src/simulations/requests/gateway/mod.rs
@@ -1,15 +1,19 @@
-//! A gateway as a simulated process: drives [`Execution`]s as the daemon's runner does.
+//! A gateway as a simulated process.
+//!
+//! Owns its requests in flight and what it answered. Drives [`Execution`]s as the daemon's runner does, and relies on
+//! the core's pool for eligibility and on claim replicas for ids that may run once.
+
+mod steps;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::rc::Rc;
 use std::time::Duration;
 
 use lichenpulley_core::identity::{AttemptId, NodeId, ReplicaId, RequestId};
 use lichenpulley_core::request::assembly::Chunk;
 use lichenpulley_core::request::execution::{
-    ANSWER_TIMEOUT, ClaimVerdict, EngineEvent, Execution, ExecutionSpec, Step,
+    ANSWER_TIMEOUT, ClaimVerdict, EngineEvent, Execution, ExecutionSpec,
 };
-use lichenpulley_core::request::outcome::{EngineRefusal, RefusalReason, refuse_at_once};
+use lichenpulley_core::request::outcome::EngineRefusal;
 use lichenpulley_core::routing::Pool;
 use lichenpulley_core::routing::pool::ListedReplica;
 use lichenpulley_core::time::Timestamp;
@@ -20,7 +24,7 @@
 
 use super::mechanisms::Mechanisms;
 use super::message::Message;
-use super::submission::{SentWork, Submission, Told};
+use super::submission::{CallerAnswer, SentWork, Submission};
 
 /// How long a connection may take to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -31,6 +35,7 @@
 /// Most replicas probed in one round.
 const PROBES_IN_ROUND: usize = 8;
 
+/// What a request in flight waits for.
 #[derive(Debug)]
 enum Waiting {
     Connecting { attempt: AttemptId, prior_tokens: Vec<u32>, replica: ReplicaId },
@@ -39,7 +44,8 @@
     Time,
 }
 
-struct Run {
+/// A request in flight.
+struct RequestRun {
     submission: Submission,
     execution: Execution,
     waiting: Waiting,
@@ -50,23 +56,23 @@
 /// One gateway.
 pub struct GatewayProcess {
     name: String,
-    life: u32,
+    incarnation: u32,
     engines: BTreeMap<ReplicaId, ProcessId>,
     claim_replicas: Vec<ProcessId>,
     mechanisms: Mechanisms,
     pool: Pool,
     random: Pcg64Mcg,
-    runs: BTreeMap<usize, Run>,
+    runs: BTreeMap<usize, RequestRun>,
     probes: BTreeMap<u64, (ReplicaId, Timestamp)>,
     next_probe: u64,
     next_round: Timestamp,
-    /// Streams of runs that began anew.
+    /// Streams to stop at engines that a run has left.
     cancellations: Vec<(ReplicaId, AttemptId)>,
-    /// Ids sent by this life, for gateways without claims.
+    /// Ids sent by this incarnation, for gateways without claims.
     sent_ids: BTreeSet<RequestId>,
-    /// What callers were told.
-    pub told: Vec<Told>,
-    /// New work sent, in all lives: attempts that began to connect.
+    /// What callers were answered, in all incarnations.
+    pub answers: Vec<CallerAnswer>,
+    /// New work sent, in all incarnations: attempts that began to connect.
     pub sent: Vec<SentWork>,
 }
 
@@ -87,7 +93,7 @@
         }));
         Self {
             name,
-            life: 0,
+            incarnation: 0,
             engines,
             claim_replicas,
             mechanisms,
@@ -99,14 +105,14 @@
             next_round: Timestamp::ORIGIN,
             cancellations: Vec::new(),
             sent_ids: BTreeSet::new(),
-            told: Vec::new(),
+            answers: Vec::new(),
             sent: Vec::new(),
         }
     }
 
-    /// The gateway after a crash: its runs are gone and it has told nobody more.
+    /// The gateway after a crash: its runs are gone and it answers none of their callers.
     pub fn restarted(&self) -> Self {
-        let seed = u64::from(self.life) + 1;
+        let seed = u64::from(self.incarnation) + 1;
         let mut next = Self::new(
             self.name.clone(),
             self.engines.clone(),
@@ -114,8 +120,8 @@
             self.mechanisms,
             seed,
         );
-        next.life = self.life + 1;
-        next.told = self.told.clone();
+        next.incarnation = self.incarnation + 1;
+        next.answers = self.answers.clone();
         next.sent = self.sent.clone();
         next
     }
@@ -124,7 +130,8 @@
     pub fn submit(&mut self, submission: Submission, now: Timestamp, outbox: &mut Outbox<Message>) {
         let number = submission.number;
         let execution = self.execution(&submission, now);
-        let run = Run { submission, execution, waiting: Waiting::Time, wake_at: now, streamed: Vec::new() };
+        let run =
+            RequestRun { submission, execution, waiting: Waiting::Time, wake_at: now, streamed: Vec::new() };
         self.runs.insert(number, run);
         self.drive(number, now, outbox);
     }
@@ -132,7 +139,7 @@
     fn execution(&mut self, submission: &Submission, now: Timestamp) -> Execution {
         let spec = ExecutionSpec {
             request: submission.request.clone(),
-            execution: format!("{}-{}-{}.0", self.name, self.life, submission.number),
+            execution: format!("{}-{}-{}.0", self.name, self.incarnation, submission.number),
             prefix_group: submission.number as u64 % 7,
             priority: submission.stream.priority,
             max_tokens: submission.stream.max_tokens,
@@ -155,81 +162,12 @@
                 run.execution.nothing_written(now, &mut self.pool, &mut self.random);
             }
             Waiting::Claiming { .. } => run.execution.claimed(ClaimVerdict::NoMajority, now),
-            Waiting::Event if !self.mechanisms.proof_of_not_run => self.tell_not_run(number, now),
+            Waiting::Event if !self.mechanisms.proof_of_not_run => self.answer_not_run(number, now),
             Waiting::Event => run.execution.stalled(now, &mut self.pool, &mut self.random),
             Waiting::Time => {}
         }
     }
 
-    /// What a gateway without proofs does when a stream falls silent.
-    fn tell_not_run(&mut self, number: usize, now: Timestamp) {
-        let Some(mut run) = self.runs.remove(&number) else { return };
-        run.execution.abandon(now, &mut self.pool);
-        self.cancellations.extend(run.execution.take_cancellations());
-        let outcome = Rc::new(refuse_at_once(true, RefusalReason::EnginesRefused, None));
-        self.told.push(Told { number, outcome, streamed: run.streamed });
-    }
-
-    /// Does the steps of a run until it has to wait.
-    fn drive(&mut self, number: usize, now: Timestamp, outbox: &mut Outbox<Message>) {
-        let Some(mut run) = self.runs.remove(&number) else { return };
-        loop {
-            let step = run.execution.next(now, &mut self.pool, &mut self.random);
-            self.cancellations.extend(run.execution.take_cancellations());
-            for (replica, attempt) in self.cancellations.drain(..) {
-                outbox.send(self.engines[&replica], Message::Cancel(attempt));
-            }
-            run.execution.take_decisions();
-            match step {
-                Step::Claim { attempt } if self.mechanisms.claims => {
-                    for replica in &self.claim_replicas {
-                        outbox
-                            .send(*replica, Message::Claim(run.submission.request.clone(), attempt.clone()));
-                    }
-                    run.waiting = Waiting::Claiming { attempt, votes: BTreeSet::new(), granted: 0 };
-                    run.wake_at = now + CLAIM_TIMEOUT;
-                    break;
-                }
-                Step::Claim { .. } => {
-                    let is_new = self.sent_ids.insert(run.submission.request.clone());
-                    let verdict = if is_new { ClaimVerdict::Granted } else { ClaimVerdict::Held };
-                    run.execution.claimed(verdict, now);
-                }
-                Step::Probe { replicas, until } => {
-                    for replica in replicas {
-                        self.probe(replica, now, outbox);
-                    }
-                    (run.waiting, run.wake_at) = (Waiting::Time, until);
-                    break;
-                }
-                Step::Dispatch { replica, attempt, prior_tokens } => {
-                    self.sent.push(SentWork { replica: replica.clone(), at: now });
-                    outbox.send(self.engines[&replica], Message::Connect(attempt.clone()));
-                    run.waiting = Waiting::Connecting { attempt, prior_tokens, replica };
-                    run.wake_at = now + CONNECT_TIMEOUT;
-                    break;
-                }
-                Step::Resume { replica, attempt, from } => {
-                    outbox.send(self.engines[&replica], Message::Resume(attempt, from));
-                }
-                Step::Receive { until } => {
-                    (run.waiting, run.wake_at) = (Waiting::Event, until);
-                    break;
-                }
-                Step::Wait { until } => {
-                    (run.waiting, run.wake_at) = (Waiting::Time, until);
-                    break;
-                }
-                Step::Finish(outcome) => {
-                    let outcome = Rc::from(outcome);
-                    self.told.push(Told { number, outcome, streamed: run.streamed });
-                    return;
-                }
-            }
-        }
-        self.runs.insert(number, run);
-    }
-
     fn connected(
         &mut self,
         attempt: &AttemptId,
@@ -307,7 +245,7 @@
         attempt: &AttemptId,
         now: Timestamp,
         outbox: &mut Outbox<Message>,
-        act: impl FnOnce(&mut Run, &mut Pool, &mut Pcg64Mcg),
+        act: impl FnOnce(&mut RequestRun, &mut Pool, &mut Pcg64Mcg),
     ) {
         let Some(number) = self.find(attempt) else { return };
         let Some(run) = self.runs.get_mut(&number) else { return };
@@ -321,13 +259,13 @@
 
     /// The run of an attempt, by the name that this gateway gave it.
     fn find(&self, attempt: &AttemptId) -> Option<usize> {
-        let prefix = format!("{}-{}-", self.name, self.life);
+        let prefix = format!("{}-{}-", self.name, self.incarnation);
         let rest = attempt.as_str().strip_prefix(&prefix)?;
         rest.split('.').next()?.parse().ok()
     }
 
     fn wake_choosers(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        let choosing = |run: &Run| matches!(run.waiting, Waiting::Time);
+        let choosing = |run: &RequestRun| matches!(run.waiting, Waiting::Time);
         let waiting: Vec<usize> =
             self.runs.iter().filter(|(_, run)| choosing(run)).map(|(number, _)| *number).collect();
         for number in waiting {
--- a/crates/lab/src/simulations/requests/mechanisms.rs
+++ b/crates/lab/src/simulations/requests/mechanisms.rs
@@ -7,7 +7,7 @@
 /// Mechanisms that a schedule can switch off, to show that its checks find what they are there for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Only a proof makes "not run"; off: a request whose stream falls silent is told to be not run.
+    /// Only a proof makes "not run"; off: a request whose stream falls silent is answered as not run.
     pub proof_of_not_run: bool,
     /// Ids are claimed at a majority; off: the gateway remembers by itself what it has sent.
     pub claims: bool,
--- a/crates/lab/src/simulations/requests/schedule.rs
+++ b/crates/lab/src/simulations/requests/schedule.rs
@@ -362,22 +362,22 @@
             .flat_map(|engine| engine.admissions.clone())
             .collect();
         self.tally.admissions = admissions.len() as u64;
-        let mut told_count = 0;
+        let mut answer_count = 0;
         let mut running = 0;
         for id in &self.gateways {
             let Some(gateway) = self.simulation.process(*id).gateway() else { continue };
             running += if self.simulation.is_alive(*id) { gateway.running() } else { 0 };
-            for told in &gateway.told {
-                told_count += 1;
-                self.tally.count_outcome(&told.outcome);
-                checks::check_told(told, &submissions[told.number], &admissions, &mut violations);
+            for answered in &gateway.answers {
+                answer_count += 1;
+                self.tally.count_outcome(&answered.outcome);
+                checks::check_answered(answered, &submissions[answered.number], &admissions, &mut violations);
             }
             checks::check_leaving(&gateway.sent, &self.absences, &mut violations);
         }
         if running > 0 {
-            violations.push(Violation::NeverTold { requests: running });
+            violations.push(Violation::NeverAnswered { requests: running });
         }
-        self.tally.gateway_died = self.tally.submitted - told_count;
+        self.tally.gateway_died = self.tally.submitted - answer_count;
         checks::check_at_most_once(submissions, &admissions, &mut violations);
         RunReport { violations, tally: self.tally }
     }
--- a/crates/lab/src/simulations/requests/submission.rs
+++ b/crates/lab/src/simulations/requests/submission.rs
@@ -1,4 +1,4 @@
-//! What gateways are asked, what they tell, and what they send.
+//! What gateways are asked, what they answer, and what they send.
 
 use std::rc::Rc;
 
@@ -22,9 +22,9 @@
     pub deadline: Timestamp,
 }
 
-/// What a caller was told.
+/// What a caller was answered.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct CallerAnswer {
     /// Which submission.
     pub number: usize,
     /// The outcome.
--- a/crates/lab/tests/requests.rs
+++ b/crates/lab/tests/requests.rs
@@ -29,7 +29,7 @@
 #[test]
 fn without_a_proof_not_run_is_told_of_requests_that_ran() {
     let (violations, _) = violations(Mechanisms { proof_of_not_run: false, ..Mechanisms::ON });
-    assert!(violations.iter().any(|found| matches!(found, Violation::RanThoughToldNotRun { .. })));
+    assert!(violations.iter().any(|found| matches!(found, Violation::RanThoughNotRun { .. })));
 }
 
 #[test]
