--- /dev/null
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -0,0 +1,132 @@
+//! What a replica answers: reports, orders, and requests as its behaviour has it.
+
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Method, Request, Response, StatusCode};
+use lichenpulley_platform::headers;
+use lichenpulley_platform::replica::{LoadOrder, ORDER_PATH, REPORT_PATH, ReplicaReport};
+
+use super::event_stream::{StreamGuard, events};
+use super::{Behaviour, SeenRequest, State, crash, lock, models};
+use crate::http::{self, Body, Reply};
+
+pub(super) async fn answer(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Reply {
+    match (request.method(), request.uri().path()) {
+        (&Method::GET, REPORT_PATH) => report(&state).into(),
+        (&Method::POST, ORDER_PATH) => order(&state, request).await.into(),
+        _ => run(&state, request).await,
+    }
+}
+
+fn report(state: &Mutex<State>) -> Response<Body> {
+    let state = lock(state);
+    let report = ReplicaReport {
+        models: models(&state.plan),
+        num_busy: false,
+        seq: state.orders.len() as u64,
+        num_waiting: 0,
+        num_running: 0,
+        kv_used: 0,
+        kv_total: 100_000,
+        born: Some(state.born_ms),
+    };
+    http::json(StatusCode::OK, &report)
+}
+
+async fn order(state: &Mutex<State>, request: Request<Incoming>) -> Response<Body> {
+    let order: LoadOrder = match http::read_json(request).await {
+        Ok(order) => order,
+        Err(refusal) => return refusal,
+    };
+    let mut state = lock(state);
+    let highest_fence = state.orders.iter().map(|order| order.fence).max().unwrap_or(0);
+    if order.fence < highest_fence {
+        return http::empty(StatusCode::PRECONDITION_FAILED);
+    }
+    if order.expect_rev != state.orders.len() as u64 {
+        return http::empty(StatusCode::CONFLICT);
+    }
+    state.plan.models.insert(order.model.clone(), order.version);
+    state.orders.push(order);
+    http::empty(StatusCode::ACCEPTED)
+}
+
+async fn run(state: &Arc<Mutex<State>>, request: Request<Incoming>) -> Reply {
+    let seen = match read(request).await {
+        Ok(seen) => seen,
+        Err(refusal) => return refusal.into(),
+    };
+    let (plan, behaviour) = {
+        let state = lock(state);
+        (state.plan.clone(), state.behaviour)
+    };
+    let expected = seen.headers.get(headers::EXPECT_REPLICA);
+    if expected.is_some_and(|expected| expected != &plan.id) {
+        return http::empty(StatusCode::MISDIRECTED_REQUEST).into();
+    }
+    let stands = lock(state).cold.as_mut().is_none_or(|cold| cold.stands_request(Instant::now()));
+    if !stands {
+        return Reply::Hang;
+    }
+    if behaviour == Behaviour::Rejects {
+        return signed(StatusCode::SERVICE_UNAVAILABLE, &seen.id, &[(headers::NOT_RUN, "1")]).into();
+    }
+    lock(state).seen.push(seen.clone());
+    let is_stream = seen.line.contains("/stream/");
+    let ends = plan.ends_on.as_ref() == Some(&seen.body);
+    if ends && !is_stream {
+        tokio::time::sleep(plan.pause).await;
+        crash(state);
+        return Reply::Hang;
+    }
+    match behaviour {
+        Behaviour::LosesAnswers => Reply::Hang,
+        Behaviour::Fails => signed(StatusCode::INTERNAL_SERVER_ERROR, &seen.id, &[]).into(),
+        Behaviour::AnswersForAnother => signed(StatusCode::OK, "another", &[]).into(),
+        _ if is_stream => {
+            let guard = StreamGuard { state: Arc::clone(state), is_whole: false, ends };
+            events(&plan, behaviour, &seen, guard).into()
+        }
+        _ => {
+            let mut answer = signed(StatusCode::OK, &seen.id, &[]);
+            *answer.body_mut() = http_body_util::Full::new(seen.body).map_err(|never| match never {}).boxed();
+            answer.into()
+        }
+    }
+}
+
+async fn read(request: Request<Incoming>) -> Result<SeenRequest, Response<Body>> {
+    let (parts, body) = request.into_parts();
+    let body = body.collect().await.map_err(|error| http::bad_request(&error.to_string()))?;
+    let fields = parts.headers.iter().map(|(name, value)| {
+        (name.as_str().to_owned(), String::from_utf8_lossy(value.as_bytes()).into_owned())
+    });
+    let fields: BTreeMap<String, String> = fields.collect();
+    let id = fields.get(headers::REQUEST_ID).cloned().unwrap_or_default();
+    let line = format!("{} {}", parts.method, parts.uri);
+    Ok(SeenRequest { id, line, headers: fields, body: body.to_bytes(), at: Instant::now() })
+}
+
+/// Requests whose ids begin so get a signature that names them, so that a score shows which request it came of.
+const SCORE_ID_PREFIX: &str = "score-";
+
+pub(super) fn signed(status: StatusCode, id: &str, more: &[(&'static str, &'static str)]) -> Response<Body> {
+    let mut answer = http::empty(status);
+    let fields = answer.headers_mut();
+    if let Ok(id) = HeaderValue::from_str(id) {
+        fields.insert(headers::REQUEST_ID, id);
+    }
+    let seal = if id.starts_with(SCORE_ID_PREFIX) { format!("seal of {id}") } else { "seal".to_owned() };
+    if let Ok(seal) = HeaderValue::from_str(&seal) {
+        fields.insert(headers::SIGNATURE, seal);
+    }
+    for (name, value) in more {
+        fields.insert(*name, HeaderValue::from_static(value));
+    }
+    answer
+}
--- a/crates/lab/src/soak/system.rs
+++ b/crates/lab/src/soak/system.rs
@@ -18,7 +18,7 @@
 use super::proxy::LoopbackProxy;
 use crate::error::LabError;
 use crate::metadata_store::{self, MetadataStore};
-use crate::platform_replica::{self, Behaviour, Plan, Replica, SeenRequest};
+use crate::platform_replica::{self, Behaviour, Replica, ReplicaPlan, SeenRequest};
 pub(super) use storm::WATCHED_FOR;
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
@@ -275,10 +275,10 @@
     }
 }
 
-fn replica_plan(id: &str) -> Plan {
+fn replica_plan(id: &str) -> ReplicaPlan {
     let models = BTreeMap::from([("m".to_owned(), 1)]);
     let ends_on = Some(Bytes::from_static(ENDING_BODY));
-    Plan { id: id.to_owned(), events: EVENTS, pause: Duration::from_millis(20), models, ends_on }
+    ReplicaPlan { id: id.to_owned(), events: EVENTS, pause: Duration::from_millis(20), models, ends_on }
 }
 
 fn configuration() -> Value {
--- a/crates/lab/tests/platform_processes.rs
+++ b/crates/lab/tests/platform_processes.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, StatusCode};
 use lichenpulley_daemon::http::client::{HttpClient, build};
 use lichenpulley_lab::metadata_store::{self, MetadataStore};
-use lichenpulley_lab::platform_replica::{self, Plan, Replica};
+use lichenpulley_lab::platform_replica::{self, Replica, ReplicaPlan};
 use lichenpulley_lab::soak::node::{NodePlan, NodeProcess};
 use lichenpulley_platform::objects;
 use rustix::process::Signal;
@@ -105,9 +105,9 @@
     NodePlan { name: name.to_owned(), zone: "zone-a".to_owned(), is_store, platform }
 }
 
-fn endless_replica() -> Plan {
+fn endless_replica() -> ReplicaPlan {
     let models = BTreeMap::from([("m".to_owned(), 1)]);
-    Plan {
+    ReplicaPlan {
         id: "replica".to_owned(),
         events: 1_000_000,
         pause: Duration::from_millis(20),
--- a/crates/lab/tests/platform_quarantine/mod.rs
+++ b/crates/lab/tests/platform_quarantine/mod.rs
@@ -58,7 +58,7 @@
 
 /// Waits until every gateway knows the replicas that live, and no other.
 async fn until_listed(system: &System) {
-    let living: Vec<String> = system.replicas.iter().map(Replica::life).collect();
+    let living: Vec<String> = system.replicas.iter().map(Replica::incarnation).collect();
     let knows_them = |node: &Node| {
         let table = node.context().metadata.replicas.load();
         table.records.len() == living.len() && living.iter().all(|life| table.records.contains_key(life))
--- a/crates/lab/tests/platform_system/mod.rs
+++ b/crates/lab/tests/platform_system/mod.rs
@@ -11,7 +11,7 @@
 use lichenpulley_daemon::settings::{DutySettings, Settings};
 use lichenpulley_lab::metadata_store::{self, MetadataStore};
 use lichenpulley_lab::platform_duties::PlatformDuties;
-use lichenpulley_lab::platform_replica::{self, Plan, Replica};
+use lichenpulley_lab::platform_replica::{self, Replica, ReplicaPlan};
 use lichenpulley_platform::objects;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -188,9 +188,15 @@
         self.replicas.push(replica);
     }
 
-    fn replica_plan(&self, id: String, events: u64) -> Plan {
+    fn replica_plan(&self, id: String, events: u64) -> ReplicaPlan {
         let models = BTreeMap::from([("pricing".to_owned(), 1)]);
-        Plan { id, events, pause: Duration::from_millis(5), models, ends_on: self.plan.ends_on.clone() }
+        ReplicaPlan {
+            id,
+            events,
+            pause: Duration::from_millis(5),
+            models,
+            ends_on: self.plan.ends_on.clone(),
+        }
     }
 
     /// Starts a replica that has ended anew, at its address and under a new id unless ids are kept, and lists it in place of the old one.
