--- a/crates/lab/src/simulations/configuration/changes.rs
+++ b/crates/lab/src/simulations/configuration/changes.rs
@@ -15,7 +15,7 @@
 use super::packet::{ChangeAnswer, Packet, PlatformAnswer, PlatformRequest};
 
 /// How long an accepted change may take until it is in force on the node that wrote it.
-const SPREAD_PATIENCE: Duration = Duration::from_secs(8);
+const SPREAD_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// One change under way.
 #[derive(Debug)]
@@ -156,7 +156,7 @@
         match outcome {
             ChangeOutcome::Accepted { revision, register } => {
                 step.written.push(register.document().clone());
-                self.state = State::Spreading { revision, until: now + SPREAD_PATIENCE };
+                self.state = State::Spreading { revision, until: now + SPREAD_TIMEOUT };
                 None
             }
             ChangeOutcome::Refused(ChangeRefused::Conflict { current, .. }) => {
--- a/crates/lab/src/simulations/configuration/checks.rs
+++ b/crates/lab/src/simulations/configuration/checks.rs
@@ -35,11 +35,11 @@
         /// What was in force there.
         in_force: Option<Revision>,
     },
-    /// A change did not take effect as often as its operator was told.
+    /// A change did not take effect as often as its operator was answered.
     TookEffect {
         /// The change.
         change_id: String,
-        /// What the operator was told.
+        /// What the operator was answered.
         end: ChangeEnd,
         /// How often it took effect.
         times: usize,
@@ -49,7 +49,7 @@
         /// The change.
         change_id: String,
     },
-    /// What the operators were told can't be explained by changes one after the other.
+    /// What the operators were answered can't be explained by changes one after the other.
     NotLinearizable,
     /// More nodes of a region read the platform than may, though the members had not changed for a while.
     Readers {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Compares what operators were told with what the platform holds at the end.
+/// Compares what operators were answered with what the platform holds at the end.
 pub fn check_changes(records: &[ChangeRecord], platform: &Platform) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut times: BTreeMap<&str, usize> = BTreeMap::new();
--- a/crates/lab/src/simulations/configuration/history.rs
+++ b/crates/lab/src/simulations/configuration/history.rs
@@ -9,7 +9,7 @@
 
 use super::operator::{ChangeEnd, ChangeRecord};
 
-/// A change of the register by what its operator was told.
+/// A change of the register by what its operator was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterOperation {
     /// Took effect on top of `base` and made `revision`.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whether what the operators were told can be explained by changes that took effect one after the other, each
+/// Whether what the operators were answered can be explained by changes that took effect one after the other, each
 /// between its call and its answer. A change whose operator does not know counts as one that may take effect until
 /// the end, if the platform shows that it did, and as none otherwise.
 pub fn is_linearizable(records: &[ChangeRecord], committed: &BTreeSet<String>) -> bool {
--- a/crates/lab/src/simulations/configuration/mod.rs
+++ b/crates/lab/src/simulations/configuration/mod.rs
@@ -12,6 +12,7 @@
 pub mod membership;
 pub mod node;
 pub mod operator;
+pub mod options;
 pub mod packet;
 pub mod platform;
 mod report;
@@ -19,8 +20,9 @@
 
 use crate::simulations::ScheduleReport;
 
+use options::WorldOptions;
 pub use report::RunReport;
-use world::{World, WorldOptions};
+use world::World;
 
 /// Runs each seed once.
 pub fn run_seeds(seeds: impl IntoIterator<Item = u64>, options: &WorldOptions) -> RunReport {
--- a/crates/lab/src/simulations/configuration/node.rs
+++ b/crates/lab/src/simulations/configuration/node.rs
@@ -62,7 +62,7 @@
     watch_after: Option<Revision>,
     changes: Changes,
     in_force_log: Vec<(Timestamp, Revision)>,
-    life: u64,
+    incarnation: u64,
 }
 
 /// The name of the node with this number.
@@ -77,10 +77,10 @@
 }
 
 impl Node {
-    /// A node that holds nothing. `life` counts its restarts.
-    pub fn new(number: usize, life: u64, options: NodeOptions) -> Self {
+    /// A node that holds nothing. `incarnation` counts its restarts.
+    pub fn new(number: usize, incarnation: u64, options: NodeOptions) -> Self {
         let config = options.dissemination.clone();
-        let seed = u64::try_from(number).unwrap_or_default() * 1_000 + life;
+        let seed = u64::try_from(number).unwrap_or_default() * 1_000 + incarnation;
         Self {
             number,
             disseminator: Disseminator::new(node_name(number), "configuration", config),
@@ -90,27 +90,27 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             probe_at: Timestamp::ORIGIN,
             calls: BTreeMap::new(),
-            // Answers to calls of an earlier life must not be taken for answers to calls of this one.
-            next_call: life << 32,
+            // Answers to calls of an earlier incarnation must not be taken for answers to calls of this one.
+            next_call: incarnation << 32,
             reading: false,
             follow_at: None,
             watch_after: None,
             in_force_log: Vec::new(),
-            life,
+            incarnation,
         }
     }
 
     /// The node after a restart with nothing kept.
     pub fn restarted(&self) -> Self {
-        Self::new(self.number, self.life + 1, self.options.clone())
+        Self::new(self.number, self.incarnation + 1, self.options.clone())
     }
 
     /// How often it was restarted.
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// Each revision put in force in this life, with its time.
+    /// Each revision put in force in this incarnation, with its time.
     pub fn in_force_log(&self) -> &[(Timestamp, Revision)] {
         &self.in_force_log
     }
--- a/crates/lab/src/simulations/configuration/operator.rs
+++ b/crates/lab/src/simulations/configuration/operator.rs
@@ -14,9 +14,9 @@
 use super::packet::{ChangeAnswer, Packet, node_process};
 
 /// An operator waits so long for an answer.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(18);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(18);
 /// A question about the revision is asked again after this.
-const REVISION_PATIENCE: Duration = Duration::from_secs(1);
+const REVISION_TIMEOUT: Duration = Duration::from_secs(1);
 /// A change without an answer is repeated so often, under the same id.
 const REPEATS: u32 = 4;
 /// Settings that operators change.
@@ -31,9 +31,9 @@
 /// How a change ended for its operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEnd {
-    /// The operator was told that it is accepted.
+    /// It was answered as accepted.
     Accepted(Revision),
-    /// The operator was told that it lost a race, against this revision.
+    /// It was answered that it lost a race, against this revision.
     Conflict(Revision),
     /// Every try was answered with "nothing was written".
     NotWritten,
@@ -126,7 +126,7 @@
     }
 
     fn ask_revision(&mut self, now: Timestamp, outbox: &mut Outbox<Packet>) {
-        self.state = State::AskingRevision { until: now + REVISION_PATIENCE };
+        self.state = State::AskingRevision { until: now + REVISION_TIMEOUT };
         self.send(outbox, |question| Packet::AskRevision { question });
     }
 
@@ -155,7 +155,7 @@
     ) {
         let asked = change.clone();
         self.send(outbox, |question| Packet::AskChange { question, change: asked });
-        let until = now + ANSWER_PATIENCE;
+        let until = now + ANSWER_TIMEOUT;
         self.state = State::Changing { change, called, until, tries, only_unavailable };
     }
 
--- a/crates/lab/src/simulations/configuration/packet.rs
+++ b/crates/lab/src/simulations/configuration/packet.rs
@@ -97,7 +97,7 @@
     Conflict,
 }
 
-/// What an operator is told.
+/// What an operator is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeAnswer {
     /// It is written, and a majority of the quorum set holds it.
--- a/crates/lab/tests/configuration_simulation.rs
+++ b/crates/lab/tests/configuration_simulation.rs
@@ -6,7 +6,7 @@
 
 use lichenpulley_core::configuration::dissemination::Config;
 use lichenpulley_lab::simulations::configuration::checks::Violation;
-use lichenpulley_lab::simulations::configuration::world::{SwitchedOff, WorldOptions};
+use lichenpulley_lab::simulations::configuration::options::{SwitchedOff, WorldOptions};
 use lichenpulley_lab::simulations::configuration::{RunReport, run_seeds};
 use lichenpulley_simulation::FaultRates;
 
