--- a/crates/lab/src/simulations/replication/change.rs
+++ b/crates/lab/src/simulations/replication/change.rs
@@ -14,7 +14,7 @@
 use super::{RETRANSMIT_AFTER, transmit};
 
 /// A change is given up after this time; it can be taken up again.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A change under way.
 pub(super) struct Change {
@@ -56,7 +56,7 @@
     }
 
     fn run(reconfigurer: Reconfigurer, sets: [ReplicaSet; 2], now: Timestamp) -> Self {
-        Self { reconfigurer, sets, deadline: now + PATIENCE, installed: false }
+        Self { reconfigurer, sets, deadline: now + CHANGE_TIMEOUT, installed: false }
     }
 
     pub(super) fn next_wake(&self) -> Timestamp {
--- a/crates/lab/src/simulations/replication/check.rs
+++ b/crates/lab/src/simulations/replication/check.rs
@@ -7,7 +7,7 @@
 use super::claimant::ClaimRun;
 use super::owner::{Observation, ObservationKind};
 
-/// Looks at what all owners saw, in the order of time.
+/// Checks what all owners observed, in the order of time.
 ///
 /// Every list that an owner recovers or gets acknowledged is the decided log up to some position. So of any two,
 /// one is the beginning of the other; an owner that was superseded adds nothing to what its successor found; and a
--- a/crates/lab/src/simulations/replication/claimant.rs
+++ b/crates/lab/src/simulations/replication/claimant.rs
@@ -21,7 +21,7 @@
 use super::{PLATFORM, RETRANSMIT_AFTER, transmit};
 
 /// A claim without a verdict is given up after this time.
-const PATIENCE: Duration = Duration::from_millis(800);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
 /// A new id is issued so often; all claimants issue the same ids at the same times.
 const ISSUE_INTERVAL_MS: u64 = 200;
 /// Claims are made on ids of the last so many issues.
@@ -130,7 +130,7 @@
 
     fn claim(&mut self, now: Timestamp, claim: ClaimRequest, began: Timestamp) {
         let tally = ClaimTally::new(&self.set);
-        let deadline = began + PATIENCE;
+        let deadline = began + CLAIM_TIMEOUT;
         self.activity = Activity::Claiming(Claiming { claim, tally, began, deadline, next_send: now });
     }
 
--- a/crates/lab/src/simulations/replication/mod.rs
+++ b/crates/lab/src/simulations/replication/mod.rs
@@ -93,7 +93,7 @@
     pub continued: usize,
     /// Messages delivered.
     pub messages: u64,
-    /// What owners saw, with the process of each, in the order of time.
+    /// What owners observed, with the process of each, in the order of time.
     pub observations: Vec<(usize, Observation)>,
     /// Claims, in the order of their ends.
     pub claims: Vec<ClaimRun>,
--- a/crates/lab/src/simulations/replication/operator.rs
+++ b/crates/lab/src/simulations/replication/operator.rs
@@ -15,8 +15,8 @@
 use super::change::{Change, ChangeEnd};
 use super::message::Message;
 
-/// Time between two looks at a replica set.
-const LOOK_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between two polls of a replica set.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// An operator process.
 pub(super) struct Operator {
@@ -26,8 +26,8 @@
     shards: Vec<ShardId>,
     /// Every store as it is now.
     stores: Vec<SetMember>,
-    next_look: Timestamp,
-    looks: u64,
+    next_poll: Timestamp,
+    polls: u64,
     /// A change, and the document that it is about.
     change: Option<(Change, Revision, ReplicaSetDocument)>,
 }
@@ -41,8 +41,8 @@
         checks: ReconfigurerChecks,
     ) -> Self {
         let random = Pcg64Mcg::seed_from_u64(seed);
-        let next_look = Timestamp::ORIGIN + LOOK_INTERVAL;
-        Self { name, checks, random, shards, stores, next_look, looks: 0, change: None }
+        let next_poll = Timestamp::ORIGIN + POLL_INTERVAL;
+        Self { name, checks, random, shards, stores, next_poll, polls: 0, change: None }
     }
 
     /// The operator after a crash: a change that it had begun is found in the platform.
@@ -51,8 +51,8 @@
         let seed = random.random();
         let (name, shards, stores) = (self.name.clone(), self.shards.clone(), self.stores.clone());
         let mut operator = Self::new(name, seed, shards, stores, self.checks);
-        operator.looks = self.looks;
-        operator.next_look = self.next_look;
+        operator.polls = self.polls;
+        operator.next_poll = self.next_poll;
         operator
     }
 
@@ -69,25 +69,25 @@
                 outbox.send(PLATFORM, Message::Write { base: *version, document: settled });
             }
             self.change = None;
-            self.next_look = now + LOOK_INTERVAL;
+            self.next_poll = now + POLL_INTERVAL;
             return;
         }
-        if now >= self.next_look {
-            self.next_look = now + LOOK_INTERVAL;
-            self.looks += 1;
-            let shard = &self.shards[self.looks as usize % self.shards.len()];
+        if now >= self.next_poll {
+            self.next_poll = now + POLL_INTERVAL;
+            self.polls += 1;
+            let shard = &self.shards[self.polls as usize % self.shards.len()];
             outbox.send(PLATFORM, Message::Read(shard.clone()));
         }
     }
 
-    fn look(
+    fn judge_set(
         &mut self,
         now: Timestamp,
         version: Revision,
         document: ReplicaSetDocument,
         outbox: &mut Outbox<Message>,
     ) {
-        let transfer = format!("{}/{}/{}", self.name, self.looks, now.as_micros());
+        let transfer = format!("{}/{}/{}", self.name, self.polls, now.as_micros());
         if let Some(pending) = &document.pending {
             let change = Change::new(&document.current, pending, transfer, self.checks, now);
             self.change = Some((change, version, document));
@@ -133,7 +133,7 @@
                 }
             }
             Message::Document { version, document } if self.change.is_none() => {
-                self.look(now, version, document, outbox);
+                self.judge_set(now, version, document, outbox);
             }
             _ => {}
         }
@@ -141,6 +141,6 @@
     }
 
     fn next_wake(&self) -> Option<Timestamp> {
-        Some(self.change.as_ref().map_or(self.next_look, |(change, ..)| change.next_wake()))
+        Some(self.change.as_ref().map_or(self.next_poll, |(change, ..)| change.next_wake()))
     }
 }
--- a/crates/lab/src/simulations/replication/owner/mod.rs
+++ b/crates/lab/src/simulations/replication/owner/mod.rs
@@ -1,4 +1,10 @@
 //! An owner of the log: takes it over, appends, compacts, is superseded, and takes it over again.
+//!
+//! Owns what it knows to be decided and what it observed. Relies on the core's proposer, and on [`set_change`] for
+//! changes of the log's stores.
+
+mod observation;
+mod set_change;
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,24 +12,22 @@
 use lichenpulley_core::identity::{Epoch, ShardId};
 use lichenpulley_core::replication::ballot::ProposerId;
 use lichenpulley_core::replication::entry::LogIndex;
-use lichenpulley_core::replication::log::RecoveredLog;
-use lichenpulley_core::replication::placement::best_addition;
-use lichenpulley_core::replication::proposer::{
-    EndReason, Proposer, ProposerChecks, ProposerConfig, ProposerEvent,
-};
-use lichenpulley_core::replication::reconfigurer::{ChangeOwner, ReconfigurerChecks};
+use lichenpulley_core::replication::proposer::{Proposer, ProposerChecks, ProposerConfig, ProposerEvent};
+use lichenpulley_core::replication::reconfigurer::ReconfigurerChecks;
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{Outbox, Process, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::change::{Change, ChangeEnd};
+use super::change::Change;
 use super::message::Message;
 use super::{PLATFORM, RETRANSMIT_AFTER, transmit};
+pub use observation::{Observation, ObservationKind};
+use observation::{decode_log, encode, name_bits};
 
 /// A take-over or an append that gets nowhere is given up after this time.
-const PATIENCE: Duration = Duration::from_secs(2);
+const STEP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two appends.
 const APPEND_INTERVAL: Duration = Duration::from_millis(40);
 /// The shortest pause before a take-over.
@@ -34,39 +38,6 @@
 const LONGEST_PAUSE_OF_CHANGERS: Duration = Duration::from_secs(4);
 /// Appends between two snapshots.
 const APPENDS_PER_SNAPSHOT: u64 = 12;
-/// Bytes of one record.
-const RECORD_BYTES: usize = 8;
-
-/// What an owner saw, for the check afterwards.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Observation {
-    /// When.
-    pub at: Timestamp,
-    /// Which epoch.
-    pub epoch: Epoch,
-    /// What.
-    pub kind: ObservationKind,
-}
-
-/// A step in an owner's life.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ObservationKind {
-    /// It began to take the log over.
-    Began,
-    /// It took the log over and found these records.
-    Recovered(Vec<u64>),
-    /// It goes on in another set of stores.
-    Continued,
-    /// It asked for this record to be appended.
-    Appending(u64),
-    /// This many records, with these at the end, are acknowledged.
-    Acknowledged {
-        /// How many there are in all.
-        length: usize,
-        /// The last of them.
-        records: Vec<u64>,
-    },
-}
 
 /// Mechanisms of an owner.
 #[derive(Clone, Copy, Debug)]
@@ -112,7 +83,7 @@
     /// The longest pause before a take-over.
     longest_pause: Duration,
     appends: u64,
-    lives: u64,
+    incarnations: u64,
     /// Whether it begins new take-overs and appends.
     pub(super) active: bool,
     pub(super) observations: Vec<Observation>,
@@ -135,7 +106,7 @@
             stores: Vec::new(),
             longest_pause: LONGEST_PAUSE,
             appends: 0,
-            lives: 0,
+            incarnations: 0,
             active: true,
             observations: Vec::new(),
         }
@@ -146,7 +117,7 @@
         let mut random = self.random.clone();
         let seed = random.random();
         let mut owner = Self::new(self.name.clone(), seed, self.set.clone(), self.checks);
-        owner.lives = self.lives;
+        owner.incarnations = self.incarnations;
         owner.appends = self.appends;
         owner.active = self.active;
         owner.longest_pause = self.longest_pause;
@@ -200,8 +171,8 @@
             return;
         }
         outbox.send(PLATFORM, Message::Read(self.shard.clone()));
-        self.lives += 1;
-        let id = ProposerId::new(format!("{}/{}", self.name, self.lives));
+        self.incarnations += 1;
+        let id = ProposerId::new(format!("{}/{}", self.name, self.incarnations));
         let config = ProposerConfig {
             retransmit_after: RETRANSMIT_AFTER,
             maximum_batch_bytes: 300,
@@ -213,53 +184,8 @@
         self.observe(now, proposer.epoch(), ObservationKind::Began);
         self.pending.clear();
         (self.chosen, self.confirming) = (None, None);
-        self.activity = Activity::Proposing { proposer, deadline: now + PATIENCE };
-        self.next_append = now + PATIENCE;
-    }
-
-    fn advance_change(&mut self, now: Timestamp, outbox: &mut Outbox<Message>) {
-        let Activity::Changing { change, leading } = &mut self.activity else { return };
-        match change.advance(now, false, outbox) {
-            Some(ChangeEnd::InForce(set)) => {
-                let leading = leading.take().filter(|(_, next)| next == &set);
-                self.set = set;
-                match leading {
-                    Some((proposer, _)) => self.continue_in_set(now, proposer),
-                    None => self.wait(now),
-                }
-            }
-            Some(ChangeEnd::GivenUp) => self.wait(now),
-            None => {}
-        }
-    }
-
-    /// An owner that brought the next set into force goes on in it.
-    fn continue_in_set(&mut self, now: Timestamp, mut proposer: Box<Proposer>) {
-        let Ok(through) = proposer.continue_in(self.set.clone()) else { return self.wait(now) };
-        self.confirming = Some(through);
-        self.activity = Activity::Proposing { proposer, deadline: now + PATIENCE };
-    }
-
-    /// Chooses the set that is to follow, where a member's disk is gone.
-    fn choose_set(&mut self) -> Option<ReplicaSet> {
-        let is_here = |member: &&SetMember| self.stores.iter().any(|store| store.store == member.store);
-        let lost = self.set.members.iter().find(|member| !is_here(member))?;
-        let mut staying = self.set.members.clone();
-        staying.retain(|member| member.store != lost.store);
-        let joining = best_addition(&self.shard, &staying, &self.stores)?;
-        self.set.with_replaced(&lost.store, joining)
-    }
-
-    /// Begins to bring the chosen set into force, once the log says so.
-    fn change_set(&mut self, now: Timestamp, next: ReplicaSet) {
-        let activity = std::mem::replace(&mut self.activity, Activity::Waiting { until: now });
-        let Activity::Proposing { proposer, .. } = activity else { return };
-        let transfer = format!("{}/{}/{}", self.name, self.lives, now.as_micros());
-        let change = Change::new(&self.set, &next, transfer, self.checks.reconfigurer, now);
-        let ballot = proposer.ballot().clone();
-        let owner = ChangeOwner { ballot, decided_through: proposer.decided_through() };
-        let change = Box::new(change.with_owner(owner));
-        self.activity = Activity::Changing { change, leading: Some((proposer, next)) };
+        self.activity = Activity::Proposing { proposer, deadline: now + STEP_TIMEOUT };
+        self.next_append = now + STEP_TIMEOUT;
     }
 
     fn append_if_due(&mut self, now: Timestamp) {
@@ -275,7 +201,7 @@
         if let Some(next) = next_set {
             // A refusal says that it does not lead yet.
             if let Ok(through) = proposer.append_next_set(next.clone()) {
-                *deadline = now + PATIENCE;
+                *deadline = now + STEP_TIMEOUT;
                 self.chosen = Some((through, next));
             }
             return;
@@ -287,12 +213,13 @@
             return;
         }
         let count = self.random.random_range(1..=3_u64);
-        let record = |number| (self.lives << 40) + (self.appends << 8) + number + name_bits(&self.name);
+        let record =
+            |number| (self.incarnations << 40) + (self.appends << 8) + number + name_bits(&self.name);
         let records: Vec<u64> = (0..count).map(record).collect();
         let Ok(last) = proposer.append(records.iter().map(|record| encode(&[*record])).collect()) else {
             return;
         };
-        *deadline = now + PATIENCE;
+        *deadline = now + STEP_TIMEOUT;
         let epoch = proposer.epoch();
         let first = last.0 + 1 - count;
         for (index, record) in (first..).map(LogIndex).zip(records) {
@@ -312,7 +239,7 @@
                     let known = if knows { std::mem::take(&mut self.decided) } else { Vec::new() };
                     self.decided = known.into_iter().chain(found).collect();
                     self.next_append = now;
-                    *deadline = now + PATIENCE * 1_000;
+                    *deadline = now + STEP_TIMEOUT * 1_000;
                     self.observe(now, epoch, ObservationKind::Recovered(self.decided.clone()));
                     if let Some(next) = recovered.next_set
                         && next.generation > self.set.generation
@@ -333,7 +260,7 @@
             self.confirming = None;
             self.next_append = now;
             if let Activity::Proposing { deadline, .. } = &mut self.activity {
-                *deadline = now + PATIENCE * 1_000;
+                *deadline = now + STEP_TIMEOUT * 1_000;
             }
             self.observe(now, epoch, ObservationKind::Continued);
         }
@@ -354,28 +281,12 @@
         if self.pending.is_empty()
             && let Activity::Proposing { deadline, .. } = &mut self.activity
         {
-            *deadline = now + PATIENCE * 1_000;
+            *deadline = now + STEP_TIMEOUT * 1_000;
         }
         let length = self.decided.len();
         self.observe(now, epoch, ObservationKind::Acknowledged { length, records });
     }
 
-    fn ended(&mut self, now: Timestamp, reason: EndReason) {
-        let transfer = format!("{}/{}", self.name, self.lives);
-        if reason == EndReason::NotInstalled {
-            let change = Box::new(Change::catch_up(&self.set, transfer, now));
-            self.activity = Activity::Changing { change, leading: None };
-            return;
-        }
-        let EndReason::Replaced { next } = reason else { return self.wait(now) };
-        if next.generation > self.set.generation.next() {
-            self.set = next;
-            return self.wait(now);
-        }
-        let change = Change::new(&self.set, &next, transfer, self.checks.reconfigurer, now);
-        self.activity = Activity::Changing { change: Box::new(change), leading: None };
-    }
-
     fn give_up_if_late(&mut self, now: Timestamp) {
         if let Activity::Proposing { deadline, .. } = &self.activity
             && now >= *deadline
@@ -434,23 +345,3 @@
         }
     }
 }
-
-/// Tells the records of owners apart.
-fn name_bits(name: &str) -> u64 {
-    name.bytes().last().map_or(0, |byte| u64::from(byte) << 56)
-}
-
-fn encode(records: &[u64]) -> Vec<u8> {
-    records.iter().flat_map(|record| record.to_le_bytes()).collect()
-}
-
-fn decode(bytes: &[u8]) -> Vec<u64> {
-    let (records, _) = bytes.as_chunks::<RECORD_BYTES>();
-    records.iter().map(|record| u64::from_le_bytes(*record)).collect()
-}
-
-fn decode_log(recovered: &RecoveredLog) -> Vec<u64> {
-    let snapshot = recovered.snapshot.as_deref().map(decode).unwrap_or_default();
-    let records = recovered.records.iter().flat_map(|record| decode(record));
-    snapshot.into_iter().chain(records).collect()
-}
--- a/crates/lab/src/simulations/replication/world.rs
+++ b/crates/lab/src/simulations/replication/world.rs
@@ -154,9 +154,9 @@
             self.apply(&Fault::Restart(id));
         }
         self.set_platform(false, false);
-        self.tell_operators();
+        self.notify_operators();
         if self.changes == Changes::ByOwner {
-            self.tell_owners();
+            self.notify_owners();
         }
         self.simulation.run_for(CALM_TIME / 2);
         for owner in FIRST_OWNER..FIRST_CLAIMANT {
@@ -171,7 +171,7 @@
             });
         }
         if self.changes == Changes::ByOwner {
-            self.tell_owners();
+            self.notify_owners();
         }
         self.simulation.run_for(CALM_TIME / 2);
     }
@@ -220,9 +220,9 @@
 
     /// Platform outages, lost replies, clocks that jump, and disks that are lost.
     fn draw_other_faults(&mut self) {
-        self.tell_operators();
+        self.notify_operators();
         if self.changes == Changes::ByOwner {
-            self.tell_owners();
+            self.notify_owners();
             self.cut_changing_owner();
         }
         match self.random.random_range(0..30) {
@@ -272,8 +272,8 @@
         self.simulation.restart(id, |_| Member::Store(Box::new(Store::new(store, config))));
     }
 
-    /// Tells operators which stores there are; those that are down or frozen learn it later.
-    fn tell_operators(&mut self) {
+    /// Notifies operators which stores there are; those that are down or frozen learn it later.
+    fn notify_operators(&mut self) {
         let stores = self.stores();
         for operator in FIRST_OPERATOR..FIRST_OWNER {
             let stores = stores.clone();
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Tells owners which stores there are, and those that look for the log its latest set.
-    fn tell_owners(&mut self) {
+    /// Notifies owners which stores there are, and those that look for the log its latest set.
+    fn notify_owners(&mut self) {
         let (stores, in_force) = (self.stores(), self.latest_log_set());
         for owner in FIRST_OWNER..FIRST_CLAIMANT {
             let (stores, in_force) = (stores.clone(), in_force.clone());
@@ -351,10 +351,10 @@
     }
 }
 
-/// Store `number` with its disk of the given life.
-fn member(number: usize, life: u64) -> SetMember {
+/// Store `number` with one of its disks: a lost one is replaced by another.
+fn member(number: usize, disk: u64) -> SetMember {
     SetMember {
-        store: StoreId::new(format!("disk-{number}-{life}")),
+        store: StoreId::new(format!("disk-{number}-{disk}")),
         node: NodeId::new(format!("store-{number}")),
         zone: ZoneName::new(ZONES[number % ZONES.len()]),
         address: (FIRST_STORE + number).to_string(),
