--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -20,9 +20,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
+use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
 use crate::error::LabError;
+use caller::Callers;
 use fault::PlannedFault;
 use history::Violation;
 use job_ends::{ACKNOWLEDGED_WITHIN, CANCELLED_WITHIN};
@@ -32,8 +34,12 @@
 const REPLICA_ENDS: f64 = 0.3;
 /// The part of the faults during which a second one begins.
 const STORM_SHARE: f64 = 0.6;
-/// Callers that end jobs.
+/// Callers that end jobs. Chosen, not measured: one for each gateway.
 const ENDERS: usize = 3;
+/// Callers that run jobs to their end. Chosen, not measured: one for each gateway.
+const JOB_RUNNERS: usize = 3;
+/// Callers of requests that must not run twice. Chosen, not measured: fewer would seldom meet a fault in a short soak.
+const WRITERS: usize = 2;
 
 /// What to run.
 #[derive(Clone, Debug)]
@@ -85,19 +91,48 @@
 /// # Errors
 /// When a process can't be started, or ends by itself.
 pub async fn soak(config: &SoakConfig) -> Result<SoakReport, LabError> {
-    let mut random = Pcg64Mcg::seed_from_u64(config.seed);
     let mut system = SoakSystem::spawn(&config.binary, &config.folder).await?;
     if config.has_storms {
         system.spare_replicas().await?;
     }
     let callers = system.callers();
     let until = Instant::now() + config.duration;
+    let calls = spawn_callers(&callers, config, until);
+    let faults = play_faults(&mut system, &callers, config, until).await?;
+    system.revive().await?;
+    let well_since = std::time::Instant::now();
+    for call in calls {
+        // A task that panicked has failed the soak.
+        call.await.map_err(|error| LabError::CheckFailed(error.to_string()))?;
+    }
+    system.check_ending().await?;
+    system.check_all_again().await;
+    if config.has_storms {
+        let watched_until = well_since + ACKNOWLEDGED_WITHIN + CANCELLED_WITHIN + WATCHED_FOR;
+        tokio::time::sleep_until(watched_until.into()).await;
+    }
+    Ok(judge(config.seed, faults, &system, &callers, well_since))
+}
+
+/// Starts everyone who calls the gateways while faults fall.
+fn spawn_callers(callers: &Callers, config: &SoakConfig, until: Instant) -> Vec<JoinHandle<()>> {
     let enders = if config.has_storms { ENDERS } else { 0 };
-    let enders: Vec<_> =
-        (0..enders).map(|name| tokio::spawn(callers.clone().end_jobs(name, config.seed, until))).collect();
-    let jobs: Vec<_> = (0..3).map(|name| tokio::spawn(callers.clone().run_jobs(name, until))).collect();
-    let writes: Vec<_> = (0..2).map(|name| tokio::spawn(callers.clone().write(name, until))).collect();
-    let ending = tokio::spawn(callers.clone().keep_ending(until));
+    let mut calls = Vec::new();
+    calls.extend((0..enders).map(|name| tokio::spawn(callers.clone().end_jobs(name, config.seed, until))));
+    calls.extend((0..JOB_RUNNERS).map(|name| tokio::spawn(callers.clone().run_jobs(name, until))));
+    calls.extend((0..WRITERS).map(|name| tokio::spawn(callers.clone().write(name, until))));
+    calls.push(tokio::spawn(callers.clone().keep_ending(until)));
+    calls
+}
+
+/// Draws faults and plays them one after the other until a time.
+async fn play_faults(
+    system: &mut SoakSystem,
+    callers: &Callers,
+    config: &SoakConfig,
+    until: Instant,
+) -> Result<Vec<FaultRecord>, LabError> {
+    let mut random = Pcg64Mcg::seed_from_u64(config.seed);
     // Draws of their own, so that a seed gives the faults that it always gave.
     let mut ends = Pcg64Mcg::seed_from_u64(!config.seed);
     let mut storms = Pcg64Mcg::seed_from_u64(config.seed.rotate_left(32));
@@ -112,47 +147,49 @@
             .then(|| PlannedFault::draw_beside(system.size(), &mut storms))
             .filter(|beside| !beside.fault.clashes_with(&planned.fault));
         let at_ms = callers.now_ms();
-        let fault = match beside {
-            None => {
-                system.play(planned).await?;
-                planned.to_string()
-            }
-            Some(beside) => {
-                system.play_storm(&[planned, beside]).await?;
-                format!("{:?}, then {:?}", planned.fault, beside.fault)
-            }
-        };
+        let fault = play(system, planned, beside).await?;
         let lasted_ms = callers.now_ms() - at_ms;
         faults.push(FaultRecord { at_ms, lasted_ms, fault });
         tokio::time::sleep(planned.pause).await;
     }
-    system.revive().await?;
-    let well_since = std::time::Instant::now();
-    for task in jobs.into_iter().chain(writes).chain(enders) {
-        // A task that panicked has failed the soak.
-        task.await.map_err(|error| LabError::CheckFailed(error.to_string()))?;
-    }
-    ending.await.map_err(|error| LabError::CheckFailed(error.to_string()))?;
-    system.check_ending().await?;
-    system.check_all_again().await;
-    if config.has_storms {
-        let watched_until = well_since + ACKNOWLEDGED_WITHIN + CANCELLED_WITHIN + WATCHED_FOR;
-        tokio::time::sleep_until(watched_until.into()).await;
-    }
+    Ok(faults)
+}
+
+/// Plays a fault, with one beside it where there is one, and describes it.
+async fn play(
+    system: &mut SoakSystem,
+    planned: PlannedFault,
+    beside: Option<PlannedFault>,
+) -> Result<String, LabError> {
+    let Some(beside) = beside else {
+        system.play(planned).await?;
+        return Ok(planned.to_string());
+    };
+    system.play_storm(&[planned, beside]).await?;
+    Ok(format!("{:?}, then {:?}", planned.fault, beside.fault))
+}
+
+/// Compares what callers saw with what replicas ran.
+fn judge(
+    seed: u64,
+    faults: Vec<FaultRecord>,
+    system: &SoakSystem,
+    callers: &Callers,
+    well_since: std::time::Instant,
+) -> SoakReport {
     let mut history = callers.history();
     history.check_ends(callers.now_ms(), &system.seen(), well_since);
     history.check_runs(callers.now_ms(), &system.seen());
     let writes_answered = history.writes.iter().filter(|write| write.status.is_some_and(|s| s.is_success()));
-    let writes_answered = writes_answered.count();
-    Ok(SoakReport {
-        seed: config.seed,
+    SoakReport {
+        seed,
         faults,
         results: history.results_read(),
         writes: history.writes.len(),
-        writes_answered,
+        writes_answered: writes_answered.count(),
         jobs_ended: history.ends.count(),
         violations: history.violations.clone(),
-    })
+    }
 }
 
 /// `lichenpulley-lab soak`.
