--- a/crates/lab/src/arguments.rs
+++ b/crates/lab/src/arguments.rs
@@ -29,7 +29,7 @@
     options
 }
 
-/// What every stand-in is told.
+/// The options that every stand-in takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandInArguments {
     /// Where it serves.
@@ -107,7 +107,7 @@
     text.parse().map_err(|error| LabError::Usage(format!("--{name} `{text}`: {error}")))
 }
 
-/// Ends when the process is told to stop, by SIGTERM or SIGINT.
+/// Ends when the process gets SIGTERM or SIGINT.
 ///
 /// # Errors
 /// When the signals can't be watched.
--- a/crates/lab/src/demo/disturbance.rs
+++ b/crates/lab/src/demo/disturbance.rs
@@ -8,7 +8,7 @@
 use crate::engine::faults::EngineFault;
 use crate::trainer::Trainer;
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ENGINE_DOWN_MS: u64 = 1_000;
 
 /// Crashes an engine after the first step's samples and kills the owner of the job after the second step's.
@@ -23,7 +23,7 @@
 
 async fn wait_until_trained(trainer: &Trainer, samples: u64) {
     while trainer.report().samples < samples {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -22,7 +22,7 @@
 pub use summary::DemoSummary;
 pub use system::{PoolPlan, System, SystemPlan};
 
-/// The job must be done by then, or the demonstration fails.
+/// The job must be done within this time, or the demonstration fails.
 const JOB_LIMIT: Duration = Duration::from_secs(45);
 
 const TRAINED_POOL: &str = "diagnosis";
@@ -101,7 +101,7 @@
     pools.into_iter().map(|pool| LiveLoad::start(&gateways, pool, longest)).collect()
 }
 
-/// Goes on with live requests until the process is told to stop.
+/// Goes on with live requests until the process is stopped.
 async fn hold_open(system: &System) -> Result<(), LabError> {
     println!("\nLive requests go on until Ctrl-C.");
     let load = start_live_load(system, HOLD_LIMIT);
--- a/crates/lab/src/demo/system.rs
+++ b/crates/lab/src/demo/system.rs
@@ -20,7 +20,7 @@
 /// How long the nodes may take to find each other and the engines.
 const READY_LIMIT: Duration = Duration::from_secs(20);
 
-/// How often readiness is looked at.
+/// Time between two polls of readiness.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A pool of the system.
@@ -70,8 +70,8 @@
             remedy: "set TMPDIR to a folder that can be written",
             source,
         })?;
-        let object_api = object_api::start(object_api::Options::loopback()).await?;
-        let machine_list = machine_list::start(machine_list::Options::loopback()).await?;
+        let object_api = object_api::start(object_api::ObjectApiOptions::loopback()).await?;
+        let machine_list = machine_list::start(machine_list::MachineListOptions::loopback()).await?;
         let weight_store = weight_store::start(WeightStoreOptions::default()).await?;
         let scorer = scorer::start(any_port, any_port).await?;
         let platform = PlatformAddresses {
--- a/crates/lab/src/engine/api.rs
+++ b/crates/lab/src/engine/api.rs
@@ -16,7 +16,7 @@
 
 const STREAMS: &str = "/v1/streams";
 const STREAM_PREFIX: &str = "/v1/streams/";
-/// What a refused caller is told to wait, in milliseconds.
+/// The wait that a refusal advises, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Answers one request to the engine.
--- a/crates/lab/src/engine/model.rs
+++ b/crates/lab/src/engine/model.rs
@@ -137,7 +137,7 @@
     /// # Errors
     /// See [`SubmitError`]; in each case no stream was started.
     pub fn submit(&mut self, now: Timestamp, request: &StreamRequest) -> Result<Submission, SubmitError> {
-        // Never two streams for one attempt: a known id is looked at before anything else.
+        // Never two streams for one attempt: a known id is recognised before anything else.
         match self.streams.get(&request.attempt) {
             Some(Some(_)) => return Ok(Submission::Attached),
             Some(None) => return Err(SubmitError::AttemptUsed(request.attempt.clone())),
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load generator: live requests at a rate of their own (open loop) or by callers that wait for one another
+//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by callers that wait for one another
 //! (closed loop), each answer verified whole.
 
 mod call;
--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -36,7 +36,7 @@
 
 /// How the stand-in starts.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct MachineListOptions {
     /// Where it serves; port 0 takes a free one.
     pub address: SocketAddr,
     /// Where it takes fault orders; port 0 takes a free one.
@@ -47,7 +47,7 @@
     pub faults: MachineListFaults,
 }
 
-impl Options {
+impl MachineListOptions {
     /// Empty, healthy and without lag, on free ports of the loopback address.
     pub fn loopback() -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// When an address can't be bound.
-pub async fn start(options: Options) -> Result<MachineListServer, LabError> {
+pub async fn start(options: MachineListOptions) -> Result<MachineListServer, LabError> {
     let state = Arc::new(State::new(options.machines, options.faults));
     let serving = Arc::clone(&state);
     let server = http::serve(options.address, move |request| {
@@ -121,7 +121,7 @@
         Some(path) => read_machines(&path)?,
         None => Vec::new(),
     };
-    let options = Options {
+    let options = MachineListOptions {
         address: arguments.address,
         faults_address: arguments.faults_address,
         machines,
--- a/crates/lab/src/metadata_store/mod.rs
+++ b/crates/lab/src/metadata_store/mod.rs
@@ -269,7 +269,7 @@
                 return shared.raw_json(&Events { events, at: objects.revision() });
             }
         }
-        // Whether it was woken or the time is over, the loop looks again.
+        // Whether it was woken or the time is over, the loop checks again.
         let _ = tokio::time::timeout_at(deadline, changed).await;
     }
 }
--- a/crates/lab/src/object_api/faults.rs
+++ b/crates/lab/src/object_api/faults.rs
@@ -10,7 +10,7 @@
 pub struct ObjectApiFaults {
     /// Every connection is closed without an answer, and nothing takes effect.
     pub down: bool,
-    /// Milliseconds that each request waits before it is looked at.
+    /// Milliseconds that each request waits before it is read.
     pub slow_ms: u64,
     /// The replies of this many further writes are lost, after the write has taken effect.
     pub lose_next_replies: u32,
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -23,7 +23,7 @@
 
 /// How the stand-in starts.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct ObjectApiOptions {
     /// Where it serves; port 0 takes a free one.
     pub address: SocketAddr,
     /// Where it takes fault orders; port 0 takes a free one.
@@ -32,7 +32,7 @@
     pub faults: ObjectApiFaults,
 }
 
-impl Options {
+impl ObjectApiOptions {
     /// Healthy, on free ports of the loopback address.
     pub fn loopback() -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// When an address can't be bound.
-pub async fn start(options: Options) -> Result<ObjectApi, LabError> {
+pub async fn start(options: ObjectApiOptions) -> Result<ObjectApi, LabError> {
     let state = Arc::new(State::new(options.faults));
     let serving = Arc::clone(&state);
     let server = http::serve(options.address, move |request| {
@@ -101,7 +101,7 @@
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
     let Some(matches) = parse("object-api", &stand_in_options(), arguments)? else { return Ok(()) };
     let arguments = StandInArguments::from_matches(&matches)?;
-    let options = Options {
+    let options = ObjectApiOptions {
         address: arguments.address,
         faults_address: arguments.faults_address,
         faults: ObjectApiFaults::default(),
--- a/crates/lab/src/platform_duties.rs
+++ b/crates/lab/src/platform_duties.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's calls that one node makes at a time: it judges fences, keeps what it was told, and fails
+//! A stand-in for the platform's calls that one node makes at a time: it judges fences, keeps the calls that it took, and fails
 //! as it is asked to.
 
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     Well,
     /// It does nothing and says so.
     Busy,
-    /// It does what it is told, and its answer is lost.
+    /// It takes the call, and its answer is lost.
     LosesAnswers,
 }
 
@@ -54,7 +54,7 @@
     _server: Server,
 }
 
-/// Starts a stand-in that was told nothing, on a free loopback port.
+/// Starts a stand-in that has taken no call, on a free loopback port.
 ///
 /// # Errors
 /// When no port can be had.
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -134,7 +134,7 @@
         lock(&self.state).behaviour = behaviour;
     }
 
-    /// Turns cold for so long; beyond so many requests in one second it falls over.
+    /// Turns cold for `lasts`; beyond `stands` requests in one second it falls over.
     pub fn turn_cold(&self, lasts: Duration, stands: usize) {
         let until = Instant::now() + lasts;
         lock(&self.state).cold = Some(ColdStretch::new(until, stands));
--- a/crates/lab/src/simulations/configuration/membership.rs
+++ b/crates/lab/src/simulations/configuration/membership.rs
@@ -64,7 +64,7 @@
         self.pairs[node * count..(node + 1) * count].fill(Pair::default());
     }
 
-    /// Looks at who can be reached now.
+    /// Takes in who can be reached now.
     pub fn update(&mut self, reachability: &Reachability, now: Timestamp) {
         let count = self.zones.len();
         for from in (0..count).filter(|from| reachability.running[*from]) {
--- a/crates/lab/src/simulations/configuration/node.rs
+++ b/crates/lab/src/simulations/configuration/node.rs
@@ -28,7 +28,7 @@
 pub struct NodeOptions {
     /// How documents spread.
     pub dissemination: Config,
-    /// Whether a change's id is looked for in the register. Off only in a proof.
+    /// Whether a writer does not search the register for the change's id. Only in a proof.
     pub forgets_change_ids: bool,
 }
 
--- a/crates/lab/src/simulations/configuration/options.rs
+++ b/crates/lab/src/simulations/configuration/options.rs
@@ -13,9 +13,9 @@
     /// Everything is on.
     #[default]
     Nothing,
-    /// The platform does not look at the base version of a write.
+    /// The platform does not check the base version of a write.
     BaseVersion,
-    /// Writers do not look for the change's id.
+    /// Writers do not search the register for the change's id.
     ChangeIds,
     /// Nodes take in whatever arrives.
     MonotoneGuard,
--- a/crates/lab/src/simulations/configuration/platform.rs
+++ b/crates/lab/src/simulations/configuration/platform.rs
@@ -38,7 +38,7 @@
     /// Every change that took effect, in order.
     committed: Vec<AppliedChange>,
     lost_replies: u64,
-    /// Whether the base version of a write is looked at. Off only in a proof.
+    /// Whether the base version of a write is checked. Off only in a proof.
     checks_base_version: bool,
 }
 
--- a/crates/lab/src/simulations/configuration/world/observer.rs
+++ b/crates/lab/src/simulations/configuration/world/observer.rs
@@ -17,7 +17,7 @@
 
 /// Time between two updates of the failure detector.
 const VIEW_STEP: Duration = Duration::from_millis(250);
-/// Readers are counted once no node and no cut has come or gone for so long.
+/// Readers are counted once no node and no cut has come or gone within this time.
 const VIEWS_SETTLED: Duration = Duration::from_secs(10);
 
 impl World {
--- a/crates/lab/src/simulations/replication/world.rs
+++ b/crates/lab/src/simulations/replication/world.rs
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Notifies owners which stores there are, and those that look for the log its latest set.
+    /// Notifies owners which stores there are, and those that search for the log of its latest set.
     fn notify_owners(&mut self) {
         let (stores, in_force) = (self.stores(), self.latest_log_set());
         for owner in FIRST_OWNER..FIRST_CLAIMANT {
--- a/crates/lab/src/simulations/rollout/owner.rs
+++ b/crates/lab/src/simulations/rollout/owner.rs
@@ -21,7 +21,7 @@
 
 /// A request to a store without an answer is sent again after this time.
 const RETRANSMIT: Duration = Duration::from_millis(60);
-/// An owner that nobody asks for so long believes that another one owns the job, and stops.
+/// An owner that nobody has asked within this time takes another one for the job's owner, and stops.
 const ABANDONED: Duration = Duration::from_secs(2);
 
 /// How owners are set up.
@@ -33,7 +33,7 @@
     pub(super) log: ProposerChecks,
 }
 
-/// Counts over all lives of one owner.
+/// Counts over all incarnations of one owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OwnerCounts {
     pub(super) takeovers: u64,
@@ -63,7 +63,7 @@
 pub(super) struct Owner {
     number: usize,
     setup: OwnerSetup,
-    /// Counts take-overs over all lives, so that proposers are never named alike.
+    /// Counts takeovers over all incarnations, so that proposers are never named alike.
     terms: u64,
     counts: OwnerCounts,
     term: Option<Term>,
--- a/crates/lab/src/simulations/rollout/trainer.rs
+++ b/crates/lab/src/simulations/rollout/trainer.rs
@@ -13,7 +13,7 @@
 use super::message::{ENGINES, FIRST_ENGINE, FIRST_OWNER, Message, OWNERS, true_version};
 use super::violation::Violation;
 
-/// A pull unanswered for so long is sent again.
+/// A pull without an answer is sent again after this time.
 const PULL_TIMEOUT: Duration = Duration::from_millis(120);
 /// Pause after an empty answer.
 const EMPTY_PAUSE: Duration = Duration::from_millis(20);
@@ -39,7 +39,7 @@
     Training { batch: PullResponse, until: Timestamp },
 }
 
-/// What the trainer saw, kept outside of its life.
+/// What the trainer observed, kept over its crashes.
 #[derive(Clone, Default)]
 struct Observed {
     violations: Vec<Violation>,
--- a/crates/lab/src/soak/caller.rs
+++ b/crates/lab/src/soak/caller.rs
@@ -27,7 +27,7 @@
 const ENDING_PAUSE: Duration = Duration::from_millis(700);
 /// How long one call may take.
 const CALL_LIMIT: Duration = Duration::from_secs(4);
-/// A job is known for so long after it was sent (`status_s` of the platform's pages).
+/// How long a job is known after it was sent (`status_s` of the platform's pages).
 const KNOWN_FOR: Duration = Duration::from_secs(120);
 /// Pause between two tries.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -209,13 +209,13 @@
     }
 
     /// Reads a job that was taken from its start until its list is whole.
-    pub async fn read_whole(&self, job: &str, patience: Duration) {
-        let limit = Instant::now() + patience;
+    pub async fn read_whole(&self, job: &str, timeout: Duration) {
+        let limit = Instant::now() + timeout;
         let (mut from, mut turn) = (0, 0);
         while from < ITEMS as u64 {
             turn += 1;
             if Instant::now() >= limit {
-                let seen = format!("{from} of {ITEMS} results after {patience:?}");
+                let seen = format!("{from} of {ITEMS} results after {timeout:?}");
                 return self.history().broken(self.now_ms(), "a job that was taken is finished", job, seen);
             }
             let path = format!("/-/lots/{job}?after_rev={from}");
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -139,7 +139,7 @@
             _ => Fault::Replica(replica, behaviour),
         };
         let lasts = Duration::from_millis(random.random_range(200..2_500));
-        // The loss of one disk at a time is to be borne: its successor must hold the log before the next one goes.
+        // The deployment tolerates the loss of one disk at a time: its successor must hold the log before the next one goes.
         let least_ms = if matches!(fault, Fault::WipeStore(_)) { 5_000 } else { 300 };
         let pause = Duration::from_millis(least_ms + random.random_range(0..1_500));
         let is_evacuated = random.random_bool(EVACUATED_SHARE);
--- a/crates/lab/src/soak/history.rs
+++ b/crates/lab/src/soak/history.rs
@@ -124,13 +124,13 @@
         }
     }
 
-    /// Compares what callers were told with what replicas ran.
+    /// Compares what callers were answered with what replicas ran.
     pub fn check_runs(&mut self, at_ms: u64, seen: &[SeenRequest]) {
         let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
         for request in seen {
             *runs.entry(request.id.as_str()).or_default() += 1;
         }
-        let told: BTreeSet<&str> = seen.iter().map(|request| request.id.as_str()).collect();
+        let ran: BTreeSet<&str> = seen.iter().map(|request| request.id.as_str()).collect();
         for write in std::mem::take(&mut self.writes) {
             let count = runs.get(write.id.as_str()).copied().unwrap_or(0);
             if count > 1 {
@@ -138,7 +138,7 @@
             }
             let promises_not_run =
                 matches!(write.status, Some(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS));
-            if promises_not_run && told.contains(write.id.as_str()) {
+            if promises_not_run && ran.contains(write.id.as_str()) {
                 self.broken(write.at_ms, "not run is true", &write.id, "a replica ran it");
             }
             self.writes.push(write);
--- a/crates/lab/src/soak/job_ends.rs
+++ b/crates/lab/src/soak/job_ends.rs
@@ -30,7 +30,7 @@
 /// How long an end is insisted on.
 const INSISTS_FOR: Duration = Duration::from_secs(60);
 /// How long a caller that insists waits for one answer.
-const INSISTENT_PATIENCE: Duration = Duration::from_secs(2);
+const INSISTENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One sending of an end.
 #[derive(Clone, Copy, Debug)]
@@ -76,10 +76,10 @@
         }
     }
 
-    const fn patience(self) -> Duration {
+    const fn timeout(self) -> Duration {
         match self {
-            Self::Insists => INSISTENT_PATIENCE,
-            Self::Leaves(patience) => patience,
+            Self::Insists => INSISTENT_TIMEOUT,
+            Self::Leaves(timeout) => timeout,
         }
     }
 }
@@ -178,7 +178,7 @@
         let mut turn = job.len();
         while Instant::now() < limit {
             turn += 1;
-            if let Some(sent) = self.send_end(turn, job, manner.patience()).await {
+            if let Some(sent) = self.send_end(turn, job, manner.timeout()).await {
                 end.sent.push(sent);
                 end.acknowledged_at = sent.is_acknowledged.then(Instant::now);
                 if sent.is_acknowledged || matches!(manner, EndManner::Leaves(_)) {
@@ -194,15 +194,15 @@
         self.history().ends.ends.push(end);
     }
 
-    /// Sends an end on a connection of its own and closes it after `patience`, answered or not. `None` where no gateway took it.
-    async fn send_end(&self, turn: usize, job: &str, patience: Duration) -> Option<SentEnd> {
+    /// Sends an end on a connection of its own and closes it after `timeout`, answered or not. `None` where no gateway took it.
+    async fn send_end(&self, turn: usize, job: &str, timeout: Duration) -> Option<SentEnd> {
         let gateway = self.gateway(turn)?;
         let mut stream = TcpStream::connect(gateway).await.ok()?;
         let head = format!("DELETE /-/lots/{job} HTTP/1.1\r\nhost: {HOST}\r\nattempt-id: {job}\r\n\r\n");
         stream.write_all(head.as_bytes()).await.ok()?;
         let at = Instant::now();
         let mut answer = [0; 64];
-        let read = tokio::time::timeout(patience, stream.read(&mut answer)).await;
+        let read = tokio::time::timeout(timeout, stream.read(&mut answer)).await;
         let count = read.ok().and_then(Result::ok).unwrap_or(0);
         let text = String::from_utf8_lossy(&answer[..count]);
         let status = text.split(' ').nth(1).and_then(|status| status.parse::<StatusCode>().ok());
--- a/crates/lab/src/soak/node.rs
+++ b/crates/lab/src/soak/node.rs
@@ -13,8 +13,8 @@
 
 /// How long a process may take to say where it listens.
 const START_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two polls of a process that starts or ends. Chosen, not measured: short beside a start.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a node is started with.
 #[derive(Clone, Debug)]
@@ -87,7 +87,7 @@
                 let message = format!("{} does not start; see its log", self.plan.name);
                 return Err(LabError::Part { part: "soak", message });
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -116,7 +116,7 @@
             if self.has_ended() {
                 return true;
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
--- a/crates/lab/src/soak/system/storm.rs
+++ b/crates/lab/src/soak/system/storm.rs
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Kills a gateway: what it had read and told nobody is lost.
+    /// Kills a gateway: what it had read and passed on to nobody is lost.
     pub(super) fn kill_gateway(&mut self, number: usize) {
         self.callers.note_kill(number);
         self.callers.set_gateway(number, None);
--- a/crates/lab/src/trainer/training.rs
+++ b/crates/lab/src/trainer/training.rs
@@ -32,13 +32,13 @@
     fault: Mutex<Option<TrainerFault>>,
 }
 
-/// How one life of the trainer ended.
-enum LifeEnd {
+/// How one incarnation of the trainer ended.
+enum IncarnationEnd {
     Finished,
     Crashed(TrainerFault),
 }
 
-/// Stops a life: a crash by order, or an error that no retry mends.
+/// Stops an incarnation: a crash by order, or an error that no retry mends.
 enum Interruption {
     Crash(TrainerFault),
     Error(LabError),
@@ -80,11 +80,11 @@
     pub async fn run(&self) -> Result<(), LabError> {
         loop {
             match self.live().await? {
-                LifeEnd::Finished => {
+                IncarnationEnd::Finished => {
                     lock(&self.clock).finished = true;
                     return Ok(());
                 }
-                LifeEnd::Crashed(fault) => {
+                IncarnationEnd::Crashed(fault) => {
                     log::info!(target: "trainer", "Crashed {:?} by order.", fault.crash);
                     lock(&self.clock).crashes += 1;
                     tokio::time::sleep(Duration::from_millis(fault.down_ms)).await;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// One life: begins with the saved state and ends with the job or in a crash.
-    async fn live(&self) -> Result<LifeEnd, LabError> {
+    /// One incarnation: begins with the saved state and ends with the job or in a crash.
+    async fn live(&self) -> Result<IncarnationEnd, LabError> {
         let loaded = self.options.state.load()?;
         let mut state = loaded.unwrap_or(TrainerState::new(self.options.weight_version));
         // A crash may have come between saving a step and publishing its weights.
@@ -102,8 +102,8 @@
             self.publish(&state).await;
         }
         match self.train_steps(&mut state).await {
-            Ok(()) => Ok(LifeEnd::Finished),
-            Err(Interruption::Crash(fault)) => Ok(LifeEnd::Crashed(fault)),
+            Ok(()) => Ok(IncarnationEnd::Finished),
+            Err(Interruption::Crash(fault)) => Ok(IncarnationEnd::Crashed(fault)),
             Err(Interruption::Error(error)) => Err(error),
         }
     }
--- a/crates/lab/tests/configuration_cluster.rs
+++ b/crates/lab/tests/configuration_cluster.rs
@@ -26,7 +26,7 @@
 }
 
 async fn platform() -> ObjectApi {
-    object_api::start(object_api::Options::loopback()).await.expect("starts")
+    object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("starts")
 }
 
 async fn start(name: &str, zone: &str, object_api: &ObjectApi, seeds: &[SocketAddr]) -> Node {
--- a/crates/lab/tests/configuration_node.rs
+++ b/crates/lab/tests/configuration_node.rs
@@ -30,8 +30,9 @@
 
 impl System {
     async fn start() -> Self {
-        let object_api = object_api::start(object_api::Options::loopback()).await.expect("starts");
-        let machine_list = machine_list::start(machine_list::Options::loopback()).await.expect("starts");
+        let object_api = object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("starts");
+        let machine_list =
+            machine_list::start(machine_list::MachineListOptions::loopback()).await.expect("starts");
         Self { object_api, machine_list, http: HttpClient::new(Duration::from_secs(5)) }
     }
 
--- a/crates/lab/tests/planned_stop.rs
+++ b/crates/lab/tests/planned_stop.rs
@@ -38,8 +38,10 @@
 impl Rig {
     /// A node that serves, with one engine and its own platform.
     async fn start(notice: Duration) -> Self {
-        let machines = machine_list::start(machine_list::Options::loopback()).await.expect("a machine list");
-        let objects = object_api::start(object_api::Options::loopback()).await.expect("an object API");
+        let machines =
+            machine_list::start(machine_list::MachineListOptions::loopback()).await.expect("a machine list");
+        let objects =
+            object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("an object API");
         let mut options = EngineOptions::new("replica-0", PoolName::new(POOL), ZoneName::new(ZONE));
         options.model.step_time = STEP_TIME;
         options.machine_list = Some(machines.address);
--- a/crates/lab/tests/replication.rs
+++ b/crates/lab/tests/replication.rs
@@ -40,7 +40,7 @@
     }
 
     async fn start_tolerating(size: usize, set_size: ToleranceTarget) -> Self {
-        let api = object_api::start(object_api::Options::loopback()).await.expect("an object API");
+        let api = object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("an object API");
         let mut cluster = Self { nodes: Vec::new(), settings: Vec::new(), folders: Vec::new(), api: None };
         for number in 0..size {
             let folder = TempDir::new().expect("a folder");
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -122,7 +122,7 @@
     alive: bool,
     /// Nothing reaches the process before this time; its timers are late.
     frozen_until: Timestamp,
-    /// Tells wake-ups of an earlier life from those of this one.
+    /// Distinguishes wake-ups of an earlier incarnation from those of this one.
     incarnation: u64,
     /// The earliest wake-up in the queue, if any.
     wake_at: Option<Timestamp>,
