--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod ingress;
 pub mod logging;
 pub mod membership;
-mod metadata;
+pub mod metadata;
 mod metrics;
 pub mod node;
 mod operators;
