--- a/crates/core/src/weights/controller/event.rs
+++ b/crates/core/src/weights/controller/event.rs
@@ -42,7 +42,7 @@
     },
     /// The records of the last [`Action::Append`] are kept by a majority.
     Appended,
-    /// The time of [`WeightsController::next_wakeup`] has come.
+    /// The time of [`super::WeightsController::next_wakeup`] has come.
     WakeUp,
 }
 
