--- a/crates/daemon/src/node/control.rs
+++ b/crates/daemon/src/node/control.rs
@@ -5,32 +5,24 @@
 
 use std::sync::Arc;
 
-use hyper::{Response, StatusCode};
-use lichenpulley_protocol::error::ErrorBody;
-use tokio::net::{TcpListener, UdpSocket};
+use tokio::net::UdpSocket;
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::oneshot;
-use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
 use super::listeners::Listeners;
-use super::peer_service::{self, PeerService};
-use super::{NodeAddresses, StartError, Started, stop};
+use super::{NodeAddresses, StartError, Started, servers, stop};
 use crate::batch::{self, BatchJobs};
 use crate::cluster::Member;
 use crate::configuration;
 use crate::context::{Context, NodeContext};
 use crate::coordinator::{self, Coordinator};
 use crate::duties;
-use crate::gateway::{Dispatcher, Gateway};
-use crate::http::server::{self, HeadLimits, ServerStop};
-use crate::http::socket::SocketLimits;
-use crate::http::{Body, response};
+use crate::gateway::Dispatcher;
+use crate::ingress::Ingress;
 use crate::ingress::pool::ReplicaPool;
-use crate::ingress::{Ingress, readiness};
 use crate::membership::{self, StartMembership};
 use crate::metadata;
-use crate::operators::{OperatorParts, Operators};
 use crate::settings::Settings;
 use crate::store::{self, Store};
 use crate::suspension;
@@ -106,12 +98,12 @@
     start_views(context, membership, addresses)?;
     let parts = ControlParts::start(context, traffic)?;
     let stop = stop::StopSignals::new(context);
-    let peers = serve_peers(context, peers, &parts, &stop)?;
+    let peers = servers::serve_peers(context, peers, &parts, &stop)?;
     let ingress = context.settings.platform.metadata_store.is_some().then(|| start_ingress(context, &parts));
-    let operators = serve_operators(context, operators, &parts, ingress.clone(), &stop)?;
-    let callers = serve_callers(context, callers, traffic, parts, ingress, &stop)?;
+    let operators = servers::serve_operators(context, operators, &parts, ingress.clone(), &stop)?;
+    let callers = servers::serve_callers(context, callers, traffic, parts, ingress, &stop)?;
     if let Some(readiness) = readiness {
-        spawn_readiness(context, readiness, stop.operators.clone())?;
+        servers::serve_readiness(context, readiness, stop.operators.clone())?;
     }
     Ok(stop::Servers { callers, operators, peers, stop })
 }
@@ -131,12 +123,12 @@
 }
 
 /// The parts that do the work of the node's roles.
-struct ControlParts {
-    store: Option<Store>,
-    dispatcher: Dispatcher,
-    coordinator: Coordinator,
-    pool: ReplicaPool,
-    batch: BatchJobs,
+pub(super) struct ControlParts {
+    pub(super) store: Option<Store>,
+    pub(super) dispatcher: Dispatcher,
+    pub(super) coordinator: Coordinator,
+    pub(super) pool: ReplicaPool,
+    pub(super) batch: BatchJobs,
 }
 
 impl ControlParts {
@@ -150,65 +142,12 @@
     }
 }
 
-fn serve_peers(
-    context: &Context,
-    listener: std::net::TcpListener,
-    parts: &ControlParts,
-    stop: &stop::StopSignals,
-) -> Result<JoinHandle<()>, StartError> {
-    let (coordinator, batch) = (parts.coordinator.clone(), parts.batch.clone());
-    let service = PeerService::new(Arc::clone(context), coordinator, batch, parts.store.clone());
-    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    Ok(tokio::spawn(peer_service::serve(listener, service, stop.peers.clone())))
-}
-
 /// The way of callers' requests in the platform's form, and the reports of what it counts.
 fn start_ingress(context: &Context, parts: &ControlParts) -> Ingress {
     tokio::spawn(duties::hand_over(Arc::clone(context), parts.batch.clone()));
     Ingress::spawn(Arc::clone(context), parts.pool.clone(), parts.batch.clone())
 }
 
-fn serve_operators(
-    context: &Context,
-    listener: std::net::TcpListener,
-    parts: &ControlParts,
-    ingress: Option<Ingress>,
-    stop: &stop::StopSignals,
-) -> Result<JoinHandle<()>, StartError> {
-    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    let parts = OperatorParts {
-        dispatcher: parts.dispatcher.clone(),
-        coordinator: parts.coordinator.clone(),
-        batch: parts.batch.clone(),
-        ingress,
-    };
-    let answers = Operators::new(Arc::clone(context), parts);
-    let answer = move |request| {
-        let answers = answers.clone();
-        async move { answers.handle(request).await }
-    };
-    Ok(tokio::spawn(server::serve(listener, stop.operators.clone(), answer)))
-}
-
-/// Callers in the platform's form where the node has an `ingress`, else in the product's own.
-fn serve_callers(
-    context: &Context,
-    listener: std::net::TcpListener,
-    traffic: &Handle,
-    parts: ControlParts,
-    ingress: Option<Ingress>,
-    stop: &stop::StopSignals,
-) -> Result<JoinHandle<()>, StartError> {
-    let limits = SocketLimits { stall: context.settings.gateway.stall_timeout };
-    let stop = stop.callers.clone();
-    if let Some(ingress) = ingress {
-        return spawn_ingress(listener, traffic, stop, limits, ingress);
-    }
-    let gateway = Gateway::new(Arc::clone(context), parts.dispatcher, parts.coordinator);
-    let gateway = context.settings.roles.gateway.then_some(gateway);
-    spawn_gateway(listener, traffic, stop, limits, gateway)
-}
-
 fn start_store(context: &Context) -> Result<Option<Store>, StartError> {
     let Some(folder) = context.settings.data_folder.as_ref().filter(|_| context.settings.roles.store) else {
         return Ok(None);
@@ -228,75 +167,3 @@
     let seeds = context.settings.peers.seeds.clone();
     membership::start(Arc::clone(context), socket, StartMembership { member, seeds });
 }
-
-/// Callers in the product's own form; refused where the node has no gateway role.
-fn spawn_gateway(
-    listener: std::net::TcpListener,
-    traffic: &Handle,
-    stop: ServerStop,
-    limits: SocketLimits,
-    gateway: Option<Gateway>,
-) -> Result<JoinHandle<()>, StartError> {
-    let entered = traffic.enter();
-    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    drop(entered);
-    let answer = move |request| {
-        let gateway = gateway.clone();
-        async move {
-            match gateway {
-                Some(gateway) => gateway.handle(request).await,
-                None => no_gateway(),
-            }
-        }
-    };
-    Ok(traffic.spawn(server::serve_within(listener, stop, limits, HeadLimits::default, answer)))
-}
-
-/// Callers in the platform's form.
-fn spawn_ingress(
-    listener: std::net::TcpListener,
-    traffic: &Handle,
-    stop: ServerStop,
-    limits: SocketLimits,
-    ingress: Ingress,
-) -> Result<JoinHandle<()>, StartError> {
-    let entered = traffic.enter();
-    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    drop(entered);
-    let limits_of = ingress.clone();
-    let head_limits = move || {
-        let configured = limits_of.limits();
-        configured.map_or_else(HeadLimits::default, |limits| HeadLimits {
-            // The library counts the time of a resting connection as well.
-            timeout: limits.idle_timeout.max(limits.header_timeout),
-            bytes: limits.header_bytes,
-        })
-    };
-    let answer = move |request| ingress.handle(request);
-    Ok(traffic.spawn(server::serve_within(listener, stop, limits, head_limits, answer)))
-}
-
-/// Load balancers that ask whether the node is ready.
-fn spawn_readiness(
-    context: &Context,
-    listener: std::net::TcpListener,
-    stop: ServerStop,
-) -> Result<(), StartError> {
-    let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    let context = Arc::clone(context);
-    let answer = move |_| {
-        let answer = readiness::answer(&context);
-        async move { answer }
-    };
-    tokio::spawn(server::serve(listener, stop, answer));
-    Ok(())
-}
-
-fn no_gateway() -> Response<Body> {
-    let body = ErrorBody::new(
-        "no_gateway",
-        "this node has no gateway role",
-        "ask a node whose `roles` hold \"gateway\"",
-    );
-    response::error(StatusCode::SERVICE_UNAVAILABLE, &body)
-}
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,11 +1,12 @@
 //! Puts the parts of a node together: one thread for control state, others for traffic.
 //!
-//! Owns a node from its start to its end: `listeners` binds its sockets, `control` starts the parts, `peer_service` answers
-//! other nodes, `stop` is the planned stop. The only place, beside `operators`, that knows every part.
+//! Owns a node from its start to its end: `listeners` binds its sockets, `control` starts the parts, `servers` the servers,
+//! `peer_service` answers other nodes, `stop` is the planned stop. The only place, beside `operators`, that knows every part.
 
 mod control;
 mod listeners;
 mod peer_service;
+mod servers;
 mod stop;
 
 use std::io;
