--- a/crates/daemon/src/settings/network.rs
+++ b/crates/daemon/src/settings/network.rs
@@ -18,8 +18,9 @@
     /// A connection that takes longer to make is given up. Chosen: shorter fails behind a busy peer, longer delays what
     /// waits for one that is gone.
     pub connect_timeout: Duration,
-    /// A peer that takes or acknowledges nothing for this time is given up, and the connection made anew. Chosen:
-    /// shorter cuts off peers on a slow link, longer keeps calls waiting on a dead one.
+    /// A peer that takes or acknowledges nothing for this time is given up, and the connection made anew: the
+    /// system alone keeps a connection to a vanished peer for a quarter of an hour, and each call on it ends at its
+    /// deadline. Chosen: shorter cuts off peers on a slow link, longer lets calls go on failing.
     pub stall_timeout: Duration,
 }
 
