--- a/crates/core/src/batch/controller/config.rs
+++ b/crates/core/src/batch/controller/config.rs
@@ -5,19 +5,22 @@
 use crate::duties::DutyConfig;
 use crate::ingress::places::{AllowedRegions, ZoneMap};
 
-/// Chosen, not measured: shorter takes runs away from replicas that are full or cold, longer holds an item at one that is gone.
+/// Chosen, not measured: shorter takes runs away from replicas that are full or cold, longer holds an item at
+/// one that is gone.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Chosen, not measured: some twenty pauses between events of a measured replica (40 ms). Shorter takes runs from replicas that
-/// stood still for a moment, longer holds an item at one that is gone.
+/// Chosen, not measured: some twenty pauses between events of a measured replica (40 ms). Shorter takes runs
+/// from replicas that stood still for a moment, longer holds an item at one that is gone.
 const NEXT_EVENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Measured in 20 plays: a mean worth of 0.736 with 1 s and 0.733 with 400 ms, which writes more.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Chosen, not measured: shorter drops results that callers have not read yet, longer fills the capacity with texts.
+/// Chosen, not measured: shorter drops results that callers have not read yet, longer fills the capacity with
+/// texts.
 const JOB_RETENTION: Duration = Duration::from_secs(125);
-/// Chosen, not measured: the bound on machines with much memory; an owner lowers it to a part of its machine's memory.
+/// Chosen, not measured: the bound on machines with much memory; an owner lowers it to a part of its
+/// machine's memory.
 const CAPACITY_BYTES: usize = 96 << 20;
-/// Others take over after a second of silence; this leaves four more tries, and confirms the authority three times within its
-/// 600 ms.
+/// Others take over after a second of silence; this leaves four more tries, and confirms the authority three
+/// times within its 600 ms.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Times and limits of the owner.
@@ -39,8 +42,9 @@
     pub duties: DutyConfig,
     /// Which region each zone lies in.
     pub zones: ZoneMap,
-    /// The regions of the shard that is owned. The owner of a shard of some regions runs items and scores them; orders to
-    /// replicas and duties are left to the owner of the shard without such limits, since one holder gives them.
+    /// The regions of the shard that is owned. The owner of a shard of some regions runs items and scores
+    /// them; orders to replicas and duties are left to the owner of the shard without such limits, since one
+    /// holder gives them.
     pub regions: AllowedRegions,
 }
 
--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -2,8 +2,8 @@
 //!
 //! Relies on `usage::reporter` and `scaling` for what is due. What a call is stands in `core::duties`.
 //!
-//! Invariants: a call leaves only after a majority of stores keeps that it is about to, and only once the lease of the
-//! holder before has run out; a window is reported only as the log holds it.
+//! Invariants: a call leaves only after a majority of stores keeps that it is about to, and only once the
+//! lease of the holder before has run out; a window is reported only as the log holds it.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,8 @@
 use crate::usage::window::WallTime;
 
 impl Controller {
-    /// Takes what a node counted. It is kept once [`crate::usage::account::UsageAccount::through`] has reached its end.
+    /// Takes what a node counted. It is kept once [`crate::usage::account::UsageAccount::through`] has
+    /// reached its end.
     pub fn take_usage(&mut self, now: Timestamp, report: &UsageReport) {
         let Some(usage) = &mut self.duties.usage else { return };
         let Some(counts) = usage.take(self.ledger.usage(), report, now) else { return };
@@ -103,8 +104,9 @@
         self.append(now, records);
     }
 
-    /// What is seen of a service; `None` while no replica of it is listed where work may be sent. Evacuated zones count for
-    /// nothing: what they had is ordered elsewhere as far as it is wanted, and nothing is ordered there.
+    /// What is seen of a service; `None` while no replica of it is listed where work may be sent. Evacuated
+    /// zones count for nothing: what they had is ordered elsewhere as far as it is wanted, and nothing is
+    /// ordered there.
     fn sight(&self, routes: &RouteTable, service: &str) -> Option<ServiceSight> {
         let is_open = |state: &&ReplicaState| !self.gate.is_evacuated(&state.record);
         let members = self.replicas.values().filter(|state| state.record.service == service).filter(is_open);
--- a/crates/core/src/batch/controller/handing_over.rs
+++ b/crates/core/src/batch/controller/handing_over.rs
@@ -63,8 +63,8 @@
         ProgressOffer { epoch, items: items.collect() }
     }
 
-    /// Takes over what the owner before offers. To be called before anything runs; `latest` is the epoch of the last owner
-    /// that appended. Returns how many events were taken.
+    /// Takes over what the owner before offers. To be called before anything runs; `latest` is the epoch of
+    /// the last owner that appended. Returns how many events were taken.
     pub fn adopt(&mut self, offer: ProgressOffer, latest: Epoch) -> usize {
         if offer.epoch != latest {
             return 0;
--- a/crates/core/src/batch/controller/inputs.rs
+++ b/crates/core/src/batch/controller/inputs.rs
@@ -12,7 +12,8 @@
 use crate::time::Timestamp;
 
 impl Controller {
-    /// Takes the operator's configuration, the platform's list of replicas, and the versions that trainers named.
+    /// Takes the operator's configuration, the platform's list of replicas, and the versions that trainers
+    /// named.
     pub fn update(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/batch/controller/jobs.rs
+++ b/crates/core/src/batch/controller/jobs.rs
@@ -1,6 +1,7 @@
 //! Jobs from their hand-in to their end, and the items that a new owner finds.
 //!
-//! A job is refused where it would not fit the bytes that this owner may hold: items and the texts of results count.
+//! A job is refused where it would not fit the bytes that this owner may hold: items and the texts of results
+//! count.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +14,8 @@
 use crate::identity::{BatchId, TenantName};
 use crate::time::Timestamp;
 
-/// The part of an item's greatest length that is expected of it where no estimate came with it. Chosen, not measured: it only
-/// weighs models against each other and fills a replica's memory.
+/// The part of an item's greatest length that is expected of it where no estimate came with it. Chosen, not
+/// measured: it only weighs models against each other and fills a replica's memory.
 const EXPECTED_DIVISOR: u64 = 3;
 
 impl Controller {
@@ -77,8 +78,8 @@
         Submission::Pending
     }
 
-    /// Ends a job: its runs are stopped at once, and the end is shown once it is kept. Returns whether it is kept
-    /// already; `None` where there is no such job.
+    /// Ends a job: its runs are stopped at once, and the end is shown once it is kept. Returns whether it is
+    /// kept already; `None` where there is no such job.
     pub fn end(&mut self, now: Timestamp, batch: &BatchId) -> Option<bool> {
         let is_ended = match self.ledger.job(batch) {
             Some(job) => job.is_ended,
--- a/crates/core/src/batch/controller/loading.rs
+++ b/crates/core/src/batch/controller/loading.rs
@@ -1,7 +1,8 @@
 //! Orders to replicas to load a version: when they are given, and what is learned from their ends.
 //!
-//! Which replica loads what is [`LoadPlan`](crate::batch::weights)'s choice. Invariant: an order leaves only after a majority of
-//! stores keeps that it was given, and only once the lease of another holder's order to the same replica has run out.
+//! Which replica loads what is [`LoadPlan`](crate::batch::weights)'s choice. Invariant: an order leaves only
+//! after a majority of stores keeps that it was given, and only once the lease of another holder's order to
+//! the same replica has run out.
 
 use std::collections::BTreeMap;
 
@@ -68,8 +69,8 @@
     }
 }
 
-/// The name of the replica whose incarnation has this id. Holders of orders take turns at a replica, whichever of its
-/// incarnations is ordered.
+/// The name of the replica whose incarnation has this id. Holders of orders take turns at a replica,
+/// whichever of its incarnations is ordered.
 fn name_of<'a>(replicas: &'a BTreeMap<String, ReplicaState>, id: &'a str) -> &'a str {
     replicas.get(id).map_or(id, |state| &state.record.name)
 }
--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The owner of a shard of batch jobs: which items run where, what is listed, what is given up.
 //!
-//! The driver hands in events and `now`, and takes out [`Action`]s. Invariants: nothing is shown before its record is
-//! kept by a majority; an item's events are taken once each, in order, from a version that its job allows; no item of
-//! an ended job is started.
+//! The driver hands in events and `now`, and takes out [`Action`]s. Invariants: nothing is shown before its
+//! record is kept by a majority; an item's events are taken once each, in order, from a version that its job
+//! allows; no item of an ended job is started.
 
 mod action;
 mod config;
@@ -147,13 +147,14 @@
         self.actions.pop_front()
     }
 
-    /// Says whether a majority of stores confirmed this owner lately. Without it nothing is started or ordered.
+    /// Says whether a majority of stores confirmed this owner lately. Without it nothing is started or
+    /// ordered.
     pub const fn set_confirmed(&mut self, is_confirmed: bool) {
         self.is_confirmed = is_confirmed;
     }
 
-    /// What the log amounts to, to stand for all records before; `None` while records are on their way or texts are
-    /// missing.
+    /// What the log amounts to, to stand for all records before; `None` while records are on their way or
+    /// texts are missing.
     ///
     /// # Errors
     /// When it is too long for the codec.
--- a/crates/core/src/batch/controller/records.rs
+++ b/crates/core/src/batch/controller/records.rs
@@ -1,6 +1,7 @@
 //! Records on their way to the log, and what follows once they are kept.
 //!
-//! Invariant: appends are decided in the order in which they were given; a record changes the ledger only then.
+//! Invariant: appends are decided in the order in which they were given; a record changes the ledger only
+//! then.
 
 use super::{Action, Controller};
 use crate::batch::record::Record;
--- a/crates/core/src/batch/controller/runs.rs
+++ b/crates/core/src/batch/controller/runs.rs
@@ -1,8 +1,8 @@
 //! Runs of items: their events, their ends, and when one is taken up elsewhere.
 //!
-//! A run that breaks, stalls or is refused is resumed at another replica after its last event; only answers that say that the
-//! item failed count towards the route's attempts. Whether a run is worth moving is decided in `batch::moves`, which replica
-//! it goes to in `batch::schedule`.
+//! A run that breaks, stalls or is refused is resumed at another replica after its last event; only answers
+//! that say that the item failed count towards the route's attempts. Whether a run is worth moving is decided
+//! in `batch::moves`, which replica it goes to in `batch::schedule`.
 
 use super::{Action, Controller, ItemStage, Run, RunEnd, RunEvent, RunId};
 use crate::batch::job::{ItemResult, KeptEvent};
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Runs at a replica that is much slower than one with a free slot are resumed there. Each is stopped first, so that
-    /// no item runs twice at a time.
+    /// Runs at a replica that is much slower than one with a free slot are resumed there. Each is stopped
+    /// first, so that no item runs twice at a time.
     pub(super) fn move_slow(&mut self, now: Timestamp) {
         if !self.is_confirmed {
             return;
--- a/crates/core/src/batch/controller/scoring.rs
+++ b/crates/core/src/batch/controller/scoring.rs
@@ -1,8 +1,8 @@
 //! Whole texts that wait for their score.
 //!
-//! Invariants: a score request leaves only after the text that it scores is kept whole; a score is listed only with the
-//! text that its request followed; an item is given up for its scorer only after as many failures as the route allows,
-//! those of earlier owners included.
+//! Invariants: a score request leaves only after the text that it scores is kept whole; a score is listed
+//! only with the text that its request followed; an item is given up for its scorer only after as many
+//! failures as the route allows, those of earlier owners included.
 
 use super::{Action, Controller, ItemStage};
 use crate::batch::record::Record;
--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -72,8 +72,8 @@
 
     /// Waiting items for which a replica may have a place, the most pressing first.
     ///
-    /// What the items of one job and model share is worked out once for all of them: at size, a thousand items wait at
-    /// each time, and most of them for replicas without a free slot.
+    /// What the items of one job and model share is worked out once for all of them: at size, a thousand
+    /// items wait at each time, and most of them for replicas without a free slot.
     fn waiting(&self, now: Timestamp) -> Vec<WaitingItem> {
         let kinds = self.open_kinds(now);
         let mut waiting = Vec::new();
@@ -159,8 +159,8 @@
         routes.allowed_regions(route, tenant).intersect(&self.config.regions)
     }
 
-    /// Whether an item reaches no replica, since replicas ended under it. Asked before each of its runs, the first as well as one
-    /// that is resumed or moved.
+    /// Whether an item reaches no replica, since replicas ended under it. Asked before each of its runs, the
+    /// first as well as one that is resumed or moved.
     pub(super) fn is_held(&mut self, batch: &BatchId, item: u32) -> bool {
         if self.quarantine.is_empty() {
             return false;
--- a/crates/core/src/batch/cut_off.rs
+++ b/crates/core/src/batch/cut_off.rs
@@ -1,25 +1,28 @@
 //! When an owner takes itself for cut off from its stores, and leaves before others notice that it is silent.
 //!
-//! Inputs: for how long no append was confirmed and no store has answered, polled at each tick of the owner, and the reply
-//! to the question that the owner then asks of all stores. Stores that give no answer to appends may be busy, and after
-//! this node itself stood still answers lie unread. So silence alone proves nothing: the owner asks all stores of the
-//! deployment a small question, and is cut off only when none answers it within its time. Measured: an owner that relied on
-//! silence alone was taken over from four times in 20 s while its stores were busy with its own first append.
+//! Inputs: for how long no append was confirmed and no store has answered, polled at each tick of the owner,
+//! and the reply to the question that the owner then asks of all stores. Stores that give no answer to
+//! appends may be busy, and after this node itself stood still answers lie unread. So silence alone proves
+//! nothing: the owner asks all stores of the deployment a small question, and is cut off only when none
+//! answers it within its time. Measured: an owner that relied on silence alone was taken over from four times
+//! in 20 s while its stores were busy with its own first append.
 
 use std::time::Duration;
 
-/// Silence after which the owner begins to suspect that it is cut off. Others take over after a second of silence: with this,
-/// three polls and the question's 300 ms the owner has left and offered its progress before.
+/// Silence after which the owner begins to suspect that it is cut off. Others take over after a second of
+/// silence: with this, three polls and the question's 300 ms the owner has left and offered its progress
+/// before.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-/// Polls in a row at which the stores were silent, before they are asked. With one, an owner whose thread had stood still
-/// just after a takeover left although answers of its stores lay unread.
+/// Polls in a row at which the stores were silent, before they are asked. With one, an owner whose thread had
+/// stood still just after a takeover left although answers of its stores lay unread.
 const SILENT_POLLS: u32 = 3;
-/// A question that ended later than this after its time says that this node stood still, not that nobody answered. Chosen,
-/// not measured: smaller, and a busy machine asks again for nothing; greater, and one that stood still leaves its jobs.
+/// A question that ended later than this after its time says that this node stood still, not that nobody
+/// answered. Chosen, not measured: smaller, and a busy machine asks again for nothing; greater, and one that
+/// stood still leaves its jobs.
 const LATE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Whether the stores count as silent at a poll: neither was an append confirmed lately nor did any store answer. While a
-/// store is replaced nothing is confirmed, but the stores answer the owner's heartbeats.
+/// Whether the stores count as silent at a poll: neither was an append confirmed lately nor did any store
+/// answer. While a store is replaced nothing is confirmed, but the stores answer the owner's heartbeats.
 pub fn is_silent(unconfirmed_for: Duration, unanswered_for: Duration) -> bool {
     unconfirmed_for >= CUT_OFF_AFTER && unanswered_for >= CUT_OFF_AFTER
 }
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -1,31 +1,32 @@
 //! When a node takes the batch jobs over from their owner.
 //!
-//! Inputs: what the stores answer to the question who leads (the epoch, its owner, how long ago that owner last appended),
-//! the replica set in force where it is known, this node's rank among the candidates, and why it asks. Time only decides when
-//! a takeover is tried; the epoch that the stores promise decides who owns (see `replication`). An owner appends at least
-//! each 200 ms, so that a second of silence means that it is gone or cut off.
+//! Inputs: what the stores answer to the question who leads (the epoch, its owner, how long ago that owner
+//! last appended), the replica set in force where it is known, this node's rank among the candidates, and why
+//! it asks. Time only decides when a takeover is tried; the epoch that the stores promise decides who owns
+//! (see `replication`). An owner appends at least each 200 ms, so that a second of silence means that it is
+//! gone or cut off.
 
 use std::time::Duration;
 
 use crate::identity::{Epoch, NodeId};
 use crate::replication::replica_set::ReplicaSet;
 
-/// Nodes that ask the stores at each turn. Three, so that the loss of two at once delays a takeover by no more than the
-/// ranks between them; each further one adds a question to every store at each turn.
+/// Nodes that ask the stores at each turn. Three, so that the loss of two at once delays a takeover by no
+/// more than the ranks between them; each further one adds a question to every store at each turn.
 pub const CANDIDATES: usize = 3;
-/// A candidate waits this much longer for each one before it. Chosen, not measured: above the 250 ms between two polls and
-/// the time of a takeover's first append, or two candidates take the log from each other.
+/// A candidate waits this much longer for each one before it. Chosen, not measured: above the 250 ms between
+/// two polls and the time of a takeover's first append, or two candidates take the log from each other.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// Silence after which a node that itself led before it restarted takes over again. Chosen, not measured: it need not wait
-/// for itself, only for appends of its own earlier incarnation that are still on their way.
+/// Silence after which a node that itself led before it restarted takes over again. Chosen, not measured: it
+/// need not wait for itself, only for appends of its own earlier incarnation that are still on their way.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// Silence after which a candidate takes over that the owner asked because it can't reach its stores. As long as the owner
-/// waits before it suspects that it is cut off.
+/// Silence after which a candidate takes over that the owner asked because it can't reach its stores. As long
+/// as the owner waits before it suspects that it is cut off.
 const ASKED_DELAY: Duration = Duration::from_millis(300);
 
-/// Whether a node of this rank asks the stores at its turn `turn`. Those behind the first few ask the more rarely the
-/// further behind they are: should all before them be gone at once, one of them notices, and 410 nodes ask the stores less
-/// than four times as often as 7.
+/// Whether a node of this rank asks the stores at its turn `turn`. Those behind the first few ask the more
+/// rarely the further behind they are: should all before them be gone at once, one of them notices, and 410
+/// nodes ask the stores less than four times as often as 7.
 pub fn polls_now(rank: usize, turn: u64) -> bool {
     let period = (rank / CANDIDATES + 1) as u64;
     turn.is_multiple_of(period)
@@ -52,8 +53,8 @@
         }
     }
 
-    /// The rank and the silence by which the candidate judges. Where the owner asked this node, it asked nobody else, so that
-    /// no other candidate need be waited for.
+    /// The rank and the silence by which the candidate judges. Where the owner asked this node, it asked
+    /// nobody else, so that no other candidate need be waited for.
     pub const fn turn(self, rank: usize, takeover_after: Duration) -> (usize, Duration) {
         match self {
             Self::OwnerCutOff => (0, ASKED_DELAY),
@@ -107,8 +108,8 @@
         self.leaders().any(|leader| leader.idle < duration)
     }
 
-    /// The answers that count towards a majority of `set`: those of its members, and of stores that know of a leader, which
-    /// are members of a set that this node has not met yet. All of them where no set is known.
+    /// The answers that count towards a majority of `set`: those of its members, and of stores that know of a
+    /// leader, which are members of a set that this node has not met yet. All of them where no set is known.
     pub fn counted(&self, set: Option<&ReplicaSet>) -> Vec<Option<LeaderSeen>> {
         let is_member =
             |set: &ReplicaSet, node: &NodeId| set.members.iter().any(|member| member.node == *node);
@@ -128,8 +129,8 @@
     TakeOver(Option<Duration>),
 }
 
-/// Judges what the stores say. `answers` has an entry for each store that answered, `None` where nobody has led there;
-/// `needed` is how many must have answered. `rank` is 0 for the first candidate.
+/// Judges what the stores say. `answers` has an entry for each store that answered, `None` where nobody has
+/// led there; `needed` is how many must have answered. `rank` is 0 for the first candidate.
 pub fn judge(
     node: &NodeId,
     rank: usize,
--- a/crates/core/src/batch/end_pursuit.rs
+++ b/crates/core/src/batch/end_pursuit.rs
@@ -1,7 +1,7 @@
 //! Ends of jobs that this node has read and that are not known to be kept.
 //!
-//! Invariants: an end that was read is asked of the owner again and again until a majority of stores keeps it or there is no such job,
-//! whatever became of its caller; what is held is bounded, and expires.
+//! Invariants: an end that was read is asked of the owner again and again until a majority of stores keeps it
+//! or there is no such job, whatever became of its caller; what is held is bounded, and expires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,19 +10,24 @@
 use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
-/// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of a deployment.
+/// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of
+/// a deployment.
 pub const MAX_PENDING: usize = 4_096;
-/// Ends that the owner is asked for at a time, so that many of them are no storm where it is away. Chosen, not measured.
+/// Ends that the owner is asked for at a time, so that many of them are no storm where it is away. Chosen,
+/// not measured.
 pub const MAX_ASKED: usize = 32;
-/// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its route allows.
+/// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its
+/// route allows.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
-/// The pause after questions that were not answered for sure. The limit is well below the 3 s for which something of an ended job may
-/// still arrive.
+/// The pause after questions that were not answered for sure. The limit is well below the 3 s for which
+/// something of an ended job may still arrive.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), Duration::from_millis(800));
-/// An unknown job may be on its way: a submission that got no answer is repeated for about 3 s, by its gateway and by its caller.
+/// An unknown job may be on its way: a submission that got no answer is repeated for about 3 s, by its
+/// gateway and by its caller.
 pub const UNKNOWN_FOR: Duration = Duration::from_secs(10);
-/// How long a node that got a copy of an end waits before it asks the owner itself: mostly the end is kept before. Chosen, not
-/// measured: shorter asks the owner three times for each end, longer lets an end wait whose reader is lost.
+/// How long a node that got a copy of an end waits before it asks the owner itself: mostly the end is kept
+/// before. Chosen, not measured: shorter asks the owner three times for each end, longer lets an end wait
+/// whose reader is lost.
 pub const COPY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// An end, by its job and who asked for it.
@@ -128,7 +133,8 @@
 }
 
 impl EndPursuit {
-    /// Holds an end from now on; one that a caller sends again is asked for at once. Returns what gives way to it.
+    /// Holds an end from now on; one that a caller sends again is asked for at once. Returns what gives way
+    /// to it.
     pub fn hold(&mut self, now: Timestamp, key: EndKey, source: EndSource) -> Option<SettledEnd> {
         if let Some(held) = self.pending.get_mut(&key) {
             if source == EndSource::Caller {
@@ -157,7 +163,8 @@
         self.pending.len()
     }
 
-    /// The ends that are held, from whom they came, for how long they have been held, and how often the owner was asked.
+    /// The ends that are held, from whom they came, for how long they have been held, and how often the owner
+    /// was asked.
     pub fn list(&self, now: Timestamp) -> impl Iterator<Item = (&EndKey, EndSource, Duration, u32)> {
         let line = move |(key, held): (_, &PendingEnd)| {
             (key, held.source, now.saturating_since(held.since), held.questions)
--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -5,7 +5,8 @@
 use crate::identity::{BatchId, TenantName};
 use crate::quarantine::{Fingerprint, RequestContent};
 
-/// A request that scores an item's text once it is whole. The signature of its successful answer is the score.
+/// A request that scores an item's text once it is whole. The signature of its successful answer is the
+/// score.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ScoreRequest {
     /// Its id.
@@ -123,7 +124,7 @@
 
 impl ItemResult {
     /// The result of an item that came whole.
-    pub(crate) fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
+    pub fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
         let mut versions: Vec<u64> = events.iter().map(|event| event.version).collect();
         versions.sort_unstable();
         versions.dedup();
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -1,8 +1,8 @@
 //! What the records of a batch shard amount to.
 //!
-//! Invariants: an item is listed once, and keeps its position; a job that was ended stays ended; events of an item
-//! are kept without a gap and each once; a score is listed only with the whole text that was kept before it. Applying
-//! a record a second time changes nothing.
+//! Invariants: an item is listed once, and keeps its position; a job that was ended stays ended; events of an
+//! item are kept without a gap and each once; a score is listed only with the whole text that was kept before
+//! it. Applying a record a second time changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/crates/core/src/batch/ledger_follower.rs
+++ b/crates/core/src/batch/ledger_follower.rs
@@ -1,7 +1,8 @@
 //! Follows the log of a shard that another node owns, so that a takeover reads only what came last.
 //!
-//! Reads what a store calls decided, in order; decided entries never change, so that what was followed is a beginning of
-//! what any later owner recovers. Applying a record a second time changes nothing, so that an overlap does no harm.
+//! Reads what a store calls decided, in order; decided entries never change, so that what was followed is a
+//! beginning of what any later owner recovers. Applying a record a second time changes nothing, so that an
+//! overlap does no harm.
 
 use std::collections::BTreeMap;
 
@@ -31,8 +32,8 @@
     held_bytes: usize,
     /// Where each job was taken.
     taken_at: BTreeMap<BatchId, LogIndex>,
-    /// Whether the ledger holds all up to `through`: not so after the beginning was dropped, until the snapshot that stands
-    /// for it was read to its end.
+    /// Whether the ledger holds all up to `through`: not so after the beginning was dropped, until the
+    /// snapshot that stands for it was read to its end.
     is_whole: bool,
 }
 
@@ -43,7 +44,8 @@
 }
 
 impl LedgerFollower {
-    /// A follower that begins after a position: its ledger holds the jobs that were taken later, and is not whole.
+    /// A follower that begins after a position: its ledger holds the jobs that were taken later, and is not
+    /// whole.
     pub fn beginning_after(through: LogIndex) -> Self {
         let assembler = LogAssembler::new(Epoch::default(), true);
         let is_whole = through == LogIndex::ZERO;
--- a/crates/core/src/batch/load_limit.rs
+++ b/crates/core/src/batch/load_limit.rs
@@ -1,12 +1,12 @@
 //! How many replicas of one service load a version at a time.
 //!
-//! A load takes longer in proportion once more than so many are under way; how many that is differs between platforms
-//! and none says. The limit is found from how long loads take beside others: a gradient limit, as for concurrent
-//! requests (Netflix concurrency-limits, 2018; here with the queue's length known).
+//! A load takes longer in proportion once more than so many are under way; how many that is differs between
+//! platforms and none says. The limit is found from how long loads take beside others: a gradient limit, as
+//! for concurrent requests (Netflix concurrency-limits, 2018; here with the queue's length known).
 //!
-//! Crowding slows all loads that go on together. A slow replica, a lost order or an owner that reads reports late makes
-//! single loads look long; they lower nothing, since a round of loads counts as slow by its quickest one alone, and by
-//! the time that the replica itself was seen busy.
+//! Crowding slows all loads that go on together. A slow replica, a lost order or an owner that reads reports
+//! late makes single loads look long; they lower nothing, since a round of loads counts as slow by its
+//! quickest one alone, and by the time that the replica itself was seen busy.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const FIRST_SHARE: f64 = 0.2;
 /// Fewer are never worth waiting for one another.
 const MIN_FIRST: usize = 2;
-/// A load that took no longer than this share of the shortest was not slowed by the others. Reports are read some 60 ms
-/// apart, against loads of about a second.
+/// A load that took no longer than this share of the shortest was not slowed by the others. Reports are read
+/// some 60 ms apart, against loads of about a second.
 const QUICK_RATIO: f64 = 1.15;
 /// A load that took longer than this share of the shortest was slowed by the others.
 const SLOW_RATIO: f64 = 1.35;
@@ -29,7 +29,8 @@
 /// The shortest load is looked for among so many of the newest: some seconds of loads at the limit.
 const HISTORY: usize = 64;
 
-/// How long a load took at the replica. Reports are read now and then, so that its end is known to lie between two.
+/// How long a load took at the replica. Reports are read now and then, so that its end is known to lie
+/// between two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadTime {
     /// From the order until the last report that showed the load under way.
@@ -52,7 +53,8 @@
         ((self.replicas as f64 * FIRST_SHARE).round() as usize).max(MIN_FIRST)
     }
 
-    /// Each model can advance beside the others, where that is no more than the platform is taken to bear at first.
+    /// Each model can advance beside the others, where that is no more than the platform is taken to bear at
+    /// first.
     fn least_limit(self) -> usize {
         self.models.clamp(1, self.first_limit())
     }
--- a/crates/core/src/batch/mod.rs
+++ b/crates/core/src/batch/mod.rs
@@ -1,8 +1,9 @@
-//! Batch jobs: sets of requests that are taken together, kept by a majority of stores, run afterwards, and listed.
+//! Batch jobs: sets of requests that are taken together, kept by a majority of stores, run afterwards, and
+//! listed.
 //!
-//! One owner at a time acts for all jobs of a shard, under the epoch of the shard's log. What must outlast it is a
-//! [`record::Record`]; the [`ledger`] is what the records amount to; the [`controller`] decides which items run
-//! where, and [`weights`] which replica loads which version.
+//! One owner at a time acts for all jobs of a shard, under the epoch of the shard's log. What must outlast it
+//! is a [`record::Record`]; the [`ledger`] is what the records amount to; the [`controller`] decides which
+//! items run where, and [`weights`] which replica loads which version.
 
 pub mod controller;
 pub mod cut_off;
--- a/crates/core/src/batch/outline.rs
+++ b/crates/core/src/batch/outline.rs
@@ -1,8 +1,8 @@
 //! Records without the texts of events.
 //!
-//! Texts are nearly all of a log, and an owner can act without those that came before it: it needs to know which events there
-//! are, not what they say. So a takeover that has to read the log reads its outline first, and the texts while it is at
-//! work already. Until then nothing is listed of a job whose texts are missing.
+//! Texts are nearly all of a log, and an owner can act without those that came before it: it needs to know
+//! which events there are, not what they say. So a takeover that has to read the log reads its outline first,
+//! and the texts while it is at work already. Until then nothing is listed of a job whose texts are missing.
 
 use std::collections::HashMap;
 
@@ -58,6 +58,7 @@
 pub fn outline_entries(entries: &mut [IndexedEntry]) {
     for IndexedEntry { entry, .. } in entries {
         let Payload::Record { bytes, .. } = &mut entry.payload else { continue };
+        // What can't be read here is no record of a batch shard; whoever reads the log meets the error.
         let outlined = Record::decode(bytes).ok().and_then(outline).and_then(|record| record.encode().ok());
         if let Some(outlined) = outlined {
             *bytes = outlined;
--- a/crates/core/src/batch/progress_offer.rs
+++ b/crates/core/src/batch/progress_offer.rs
@@ -1,7 +1,8 @@
-//! What an owner that can't reach its stores hands to the next one: events that it took and that are not kept yet.
+//! What an owner that can't reach its stores hands to the next one: events that it took and that are not kept
+//! yet.
 //!
-//! Invariant: an offer is taken only by the owner that follows its giver directly, so that no other run of the item can
-//! have gone on from what is kept.
+//! Invariant: an offer is taken only by the owner that follows its giver directly, so that no other run of
+//! the item can have gone on from what is kept.
 
 use speedy::{Readable, Writable};
 
--- a/crates/core/src/batch/record.rs
+++ b/crates/core/src/batch/record.rs
@@ -42,8 +42,8 @@
     Ended(BatchId),
     /// A job is past its retention and dropped.
     Dropped(BatchId),
-    /// An item came whole and is listed, at the next free position of its job. Its text is what [`Record::Progress`] kept
-    /// of it and then these events: no event is written twice.
+    /// An item came whole and is listed, at the next free position of its job. Its text is what
+    /// [`Record::Progress`] kept of it and then these events: no event is written twice.
     Completed {
         /// The job.
         batch: BatchId,
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// When the bytes are none.
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
         Self::read_from_buffer(bytes)
     }
 }
--- a/crates/core/src/batch/recovery.rs
+++ b/crates/core/src/batch/recovery.rs
@@ -1,7 +1,8 @@
 //! Puts a ledger together from what a new owner recovered, a piece at a time.
 //!
-//! A long log takes longer than an owner may be silent: between two pieces the new owner shows the stores that it leads.
-//! Otherwise the next candidate takes the log over before the first one has read it, and so on without end.
+//! A long log takes longer than an owner may be silent: between two pieces the new owner shows the stores
+//! that it leads. Otherwise the next candidate takes the log over before the first one has read it, and so on
+//! without end.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 use super::record::Record;
 use crate::time::Timestamp;
 
-/// Records that are applied in one piece, between which the node's other tasks go on. Chosen, not measured: greater holds up
-/// heartbeats on a weak machine, smaller slows a takeover.
+/// Records that are applied in one piece, between which the node's other tasks go on. Chosen, not measured:
+/// greater holds up heartbeats on a weak machine, smaller slows a takeover.
 const PIECE_RECORDS: usize = 64;
 
 /// What to do next.
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -1,8 +1,8 @@
 //! Batch jobs that may be kept in some regions only: which shard keeps them.
 //!
-//! Each set of allowed regions has a shard of its own, whose log, owner and followers stand in these regions. The name of
-//! the shard tells the regions, so that whoever meets the name, a store that chooses members among them, knows the bounds
-//! without the configuration in force.
+//! Each set of allowed regions has a shard of its own, whose log, owner and followers stand in these regions.
+//! The name of the shard tells the regions, so that whoever meets the name, a store that chooses members
+//! among them, knows the bounds without the configuration in force.
 
 use std::collections::BTreeSet;
 
@@ -32,8 +32,9 @@
     AllowedRegions::of(names.split('/').map(|name| RegionName::new(unescape(name))))
 }
 
-/// The sets of regions, besides that of all, that batch jobs may be bound to by a configuration: those of its routes, each
-/// together with those of each tenant. In the order of their names; more than [`MAX_SHARDS`] may come back.
+/// The sets of regions, besides that of all, that batch jobs may be bound to by a configuration: those of its
+/// routes, each together with those of each tenant. In the order of their names; more than [`MAX_SHARDS`] may
+/// come back.
 pub fn bound_sets(routes: &RouteTable) -> BTreeSet<AllowedRegions> {
     let batch = routes.routes.iter().filter(|route| route.kind == RouteKind::Batch);
     let tenants = routes.tenants.as_ref().map_or(&[][..], |directory| directory.tenants());
@@ -55,7 +56,8 @@
     named.filter(|region| !known.contains(region)).collect()
 }
 
-/// The name with every sign that is no letter, digit or hyphen as its number, so that names can be told apart again.
+/// The name with every sign that is no letter, digit or hyphen as its number, so that names can be told apart
+/// again.
 fn escape(name: &str) -> String {
     let is_plain = |sign: char| sign.is_ascii_alphanumeric() || sign == '-';
     name.chars()
--- a/crates/core/src/batch/schedule.rs
+++ b/crates/core/src/batch/schedule.rs
@@ -1,10 +1,11 @@
 //! Which waiting item goes to which replica, and what the owner knows of each replica.
 //!
-//! Inputs: what an item needs (service, model and version, memory, regions), the runs of this owner at each replica, and the
-//! pause between events that each showed. Among the replicas that can take the item it goes to the one where it would be done
-//! first. The ingress (`ingress::replicas`) compares by the time of whole answers and what they report of load, since many
-//! gateways send there; the own interface (`routing`) by queues and prefixes of its engines. Here one owner sees every run of
-//! every item, so that it counts slots itself, and an item lasts seconds, so that the pace between its events decides.
+//! Inputs: what an item needs (service, model and version, memory, regions), the runs of this owner at each
+//! replica, and the pause between events that each showed. Among the replicas that can take the item it goes
+//! to the one where it would be done first. The ingress (`ingress::replicas`) compares by the time of whole
+//! answers and what they report of load, since many gateways send there; the own interface (`routing`) by
+//! queues and prefixes of its engines. Here one owner sees every run of every item, so that it counts slots
+//! itself, and an item lasts seconds, so that the pace between its events decides.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,27 +16,28 @@
 use crate::ingress::routes::WeightedService;
 use crate::time::Timestamp;
 
-/// The pause between two events that is taken for a replica that has not been measured. Chosen, not measured: longer,
-/// and new replicas are avoided; shorter, and all items go to them first.
+/// The pause between two events that is taken for a replica that has not been measured. Chosen, not measured:
+/// longer, and new replicas are avoided; shorter, and all items go to them first.
 const UNMEASURED_GAP: Duration = Duration::from_millis(40);
-/// Weight of the newest pause in the running mean: some thirty pauses, a quarter of a second of a full replica. With a tenth the
-/// quickest of many alike looked a tenth quicker than it was.
+/// Weight of the newest pause in the running mean: some thirty pauses, a quarter of a second of a full
+/// replica. With a tenth the quickest of many alike looked a tenth quicker than it was.
 const GAP_WEIGHT: f64 = 0.03;
-/// How much slower a full replica is taken to be than an empty one before any was measured. Chosen; the pauses of the
-/// measured deployments then showed some hundredths.
+/// How much slower a full replica is taken to be than an empty one before any was measured. Chosen; the
+/// pauses of the measured deployments then showed some hundredths.
 const UNMEASURED_SLOWDOWN: f64 = 0.5;
-/// The bound of the slowdown, as a multiple: what holds a replica up for longer is something else. Chosen, not measured.
+/// The bound of the slowdown, as a multiple: what holds a replica up for longer is something else. Chosen,
+/// not measured.
 const MAX_SLOWDOWN: f64 = 4.0;
 /// How far one pause moves the slowdown: a thousand pauses, less than a second of a busy service, settle it.
 const SLOWDOWN_RATE: f64 = 0.01;
-/// The greatest deviation from the expected ratio of pauses that counts: a pause that differs by more says that something
-/// was held up, nothing of load. Chosen, not measured.
+/// The greatest deviation from the expected ratio of pauses that counts: a pause that differs by more says
+/// that something was held up, nothing of load. Chosen, not measured.
 const MAX_SURPRISE: f64 = 1.0;
-/// How long a replica that left a run broken gets nothing new. Chosen, not measured: shorter sends items into a replica that
-/// is gone before the list says so; longer leaves a good one idle after one broken connection.
+/// How long a replica that left a run broken gets nothing new. Chosen, not measured: shorter sends items into
+/// a replica that is gone before the list says so; longer leaves a good one idle after one broken connection.
 pub(super) const SUSPECT_AFTER_BREAK: Duration = Duration::from_millis(600);
-/// How long a replica that refused gets nothing new. Chosen, not measured: about a run's event; live callers, who had taken
-/// its slots, may be done by then.
+/// How long a replica that refused gets nothing new. Chosen, not measured: about a run's event; live callers,
+/// who had taken its slots, may be done by then.
 pub(super) const PAUSE_AFTER_REJECTION: Duration = Duration::from_millis(60);
 
 /// A load that a replica was ordered to do.
@@ -107,7 +109,8 @@
         }
     }
 
-    /// The version of a model there, as far as is known. A version never goes back within a replica's incarnation.
+    /// The version of a model there, as far as is known. A version never goes back within a replica's
+    /// incarnation.
     pub(super) fn version(&self, model: &str) -> Option<u64> {
         let listed = self.record.models.get(model).copied();
         let seen = self.seen_versions.get(model).copied();
@@ -119,8 +122,8 @@
         *seen = version.max(*seen);
     }
 
-    /// A run here paused for so long between two events. A cold replica's pauses say nothing of its pace when it is warm,
-    /// nor of what load does to others.
+    /// A run here paused for so long between two events. A cold replica's pauses say nothing of its pace when
+    /// it is warm, nor of what load does to others.
     pub(super) fn saw_gap(&mut self, gap: Duration, is_cold: bool, slowdown: &mut Slowdown) {
         if is_cold && self.empty_gap_ms.is_some() {
             return;
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -1,11 +1,13 @@
 //! Which score request goes to which replica, and when it is tried again.
 //!
-//! Inputs: the route of the scorer, its replicas with their slots, what this owner sent and what the answers reported of their
-//! load. The choice itself is the ingress' (`ingress::replicas::ReplicaChooser`), among the replicas with a place left; only
-//! the number of places, the order of replicas tried before, and the budget are rules of this module.
+//! Inputs: the route of the scorer, its replicas with their slots, what this owner sent and what the answers
+//! reported of their load. The choice itself is the ingress' (`ingress::replicas::ReplicaChooser`), among the
+//! replicas with a place left; only the number of places, the order of replicas tried before, and the budget
+//! are rules of this module.
 //!
-//! Scorers are plain services that live callers use too. So a replica of theirs is never filled by score requests: some
-//! of its places stay free. Retries are paid from a budget for each service, so that a sick service is not stormed.
+//! Scorers are plain services that live callers use too. So a replica of theirs is never filled by score
+//! requests: some of its places stay free. Retries are paid from a budget for each service, so that a sick
+//! service is not stormed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -23,14 +25,16 @@
 use crate::retry::budget::{BudgetConfig, RetryBudget};
 use crate::time::Timestamp;
 
-/// The part of a replica's slots that is left to live callers. Chosen, not measured: less makes live callers wait behind
-/// scores, more lets whole texts wait for theirs.
+/// The part of a replica's slots that is left to live callers. Chosen, not measured: less makes live callers
+/// wait behind scores, more lets whole texts wait for theirs.
 const LIVE_SHARE: f64 = 0.25;
-/// The pause before a retry; the first retry goes to another replica at once and is not counted. Chosen, not measured: the
-/// limit bounds how late a scorer that is back is found, the start how fast one that refuses is asked again.
+/// The pause before a retry; the first retry goes to another replica at once and is not counted. Chosen, not
+/// measured: the limit bounds how late a scorer that is back is found, the start how fast one that refuses is
+/// asked again.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(40), Duration::from_secs(1));
-/// Retries of one service: each first request pays in for a fifth of one, four a second are free, and at most 100 are saved in
-/// a window of 10 s. Chosen, not measured: more storms a sick scorer, less delays scores behind single failures.
+/// Retries of one service: each first request pays in for a fifth of one, four a second are free, and at most
+/// 100 are saved in a window of 10 s. Chosen, not measured: more storms a sick scorer, less delays scores
+/// behind single failures.
 const BUDGET: BudgetConfig = BudgetConfig {
     deposit_ratio: 0.2,
     minimum_per_second: 4.0,
@@ -217,7 +221,8 @@
         })
     }
 
-    /// The replica that should answer first among those with a place, none of `tried` where another can be had.
+    /// The replica that should answer first among those with a place, none of `tried` where another can be
+    /// had.
     fn choose(&self, ready: &[&ReplicaRecord], tried: &[String], now: Timestamp) -> Option<ReplicaRecord> {
         let has_place = |record: &&&ReplicaRecord| self.chooser.busy(&record.id, now) < places(record.slots);
         let free: Vec<&ReplicaRecord> = ready.iter().filter(has_place).copied().collect();
@@ -240,7 +245,8 @@
         }
     }
 
-    /// Takes the end of a sending. One without a score waits for its next turn; `None` where it is not wanted any more.
+    /// Takes the end of a sending. One without a score waits for its next turn; `None` where it is not wanted
+    /// any more.
     pub(super) fn ended(
         &mut self,
         id: ScoreId,
--- a/crates/core/src/batch/weights.rs
+++ b/crates/core/src/batch/weights.rs
@@ -1,15 +1,17 @@
 //! Which replica loads which version of which model.
 //!
-//! Inputs: the versions that trainers named, the tokens that jobs of each model are expected to need, what each replica has and
-//! is loading, the limit of loads at a time (`load_limit`), and which replicas may be ordered (`order_lease`).
+//! Inputs: the versions that trainers named, the tokens that jobs of each model are expected to need, what
+//! each replica has and is loading, the limit of loads at a time (`load_limit`), and which replicas may be
+//! ordered (`order_lease`).
 //!
-//! Where a service has several models, each replica is assigned one model and loads only its versions: bringing every
-//! replica to every version of every model would take more loads than the replicas can do at a time.
+//! Where a service has several models, each replica is assigned one model and loads only its versions:
+//! bringing every replica to every version of every model would take more loads than the replicas can do at a
+//! time.
 //!
-//! Replicas in a zone that is evacuated have no part in this: models are assigned among the others, so that each model keeps
-//! replicas of its version outside, and nothing is loaded there. An evacuation may outlast many versions, each of whose
-//! loads would be paid for and used by nobody; a zone that is readmitted is behind by whatever came meanwhile, and its
-//! replicas, which are furthest behind, load first.
+//! Replicas in a zone that is evacuated have no part in this: models are assigned among the others, so that
+//! each model keeps replicas of its version outside, and nothing is loaded there. An evacuation may outlast
+//! many versions, each of whose loads would be paid for and used by nobody; a zone that is readmitted is
+//! behind by whatever came meanwhile, and its replicas, which are furthest behind, load first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,22 +21,23 @@
 use crate::ingress::admission::AdmissionGate;
 use crate::time::Timestamp;
 
-/// Replicas for each model below which none is assigned. Chosen, not measured: with fewer, the loss of one replica leaves a
-/// model without its newest version.
+/// Replicas for each model below which none is assigned. Chosen, not measured: with fewer, the loss of one
+/// replica leaves a model without its newest version.
 const MIN_REPLICAS_PER_MODEL: usize = 2;
-/// Loads of a version wait so long after it was named: the step that was asked for with it fills the slots first, and a
-/// replica whose slots are full loses nothing while it loads, since its runs go on. Mean worth of 12 plays: 0.678 with
-/// this, lost orders repeated and runs moved; 0.624 with loads on the emptiest replica at once and neither of the two.
+/// Loads of a version wait so long after it was named: the step that was asked for with it fills the slots
+/// first, and a replica whose slots are full loses nothing while it loads, since its runs go on. Mean worth
+/// of 12 plays: 0.678 with this, lost orders repeated and runs moved; 0.624 with loads on the emptiest
+/// replica at once and neither of the two.
 const LOAD_DELAY: Duration = Duration::from_millis(300);
-/// Weight of the newest time between two versions of a model in the running mean. Chosen, not measured: greater follows single
-/// steps, smaller follows a change of pace late.
+/// Weight of the newest time between two versions of a model in the running mean. Chosen, not measured:
+/// greater follows single steps, smaller follows a change of pace late.
 const INTERVAL_WEIGHT: f64 = 0.3;
-/// Weight of the newest job in the running mean of a model's demand. Chosen, not measured: greater reassigns replicas for one
-/// job, smaller follows a change of demand late.
+/// Weight of the newest job in the running mean of a model's demand. Chosen, not measured: greater reassigns
+/// replicas for one job, smaller follows a change of demand late.
 const DEMAND_WEIGHT: f64 = 0.3;
 
-/// How many replicas too many one model and too few another must have before one is reassigned. Chosen, not measured: below
-/// half of one a replica would move back and forth, above one a model stays short.
+/// How many replicas too many one model and too few another must have before one is reassigned. Chosen, not
+/// measured: below half of one a replica would move back and forth, above one a model stays short.
 const WORTH_MOVING: f64 = 0.75;
 
 /// A load that should begin.
@@ -119,8 +122,8 @@
         self.limits.entry(service.to_owned()).or_default().observe(time, loading.beside, size);
     }
 
-    /// Loads to begin now in one service, of the replicas that may be ordered: those that are furthest behind first, among
-    /// them the fullest.
+    /// Loads to begin now in one service, of the replicas that may be ordered: those that are furthest behind
+    /// first, among them the fullest.
     pub(super) fn next(
         &mut self,
         service: &str,
@@ -144,8 +147,8 @@
         wanted.into_iter().take(free).map(|(_, _, load)| load).collect()
     }
 
-    /// How many replicas of a service can be brought to each version in time; `None` where versions or loads were not seen
-    /// yet. More of them only wait for their weights.
+    /// How many replicas of a service can be brought to each version in time; `None` where versions or loads
+    /// were not seen yet. More of them only wait for their weights.
     pub(super) fn renewable(
         &self,
         service: &str,
--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -1,6 +1,7 @@
 //! Calls to the platform that one holder makes at a time: usage by tenant, and replicas ordered.
 //!
-//! This is the half without I/O: what a call is, and which plans decide when one is due. The daemon's `duties` makes the calls.
+//! This is the half without I/O: what a call is, and which plans decide when one is due. The daemon's
+//! `duties` makes the calls.
 
 use crate::scaling::{ScaleOrder, ScalePlan, ScalingPolicy};
 use crate::usage::account::TenantCounts;
--- a/crates/core/src/rollout/controller/attempts.rs
+++ b/crates/core/src/rollout/controller/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts at slots: when they start, how they end, and which of them decides a slot.
 //!
-//! Inputs: the queue of open slots, the window of attempts that the pool takes, the trainer's version and the staleness bound.
+//! Inputs: the queue of open slots, the window of attempts that the pool takes, the trainer's version and the
+//! staleness bound.
 
 use std::time::Duration;
 
@@ -16,8 +17,8 @@
 use super::JobController;
 use super::event::{Action, AttemptOutcome, AttemptStart};
 
-/// The longest pause after an attempt that failed: a slot under which engines end takes one down no more often than this, and
-/// has to be decided some day. Chosen, not measured.
+/// The longest pause after an attempt that failed: a slot under which engines end takes one down no more
+/// often than this, and has to be decided some day. Chosen, not measured.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
 
 /// An attempt that this owner started.
@@ -30,8 +31,8 @@
 }
 
 impl JobController {
-    /// A step is opened once it is at most `staleness_bound` steps ahead of the trainer: a trainer that publishes
-    /// one version a step would find later ones too old.
+    /// A step is opened once it is at most `staleness_bound` steps ahead of the trainer: a trainer that
+    /// publishes one version a step would find later ones too old.
     pub(super) fn open_steps(&mut self) {
         let specification = self.ledger.specification();
         let ahead = u32::try_from(specification.staleness_bound).unwrap_or(u32::MAX);
--- a/crates/core/src/rollout/controller/config.rs
+++ b/crates/core/src/rollout/controller/config.rs
@@ -4,9 +4,11 @@
 
 /// Attempts of one job at once. Chosen, not measured: the pool's window (`window`) is mostly smaller.
 const MAX_IN_FLIGHT: usize = 256;
-/// The pause after a failed attempt that named none. Chosen, not measured: shorter storms an engine that fails at once.
+/// The pause after a failed attempt that named none. Chosen, not measured: shorter storms an engine that
+/// fails at once.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The longest attempt. Chosen, not measured: shorter throws long texts away, longer lets a lost attempt hold its slot.
+/// The longest attempt. Chosen, not measured: shorter throws long texts away, longer lets a lost attempt hold
+/// its slot.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(600);
 /// Tokens of one batch for the trainer. Chosen, not measured: some megabytes in one answer.
 const MAX_BATCH_TOKENS: usize = 1 << 20;
--- a/crates/core/src/rollout/controller/hand_over.rs
+++ b/crates/core/src/rollout/controller/hand_over.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The test at hand-over, for samples that were handed out and not saved: the bound goes before the promise
-    /// that the same cursor gives the same samples.
+    /// The test at hand-over, for samples that were handed out and not saved: the bound goes before the
+    /// promise that the same cursor gives the same samples.
     pub(super) fn void_stale_batch(&mut self) {
         let Some((start, samples)) = self.ledger.unsaved_batch() else { return };
         if samples.iter().all(|sample| self.is_fresh(sample)) {
--- a/crates/core/src/rollout/controller/mod.rs
+++ b/crates/core/src/rollout/controller/mod.rs
@@ -61,8 +61,8 @@
 /// The owner of a job.
 ///
 /// Records are applied to the ledger when they are proposed. That is safe because only this owner can append
-/// under its epoch: when an append fails the driver drops the whole controller and takes the shard over again.
-/// Invariant: an answer leaves only after every record proposed before it is kept by a majority.
+/// under its epoch: when an append fails the driver drops the whole controller and takes the shard over
+/// again. Invariant: an answer leaves only after every record proposed before it is kept by a majority.
 pub struct JobController {
     config: ControllerConfig,
     epoch: Epoch,
--- a/crates/core/src/rollout/controller/window.rs
+++ b/crates/core/src/rollout/controller/window.rs
@@ -4,14 +4,16 @@
 
 use crate::time::Timestamp;
 
-/// Attempts started before the pool has shown what it takes. Chosen, not measured: the window opens with each completion.
+/// Attempts started before the pool has shown what it takes. Chosen, not measured: the window opens with each
+/// completion.
 const FIRST_SIZE: usize = 16;
-/// The longest time without a try after a refusal. A refusal by the dispatcher costs no message, and a place that
-/// another job or a caller left is found no later than this. Chosen, not measured.
+/// The longest time without a try after a refusal. A refusal by the dispatcher costs no message, and a place
+/// that another job or a caller left is found no later than this. Chosen, not measured.
 const MAX_HOLD: Duration = Duration::from_millis(100);
 
-/// A window that closes at a refusal and opens with each completion (compare the congestion windows of Jacobson,
-/// "Congestion avoidance and control", 1988; a refusal names the limit exactly, so nothing is halved).
+/// A window that closes at a refusal and opens with each completion (compare the congestion windows of
+/// Jacobson, "Congestion avoidance and control", 1988; a refusal names the limit exactly, so nothing is
+/// halved).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DispatchWindow {
     limit: usize,
--- a/crates/core/src/rollout/delivery.rs
+++ b/crates/core/src/rollout/delivery.rs
@@ -8,8 +8,8 @@
 use super::sample::Sample;
 use super::slot::Slot;
 
-/// A trainer asks for samples from its cursor on. The cursor moves only by this word: everything before `cursor`
-/// is taken as saved by the trainer (brief point 3).
+/// A trainer asks for samples from its cursor on. The cursor moves only by this word: everything before
+/// `cursor` is taken as saved by the trainer (brief point 3).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct PullRequest {
@@ -91,9 +91,9 @@
 
 /// Where the hand-over stands.
 ///
-/// There is at most one unsaved batch: a later one is made only when the trainer states a cursor at its end. A
-/// position is never used twice, also not after its batch was voided, so a trainer that saved a voided batch all
-/// the same is found out by its cursor.
+/// There is at most one unsaved batch: a later one is made only when the trainer states a cursor at its end.
+/// A position is never used twice, also not after its batch was voided, so a trainer that saved a voided
+/// batch all the same is found out by its cursor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub(super) struct Delivery {
     /// The cursor that the trainer stated last.
--- a/crates/core/src/rollout/ledger.rs
+++ b/crates/core/src/rollout/ledger.rs
@@ -14,8 +14,8 @@
 use super::specification::JobSpecification;
 use super::staleness::StalenessBound;
 
-/// The state of a job: the result of applying its records in order. Two owners that apply the same records hold
-/// the same ledger.
+/// The state of a job: the result of applying its records in order. Two owners that apply the same records
+/// hold the same ledger.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct JobLedger {
     specification: JobSpecification,
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -32,7 +32,8 @@
         /// The slots.
         slots: Vec<Slot>,
     },
-    /// The unsaved batch grew too old for the version that the trainer stated; its positions are not used again.
+    /// The unsaved batch grew too old for the version that the trainer stated; its positions are not used
+    /// again.
     BatchVoided,
     /// A slot's sample grew too old; the slot is filled anew.
     Reopened {
@@ -72,7 +73,7 @@
     ///
     /// # Errors
     /// When the bytes are no record.
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 }
--- a/crates/core/src/rollout/specification.rs
+++ b/crates/core/src/rollout/specification.rs
@@ -24,8 +24,8 @@
     pub steps: u32,
     /// At most this many tokens for each sample.
     pub max_tokens: u32,
-    /// The greatest allowed difference between the trainer's weight version and the oldest version in a sample
-    /// (brief point 2).
+    /// The greatest allowed difference between the trainer's weight version and the oldest version in a
+    /// sample (brief point 2).
     pub staleness_bound: u64,
     /// What to weigh more when long samples hold up a step: 0 is staleness only, 100 is idle time only.
     /// Checked and kept; nothing acts on it yet.
--- a/crates/core/src/rollout/staleness.rs
+++ b/crates/core/src/rollout/staleness.rs
@@ -7,9 +7,9 @@
 
 /// The greatest allowed difference between the trainer's weight version and the oldest version in a sample.
 ///
-/// Tested three times: before an attempt is started and while it runs (to waste fewer tokens), before a decision
-/// (to keep the slot open), and at hand-over against the version that the trainer states. Only the last test is
-/// the guarantee; the others save work.
+/// Tested three times: before an attempt is started and while it runs (to waste fewer tokens), before a
+/// decision (to keep the slot open), and at hand-over against the version that the trainer states. Only the
+/// last test is the guarantee; the others save work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalenessBound(pub u64);
 
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -1,9 +1,10 @@
 //! How many replicas of a service each zone is to have.
 //!
-//! Inputs: what the holder of the duty observes of each service ([`ServiceSight`]), the operator's bounds and prices, the orders
-//! of the holder before, and [`ScalingPolicy`]. Orders name absolute numbers, so that one that comes twice or late does no harm
-//! beyond its own number. The greatest demand of a while counts, since a start takes longer than a step; replicas that can't
-//! be kept at the newest weights are not ordered, since they would wait for their loads and their steps with them.
+//! Inputs: what the holder of the duty observes of each service ([`ServiceSight`]), the operator's bounds and
+//! prices, the orders of the holder before, and [`ScalingPolicy`]. Orders name absolute numbers, so that one
+//! that comes twice or late does no harm beyond its own number. The greatest demand of a while counts, since
+//! a start takes longer than a step; replicas that can't be kept at the newest weights are not ordered, since
+//! they would wait for their loads and their steps with them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -26,18 +27,20 @@
     }
 }
 
-/// A holder follows the demand once it has observed it for this long: some steps of each trainer, and how often weights change.
-/// Chosen, not measured: shorter orders by the first step's burst, longer leaves a growing service short.
+/// A holder follows the demand once it has observed it for this long: some steps of each trainer, and how
+/// often weights change. Chosen, not measured: shorter orders by the first step's burst, longer leaves a
+/// growing service short.
 const FOLLOW_AFTER: Duration = Duration::from_secs(12);
 /// The pause between two polls of the demand. Chosen, not measured: each goes over all items of all jobs.
 const SCALING_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a zone must be short or rich before it is ordered: an entry that is being replaced is back within this time. Chosen,
-/// not measured: shorter orders for entries that flicker, longer delays every order.
+/// How long a zone must be short or rich before it is ordered: an entry that is being replaced is back within
+/// this time. Chosen, not measured: shorter orders for entries that flicker, longer delays every order.
 const SHORT_FOR: Duration = Duration::from_millis(800);
-/// How much longer than a start takes new replicas may stay away before they are ordered again. Chosen, not measured.
+/// How much longer than a start takes new replicas may stay away before they are ordered again. Chosen, not
+/// measured.
 const START_SLACK: Duration = Duration::from_secs(2);
-/// The pause after an order that the platform did not take. Chosen, not measured: shorter spends calls on a platform that is
-/// away.
+/// The pause after an order that the platform did not take. Chosen, not measured: shorter spends calls on a
+/// platform that is away.
 const ORDER_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// What is seen of a service.
@@ -128,7 +131,8 @@
         true
     }
 
-    /// Orders to give now for one service. `earlier` is what was ordered of a zone before, by whoever held the duty.
+    /// Orders to give now for one service. `earlier` is what was ordered of a zone before, by whoever held
+    /// the duty.
     ///
     /// Invariant: each order lies within the bounds, and a zone has one order under way at a time.
     pub fn next(
@@ -201,7 +205,8 @@
     }
 }
 
-/// Divides replicas among the zones as evenly as the bounds allow; what is left over goes to the cheapest ones.
+/// Divides replicas among the zones as evenly as the bounds allow; what is left over goes to the cheapest
+/// ones.
 fn shares(wanted: u32, sight: &ServiceSight, bounds: &ScalingBounds) -> BTreeMap<String, u32> {
     let mut zones: Vec<&String> = sight.ready.keys().collect();
     let price = |zone: &String| bounds.zone_prices.get(zone).copied().unwrap_or(1.0);
--- a/crates/core/src/usage/account.rs
+++ b/crates/core/src/usage/account.rs
@@ -1,7 +1,8 @@
 //! What the records on usage amount to.
 //!
-//! Invariants: a count is taken once, however often its report came; what a closed window holds never changes, so that
-//! it can be reported again and again, by one holder of the duty or the next, without being reported differently.
+//! Invariants: a count is taken once, however often its report came; what a closed window holds never
+//! changes, so that it can be reported again and again, by one holder of the duty or the next, without being
+//! reported differently.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +14,8 @@
 /// Requests by tenant.
 pub type TenantCounts = BTreeMap<TenantName, u64>;
 
-/// An incarnation of a node is forgotten once this many windows were closed after its last count: it has nothing left to
-/// repeat. Chosen, not measured: as many windows as are made up for after an outage.
+/// An incarnation of a node is forgotten once this many windows were closed after its last count: it has
+/// nothing left to repeat. Chosen, not measured: as many windows as are made up for after an outage.
 const SOURCE_WINDOWS: u64 = 24;
 
 /// Requests of one tenant that began in one window.
--- a/crates/core/src/usage/meter.rs
+++ b/crates/core/src/usage/meter.rs
@@ -8,11 +8,11 @@
 use crate::identity::TenantName;
 use crate::time::Timestamp;
 
-/// Counts that are held at most; the oldest give way. A node of ours begins some tens of requests a second, and what is a
-/// minute old is too late to be reported. Chosen, not measured.
+/// Counts that are held at most; the oldest give way. A node of ours begins some tens of requests a second,
+/// and what is a minute old is too late to be reported. Chosen, not measured.
 const HELD_LIMIT: usize = 65_536;
-/// Counts that one report carries at most. Chosen, not measured: greater makes a message of more than some 100 kB, smaller
-/// makes a node that was cut off catch up in more calls.
+/// Counts that one report carries at most. Chosen, not measured: greater makes a message of more than some
+/// 100 kB, smaller makes a node that was cut off catch up in more calls.
 const REPORT_LIMIT: usize = 1_024;
 
 /// A request that began to run.
@@ -46,8 +46,8 @@
 
 /// Counts requests that began to run on one node.
 ///
-/// Invariant: an entry is held until the holder of the duty has said that it keeps it, or until it is one of more than
-/// 65,536 that wait; entries keep their numbers.
+/// Invariant: an entry is held until the holder of the duty has said that it keeps it, or until it is one of
+/// more than 65,536 that wait; entries keep their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     entries: VecDeque<(Timestamp, TenantName)>,
--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -1,8 +1,8 @@
 //! When a window of usage is closed, and when it is reported to the platform.
 //!
-//! Inputs: the time of day as most nodes have it (`true_time`), the length of a window and how long after its end it is due, and
-//! what the account holds. A window is closed by a record, so that each holder of the duty reports the same of it; it is reported
-//! until the platform has taken it.
+//! Inputs: the time of day as most nodes have it (`true_time`), the length of a window and how long after its
+//! end it is due, and what the account holds. A window is closed by a record, so that each holder of the duty
+//! reports the same of it; it is reported until the platform has taken it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,14 +15,15 @@
 use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
-/// The part of the time until a window is due after which it is closed: counts of nodes that were cut off for less come
-/// in time, and a takeover of some four seconds can pass before it is due. Chosen; later, and a window is missed when all
-/// power is gone for a moment; earlier, and counts of nodes that were cut off are lost.
+/// The part of the time until a window is due after which it is closed: counts of nodes that were cut off for
+/// less come in time, and a takeover of some four seconds can pass before it is due. Chosen; later, and a
+/// window is missed when all power is gone for a moment; earlier, and counts of nodes that were cut off are
+/// lost.
 const CLOSE_SHARE: f64 = 0.4;
 /// Windows that are made up for after a long outage; earlier ones are too late by far. Chosen, not measured.
 const MADE_UP_WINDOWS: u64 = 24;
-/// The pause after calls in a row that the platform did not take. Chosen, not measured: shorter spends calls on a platform
-/// that is away, longer reports a window late.
+/// The pause after calls in a row that the platform did not take. Chosen, not measured: shorter spends calls
+/// on a platform that is away, longer reports a window late.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(300), Duration::from_secs(2));
 
 /// What the platform asks for.
@@ -47,8 +48,8 @@
     telling: Option<WindowNumber>,
     /// Windows that the platform took, until the account says so.
     told: BTreeSet<WindowNumber>,
-    /// The window of the last call: after one that was missed the next window has its turn, so that none keeps the others from
-    /// being reported in time.
+    /// The window of the last call: after one that was missed the next window has its turn, so that none
+    /// keeps the others from being reported in time.
     last: Option<WindowNumber>,
     failures: u32,
     not_before: Timestamp,
@@ -75,7 +76,8 @@
         self.time.heard(node, wall, now);
     }
 
-    /// Takes a report: what it adds to the account, by window, or `None` where all of it is taken or on its way.
+    /// Takes a report: what it adds to the account, by window, or `None` where all of it is taken or on its
+    /// way.
     pub fn take(
         &mut self,
         account: &UsageAccount,
--- a/crates/core/src/usage/true_time.rs
+++ b/crates/core/src/usage/true_time.rs
@@ -1,5 +1,5 @@
-//! The time of day as most nodes have it: the clock in the middle of those that report. Owns the last offset of each; relies on
-//! this node's steady clock in between.
+//! The time of day as most nodes have it: the clock in the middle of those that report. Owns the last offset
+//! of each; relies on this node's steady clock in between.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +7,12 @@
 use super::window::{WallTime, to_ms};
 use crate::time::Timestamp;
 
-/// A clock from which nothing came for this long is left out: it may have been set since. Chosen, not measured.
+/// A clock from which nothing came for this long is left out: it may have been set since. Chosen, not
+/// measured.
 const HEARD_FOR: Duration = Duration::from_secs(15);
-/// A clock that differs by more has jumped, in milliseconds; a report that was held up on its way differs by less. Chosen, not
-/// measured: smaller corrects clocks that are right, greater counts requests in the wrong window.
+/// A clock that differs by more has jumped, in milliseconds; a report that was held up on its way differs by
+/// less. Chosen, not measured: smaller corrects clocks that are right, greater counts requests in the wrong
+/// window.
 const JUMP_MS: i64 = 300;
 
 /// A clock as it was last heard.
@@ -38,6 +40,7 @@
     /// The time of day now, by the clock in the middle; `None` before any was heard.
     pub fn now(&self, now: Timestamp) -> Option<WallTime> {
         let wall_ms = self.middle()? + as_signed(steady_ms(now));
+        // Before 1970 there is no window to count in.
         Some(WallTime(u64::try_from(wall_ms).unwrap_or(0)))
     }
 
--- a/crates/core/src/weights/config.rs
+++ b/crates/core/src/weights/config.rs
@@ -2,28 +2,33 @@
 
 use std::time::Duration;
 
-/// Replicas that fetch at once. Measured with `simulate-weights --replicas 870` (a store that allows 18.0 s, a fetch of 3 s,
-/// a swap of 0.5 s): all have the version after 50.2 s with 64, 25.6 s with 128, 22.5 s with 256.
+/// Replicas that fetch at once. Measured with `simulate-weights --replicas 870` (a store that allows 18.0 s,
+/// a fetch of 3 s, a swap of 0.5 s): all have the version after 50.2 s with 64, 25.6 s with 128, 22.5 s with
+/// 256.
 const MAX_CONCURRENT_LOADS: usize = 256;
-/// The greatest part of a pool that loads at once, in percent: the other half goes on serving. Chosen; with half of the pool
-/// the same simulation took 20.0 s.
+/// The greatest part of a pool that loads at once, in percent: the other half goes on serving. Chosen; with
+/// half of the pool the same simulation took 20.0 s.
 const MAX_LOADING_PERCENT: usize = 50;
-/// Chosen, not measured: ten times the fetch of the simulation. Shorter gives a slow replica's place to another although it
-/// still fetches; longer lets a dead one hold its place.
+/// Chosen, not measured: ten times the fetch of the simulation. Shorter gives a slow replica's place to
+/// another although it still fetches; longer lets a dead one hold its place.
 const LOAD_CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
-/// As in the simulation of the waves: a report every 0.5 s. A place is held until the report, so longer slows the wave.
+/// As in the simulation of the waves: a report every 0.5 s. A place is held until the report, so longer slows
+/// the wave.
 const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Chosen, not measured: longer, and a replica whose swap failed stands idle for longer; shorter costs calls.
 const ORDER_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Chosen, not measured: longer, and a replica that restarted with older weights is found later; shorter costs calls.
+/// Chosen, not measured: longer, and a replica that restarted with older weights is found later; shorter
+/// costs calls.
 const CONFIRMED_POLL_INTERVAL: Duration = Duration::from_secs(60);
-/// Chosen, not measured: longer, and an owner that was superseded without noticing misses a publication for longer.
+/// Chosen, not measured: longer, and an owner that was superseded without noticing misses a publication for
+/// longer.
 const BARRIER_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Settings of an owner of a pool's weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaveConfig {
-    /// Replicas that fetch from the weight store at once. The store's rate divided by this is each one's share.
+    /// Replicas that fetch from the weight store at once. The store's rate divided by this is each one's
+    /// share.
     pub max_concurrent_loads: usize,
     /// The greatest part of a pool that is loading at once, in percent; one replica may always load.
     pub max_loading_percent: usize,
@@ -31,13 +36,13 @@
     pub load_timeout: Duration,
     /// How often a loading replica is asked for its report.
     pub poll_interval: Duration,
-    /// How often a replica that has not confirmed is ordered again. An engine that is loading the version takes no
-    /// notice; one whose swap failed partway, or that restarted, begins anew.
+    /// How often a replica that has not confirmed is ordered again. An engine that is loading the version
+    /// takes no notice; one whose swap failed partway, or that restarted, begins anew.
     pub order_interval: Duration,
     /// How often a replica that has confirmed is asked again, to find one that restarted with older weights.
     pub sweep_interval: Duration,
-    /// An owner with nothing to record for so long appends a barrier, to find out whether it has been superseded: it
-    /// may have missed a publication that another owner took.
+    /// An owner with nothing to record for so long appends a barrier, to find out whether it has been
+    /// superseded: it may have missed a publication that another owner took.
     pub barrier_interval: Duration,
     /// Keep the record of an order before it is sent. Always on in service; proofs switch it off.
     pub keep_before_order: bool,
--- a/crates/core/src/weights/controller/mod.rs
+++ b/crates/core/src/weights/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The owner of a pool's weights: orders replicas in waves until all have the published version.
 //!
-//! Owns the ledger and what it knows of each replica; the driver hands in [`Event`]s and `now` and carries out [`Action`]s.
-//! Relies on the log for what must outlast this owner. The waves stand in `wave`, roles and reports in `replicas`, the log in
-//! `records`.
+//! Owns the ledger and what it knows of each replica; the driver hands in [`Event`]s and `now` and carries
+//! out [`Action`]s. Relies on the log for what must outlast this owner. The waves stand in `wave`, roles and
+//! reports in `replicas`, the log in `records`.
 
 mod event;
 mod records;
@@ -36,8 +36,9 @@
 
 /// The owner of a pool's weights.
 ///
-/// Invariant: a replica is in the ledger's `ordered` set, kept by a majority, before an order to load is sent to
-/// it. So the replicas that may be fetching are known to every later owner, and their number stays at the limit.
+/// Invariant: a replica is in the ledger's `ordered` set, kept by a majority, before an order to load is sent
+/// to it. So the replicas that may be fetching are known to every later owner, and their number stays at the
+/// limit.
 pub struct WeightsController {
     pool: PoolName,
     config: WaveConfig,
--- a/crates/core/src/weights/controller/records.rs
+++ b/crates/core/src/weights/controller/records.rs
@@ -1,14 +1,15 @@
 //! What the owner writes to the log, and the actions that wait until it is kept.
 //!
-//! Invariant: one append is outstanding at a time; what rests on a record is done only once a majority keeps it.
+//! Invariant: one append is outstanding at a time; what rests on a record is done only once a majority keeps
+//! it.
 
 use crate::time::Timestamp;
 use crate::weights::ledger::WeightsRecord;
 
 use super::{Action, WeightsController};
 
-/// The log is compacted after this many records. Chosen, not measured: fewer snapshots the few replicas of a pool more often
-/// than needed, more makes a takeover read longer.
+/// The log is compacted after this many records. Chosen, not measured: fewer snapshots the few replicas of a
+/// pool more often than needed, more makes a takeover read longer.
 const RECORDS_BETWEEN_SNAPSHOTS: u64 = 1_000;
 
 impl WeightsController {
--- a/crates/core/src/weights/controller/wave.rs
+++ b/crates/core/src/weights/controller/wave.rs
@@ -1,8 +1,9 @@
 //! Which replicas are ordered to load the published version, and when an order is repeated or given up.
 //!
-//! Inputs: the published version, which replicas were ordered and which have confirmed, how often each failed, and the limits
-//! of [`WaveConfig`](crate::weights::WaveConfig). At most so many replicas load at once that each has its share of the weight
-//! store's rate and enough of the pool goes on working; the count holds across owners, since it is kept in the log.
+//! Inputs: the published version, which replicas were ordered and which have confirmed, how often each
+//! failed, and the limits of [`WaveConfig`](crate::weights::WaveConfig). At most so many replicas load at
+//! once that each has its share of the weight store's rate and enough of the pool goes on working; the count
+//! holds across owners, since it is kept in the log.
 
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
@@ -11,8 +12,8 @@
 use super::{Action, OrderCommand, WeightsController};
 
 impl WeightsController {
-    /// An order without a confirmation for too long: its swap failed partway, it was lost, or the replica died.
-    /// The replica may still be fetching, but its share of the store's rate can't be held for ever.
+    /// An order without a confirmation for too long: its swap failed partway, it was lost, or the replica
+    /// died. The replica may still be fetching, but its share of the store's rate can't be held for ever.
     pub(super) fn expire_orders(&mut self, now: Timestamp) {
         let timeout = self.config.load_timeout;
         let is_expired = |replica: &&ReplicaId| {
@@ -32,8 +33,8 @@
         self.propose(WeightsRecord::Forgotten(expired));
     }
 
-    /// Orders again what has been ordered and not confirmed: at once after a take-over or a publication, else now and
-    /// then. The replica keeps its place, so the number of fetches stays at the limit.
+    /// Orders again what has been ordered and not confirmed: at once after a take-over or a publication, else
+    /// now and then. The replica keeps its place, so the number of fetches stays at the limit.
     pub(super) fn repeat_orders(&mut self, now: Timestamp) {
         let Some(target) = self.ledger.target else { return };
         let interval = self.config.order_interval;
--- a/crates/core/src/weights/ledger.rs
+++ b/crates/core/src/weights/ledger.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// When the bytes are no record.
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 }
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -1,8 +1,8 @@
 //! Waves of fenced orders that bring a weight version to all replicas of a pool.
 //!
 //! The owner of a pool's weights drives a [`WeightsController`]. The log holds the published version, which
-//! replicas have been ordered and which have confirmed it, so that a new owner goes on where the old one stopped
-//! and the weight store never serves more fetches at once than allowed, across owners too.
+//! replicas have been ordered and which have confirmed it, so that a new owner goes on where the old one
+//! stopped and the weight store never serves more fetches at once than allowed, across owners too.
 
 mod config;
 mod controller;
--- a/crates/core/src/weights/replica.rs
+++ b/crates/core/src/weights/replica.rs
@@ -31,7 +31,8 @@
 pub(super) struct ReplicaState {
     /// When it was last asked or ordered.
     pub(super) asked_at: Option<Timestamp>,
-    /// When the first order to load the published version was sent; for an earlier owner's, when this one began.
+    /// When the first order to load the published version was sent; for an earlier owner's, when this one
+    /// began.
     pub(super) ordered_at: Option<Timestamp>,
     /// When the order was last sent by this owner; `None` where it is to be sent at once.
     pub(super) last_order_at: Option<Timestamp>,
@@ -44,7 +45,8 @@
 }
 
 impl ReplicaState {
-    /// A replica that an earlier owner ordered or heard of: asked at once, and given the whole time to confirm.
+    /// A replica that an earlier owner ordered or heard of: asked at once, and given the whole time to
+    /// confirm.
     pub(super) fn taken_over(now: Timestamp) -> Self {
         Self { ordered_at: Some(now), ..Self::default() }
     }
--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -1,7 +1,9 @@
-//! A candidate for the ownership of the batch jobs: asks the stores whether the owner still appends, and takes over.
+//! A candidate for the ownership of the batch jobs: asks the stores whether the owner still appends, and
+//! takes over.
 //!
-//! Owns the polling, the takeover of the log and the hand-over to the next candidate. When to take over is decided in
-//! `core::batch::election`, who comes first in [`super::owner_order`]; what follows a takeover is the [`Owner`]'s.
+//! Owns the polling, the takeover of the log and the hand-over to the next candidate. When to take over is
+//! decided in `core::batch::election`, who comes first in [`super::owner_order`]; what follows a takeover is
+//! the [`Owner`]'s.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,17 +41,17 @@
 use crate::store::replica_sets;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// Time between two polls of the stores. Chosen, not measured: a quarter of the second of silence after which an owner is
-/// taken over from; longer delays a takeover by as much, shorter asks every store more often.
+/// Time between two polls of the stores. Chosen, not measured: a quarter of the second of silence after which
+/// an owner is taken over from; longer delays a takeover by as much, shorter asks every store more often.
 const ELECTION_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A store that has not answered within this time counts as missing. Chosen, not measured: shorter, and busy stores make
-/// an owner leave; longer, and one that is cut off leaves after others took over.
+/// A store that has not answered within this time counts as missing. Chosen, not measured: shorter, and busy
+/// stores make an owner leave; longer, and one that is cut off leaves after others took over.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two heartbeats to the stores while the ledger is put together: as often as an owner appends when it has
-/// nothing to record, a fifth of the silence after which others take over.
+/// Time between two heartbeats to the stores while the ledger is put together: as often as an owner appends
+/// when it has nothing to record, a fifth of the silence after which others take over.
 const RECOVERY_HEARTBEAT: Duration = Duration::from_millis(200);
-/// How long a successor may take to answer that it was asked to take over. Chosen, not measured: an owner that leaves
-/// waits for it; a successor that does not answer finds the silence by itself.
+/// How long a successor may take to answer that it was asked to take over. Chosen, not measured: an owner
+/// that leaves waits for it; a successor that does not answer finds the silence by itself.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Asks every live store that may keep the shard who leads.
@@ -147,7 +149,8 @@
         if reason == PollReason::Due && !election::polls_now(rank, self.polls) {
             return None;
         }
-        // The first set of the main shard is waited for; one that can't be made in its regions is not tried again and again.
+        // The first set of the main shard is waited for; one that can't be made in its regions is not tried
+        // again and again.
         if !self.scope.is_main() && self.scope.shortage().is_some() {
             return None;
         }
@@ -168,8 +171,9 @@
         }
     }
 
-    /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller or larger than
-    /// the settings want. Where too few count, the set that this node has met may have been replaced since.
+    /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller
+    /// or larger than the settings want. Where too few count, the set that this node has met may have been
+    /// replaced since.
     async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<LeaderSeen>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
         let least = context.settings.store.set_size.least_members();
@@ -182,8 +186,8 @@
         (answers.counted(set.as_ref()), needed_of(set.as_ref()))
     }
 
-    /// Takes over from what was followed. Where nothing was, the outline of a long log is read first; another may have
-    /// taken over meanwhile.
+    /// Takes over from what was followed. Where nothing was, the outline of a long log is read first; another
+    /// may have taken over meanwhile.
     async fn take_over(&mut self, reason: PollReason, idle: Duration, followed: Option<LedgerFollower>) {
         if followed.is_some() {
             return self.own(reason, idle, followed, None).await;
@@ -260,8 +264,8 @@
         self.scope.context.decisions.record(decision.with("milliseconds", began.elapsed().as_millis()));
     }
 
-    /// Asks the next candidate to take over from this node. Without a candidate, or where it gives no answer, the others
-    /// notice by themselves that nobody appends.
+    /// Asks the next candidate to take over from this node. Without a candidate, or where it gives no answer,
+    /// the others notice by themselves that nobody appends.
     async fn hand_over(&self, offer: Option<ProgressOffer>) {
         let Some(successor) = best_other(&self.scope) else { return };
         let request = BatchRequest::TakeOver(offer);
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -1,8 +1,9 @@
 //! Ends of jobs that this node has read, brought to the owner whatever becomes of their callers.
 //!
-//! An end is held here before it is asked for the first time, and copied to other nodes at once: it
-//! outlasts its caller's connection, owners that are lost before they kept it, and the node that read it. Owns the ends that
-//! are held here and the callers that wait; relies on `core::batch::end_pursuit` for when the owner is asked.
+//! An end is held here before it is asked for the first time, and copied to other nodes at once: it outlasts
+//! its caller's connection, owners that are lost before they kept it, and the node that read it. Owns the
+//! ends that are held here and the callers that wait; relies on `core::batch::end_pursuit` for when the owner
+//! is asked.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,10 +27,11 @@
 
 /// Other nodes that get a copy of an end: with the one that read it, two may be lost.
 const COPIES: usize = 2;
-/// How long another node may take to hold an end. Chosen, not measured: longer delays the copy at a third node.
+/// How long another node may take to hold an end. Chosen, not measured: longer delays the copy at a third
+/// node.
 const COPY_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a caller waits for the owner's answer; the end is held on. Chosen, not measured: above the 1.5 s for which the
-/// owner is searched.
+/// How long a caller waits for the owner's answer; the end is held on. Chosen, not measured: above the 1.5 s
+/// for which the owner is searched.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// The ends that a node holds. Cheap to clone; usable from any runtime.
@@ -56,8 +58,8 @@
         Self { context, held: Arc::default(), changed: Arc::default(), origin }
     }
 
-    /// Holds an end that a caller asks for; what is returned waits for the owner's answer. The end is held also where that is
-    /// dropped.
+    /// Holds an end that a caller asks for; what is returned waits for the owner's answer. The end is held
+    /// also where that is dropped.
     pub(crate) fn end(&self, key: EndKey) -> impl Future<Output = BatchResponse> + use<> {
         let (reply, answer) = oneshot::channel();
         {
@@ -72,6 +74,7 @@
         self.hold(key, EndSource::Caller);
         async move {
             let answered = tokio::time::timeout(CALLER_TIMEOUT, answer).await;
+            // No answer in time: the end is held on, and the caller may ask again.
             answered.ok().and_then(Result::ok).unwrap_or(BatchResponse::Unavailable)
         }
     }
@@ -214,8 +217,8 @@
         told.is_ok()
     }
 
-    /// Other nodes that can hold an end, in an order that differs from job to job: gateways of this region, whose callers could
-    /// have asked them as well.
+    /// Other nodes that can hold an end, in an order that differs from job to job: gateways of this region,
+    /// whose callers could have asked them as well.
     fn others(&self, key: &EndKey) -> Vec<Member> {
         let context = &self.context;
         let region = |zone: &str| context.settings.places.zones.region(zone).cloned();
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -1,7 +1,8 @@
 //! Follows the log of the batch jobs on the node that would own them next.
 //!
-//! Reading the whole log is the longest part of a takeover. The first coordinator beside the owner reads what is decided as
-//! it comes, a quarter of a second behind, from one store after another; the others read nothing.
+//! Reading the whole log is the longest part of a takeover. The first coordinator beside the owner reads what
+//! is decided as it comes, a quarter of a second behind, from one store after another; the others read
+//! nothing.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,11 +21,12 @@
 use super::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
-/// Time between two readings once all that is decided was read. A takeover goes on from what was read: 16 ms after 6,709
-/// records, where reading all took 1.5 s. Chosen, not measured: longer leaves more to read, shorter asks the stores more.
+/// Time between two readings once all that is decided was read. A takeover goes on from what was read: 16 ms
+/// after 6,709 records, where reading all took 1.5 s. Chosen, not measured: longer leaves more to read,
+/// shorter asks the stores more.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(250);
-/// The part of the machine's memory that the followed log may take, in percent. Chosen, not measured: below the owner's bound
-/// of 35, so that what is followed here can also be owned here.
+/// The part of the machine's memory that the followed log may take, in percent. Chosen, not measured: below
+/// the owner's bound of 35, so that what is followed here can also be owned here.
 const FOLLOWED_MEMORY_PERCENT: usize = 30;
 
 /// The follower's task, as the candidate sees it.
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -1,8 +1,8 @@
 //! The way to the owner of one shard of batch jobs, from any node.
 //!
-//! Owns the channel to this node's candidate, where the node may own the shard. Relies on the stores for who leads where no
-//! node names the owner. It differs from `coordinator::forward`, whose requests can all be repeated: here a request that got
-//! no answer may have been taken, and the caller learns so.
+//! Owns the channel to this node's candidate, where the node may own the shard. Relies on the stores for who
+//! leads where no node names the owner. It differs from `coordinator::forward`, whose requests can all be
+//! repeated: here a request that got no answer may have been taken, and the caller learns so.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,16 +17,17 @@
 use super::{Command, candidate};
 use crate::ingress::pool::ReplicaPool;
 
-/// Requests that wait for the owner before senders have to wait. Chosen, not measured: greater costs memory while the owner
-/// stands still; smaller makes peers wait in a burst.
+/// Requests that wait for the owner before senders have to wait. Chosen, not measured: greater costs memory
+/// while the owner stands still; smaller makes peers wait in a burst.
 const OWNER_COMMAND_BACKLOG: usize = 1_024;
-/// How long a request tries to reach the owner. Chosen, not measured: a takeover after a second of silence fits; longer holds
-/// callers while nobody can own.
+/// How long a request tries to reach the owner. Chosen, not measured: a takeover after a second of silence
+/// fits; longer holds callers while nobody can own.
 const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the owner may take, besides what a reader waits. Chosen, not measured: above the appends of a busy owner; longer
-/// delays the search for the next one.
+/// How long the owner may take, besides what a reader waits. Chosen, not measured: above the appends of a
+/// busy owner; longer delays the search for the next one.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Pause before the owner is looked up again. Chosen, not measured: shorter asks every store more often while nobody owns.
+/// Pause before the owner is looked up again. Chosen, not measured: shorter asks every store more often while
+/// nobody owns.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One shard of batch jobs. Cheap to clone; usable from any runtime.
@@ -38,7 +39,8 @@
 }
 
 impl JobShard {
-    /// Starts this node's part on `control`; runs of items go on `traffic`. A node that may not own only asks.
+    /// Starts this node's part on `control`; runs of items go on `traffic`. A node that may not own only
+    /// asks.
     pub(super) fn start(scope: Scope, pool: ReplicaPool, control: &Handle, traffic: Handle) -> Self {
         let settings = &scope.context.settings;
         let can_own = settings.roles.coordinator && settings.platform.metadata_store.is_some();
@@ -61,8 +63,8 @@
         answer.await.unwrap_or(BatchResponse::InDoubt)
     }
 
-    /// Asks the owner, wherever it is, and waits while the ownership moves. `InDoubt` where the last owner asked may
-    /// have taken the request without an answer.
+    /// Asks the owner, wherever it is, and waits while the ownership moves. `InDoubt` where the last owner
+    /// asked may have taken the request without an answer.
     pub(crate) async fn ask(&self, request: BatchRequest) -> BatchResponse {
         let limit = Instant::now() + OWNER_SEARCH_TIMEOUT;
         let wait = match &request {
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Asks one node; `None` where it gave no answer and may have taken the request. Invariant: nothing goes to a node
-    /// where what the shard keeps may not be.
+    /// Asks one node; `None` where it gave no answer and may have taken the request. Invariant: nothing goes
+    /// to a node where what the shard keeps may not be.
     async fn ask_node(
         &self,
         node: &NodeId,
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -1,6 +1,6 @@
-//! Looks after the stores that keep the log of the batch jobs: has a member replaced whose disk is gone, which has not
-//! been seen for long, or whose machine the operator wants emptied; and has the set grow, or a member move, where it could
-//! tolerate more of the losses that the settings want.
+//! Looks after the stores that keep the log of the batch jobs: has a member replaced whose disk is gone,
+//! which has not been seen for long, or whose machine the operator wants emptied; and has the set grow, or a
+//! member move, where it could tolerate more of the losses that the settings want.
 //!
 //! Needs no platform: which set follows is decided by the log itself.
 
@@ -24,13 +24,14 @@
 use crate::store::log_writer::Replacement;
 use crate::store::{exchange, placement, replica_sets};
 
-/// Time between two polls of the stores that keep the log. Chosen, not measured: shorter asks more, longer replaces a lost
-/// disk later.
+/// Time between two polls of the stores that keep the log. Chosen, not measured: shorter asks more, longer
+/// replaces a lost disk later.
 const KEEPER_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// A member that lacks no more decided entries than this is brought into the next set in some tenths of a second.
+/// A member that lacks no more decided entries than this is brought into the next set in some tenths of a
+/// second.
 const CURRENT_ENTRIES: u64 = 1_000;
-/// How long a change waits for members that stay to catch up, before it is begun all the same. Chosen, not measured: above the
-/// six seconds that copying to a member took, in which nothing is decided.
+/// How long a change waits for members that stay to catch up, before it is begun all the same. Chosen, not
+/// measured: above the six seconds that copying to a member took, in which nothing is decided.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(10);
 /// The node answers with another store: the disk was lost.
 const REASON_DISK: &str = "disk_replaced";
@@ -43,8 +44,8 @@
 const REASON_GROWS: &str = "set_grows";
 /// A store elsewhere lets the set tolerate more losses.
 const REASON_BEARS_MORE: &str = "bears_more";
-/// How long the same change must be due before a set that is whole is changed: a store that restarts answers again within
-/// this time. Chosen, not measured.
+/// How long the same change must be due before a set that is whole is changed: a store that restarts answers
+/// again within this time. Chosen, not measured.
 const IMPROVE_AFTER: Duration = Duration::from_secs(3);
 
 /// The keeper's task, as the owner sees it.
@@ -89,7 +90,8 @@
     }
 }
 
-/// The change that an improvement asks for. A set grows where the joining store is named as the leaving one too.
+/// The change that an improvement asks for. A set grows where the joining store is named as the leaving one
+/// too.
 fn to_replacement(step: Improvement) -> Replacement {
     match step {
         Improvement::Grow(joining) => {
@@ -165,8 +167,9 @@
         }
     }
 
-    /// Whether enough members that stay have what is decided, so that the next set can decide without a long copy. Nothing is
-    /// decided while a set is changed: with a member of a majority that lacks the log, a change took six seconds.
+    /// Whether enough members that stay have what is decided, so that the next set can decide without a long
+    /// copy. Nothing is decided while a set is changed: with a member of a majority that lacks the log, a
+    /// change took six seconds.
     async fn is_quick(&self, set: &ReplicaSet, replacement: &Replacement) -> bool {
         let staying = set.members.iter().filter(|member| member.store != replacement.leaving);
         let marks = join_all(staying.map(|member| self.decided_through(set, member))).await;
@@ -249,7 +252,8 @@
         (since.elapsed() >= IMPROVE_AFTER).then(|| to_replacement(step.clone()))
     }
 
-    /// The member that should go first, where all others answer: one change at a time, and none that leaves too few.
+    /// The member that should go first, where all others answer: one change at a time, and none that leaves
+    /// too few.
     fn leaving<'a>(
         &self,
         set: &'a ReplicaSet,
@@ -280,8 +284,8 @@
         leaving.map(|member| (member, REASON_RETIRED))
     }
 
-    /// A machine is empty once none of its stores is a member, in no shard of batch jobs, and every member answers. The
-    /// main shard's owner says so for all.
+    /// A machine is empty once none of its stores is a member, in no shard of batch jobs, and every member
+    /// answers. The main shard's owner says so for all.
     async fn finish_retirements(&self, set: &ReplicaSet, stores: &[SetMember]) {
         let retired = self.retirements.nodes();
         let is_whole =
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -1,8 +1,9 @@
 //! Batch jobs: who owns them, and the way to the owner.
 //!
-//! The jobs of a deployment that may be kept anywhere are one shard of control work, and those bound to a set of regions
-//! another. A shard's owner holds its log under an epoch; that of the main shard is also the fencing token of the orders to
-//! replicas, which its owner alone gives. The candidates for ownership ask the stores whether the owner still appends.
+//! The jobs of a deployment that may be kept anywhere are one shard of control work, and those bound to a set
+//! of regions another. A shard's owner holds its log under an epoch; that of the main shard is also the
+//! fencing token of the orders to replicas, which its owner alone gives. The candidates for ownership ask the
+//! stores whether the owner still appends.
 
 pub(crate) mod candidate;
 mod end_holder;
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Asks about a job of which only its id is known: the shard where it was met, or else all of them at once. It is
-    /// unknown only where each says so.
+    /// Asks about a job of which only its id is known: the shard where it was met, or else all of them at
+    /// once. It is unknown only where each says so.
     pub(crate) async fn ask_about(&self, batch: &BatchId, request: BatchRequest) -> BatchResponse {
         let regional = self.regional.all();
         if regional.is_empty() {
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -1,6 +1,8 @@
-//! Reads a long log in two steps: first which events there are, from several stores at a time, then the texts.
+//! Reads a long log in two steps: first which events there are, from several stores at a time, then the
+//! texts.
 //!
-//! This is the half that talks to stores; what an outline is and how it becomes a ledger stands in `core::batch::outline`.
+//! This is the half that talks to stores; what an outline is and how it becomes a ledger stands in
+//! `core::batch::outline`.
 
 use futures::future::join_all;
 use lichenpulley_core::batch::ledger::Ledger;
@@ -17,20 +19,23 @@
 use crate::context::Context;
 use crate::store::{exchange, replica_sets};
 
-/// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short log costs more
-/// rounds than it saves.
+/// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short
+/// log costs more rounds than it saves.
 const LONG_ENTRIES: u64 = 1_000;
-/// By how many decided entries a member may be behind another and still serve most of the log. Chosen, not measured.
-const MISSING_ENTRIES: u64 = 500;
-/// How many call timeouts a store may take for a page: all that start after a loss of power read at a time. Chosen, not
+/// By how many decided entries a member may be behind another and still serve most of the log. Chosen, not
 /// measured.
+const MISSING_ENTRIES: u64 = 500;
+/// How many call timeouts a store may take for a page: all that start after a loss of power read at a time.
+/// Chosen, not measured.
 const ANSWER_TIMEOUTS: u32 = 3;
-/// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not measured.
+/// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not
+/// measured.
 const IDLE_ROUNDS: u32 = 2;
-/// How often the members of the log are asked for: all stores are known within half a second of a start together, that is
-/// five of these polls 100 ms apart.
+/// How often the members of the log are asked for: all stores are known within half a second of a start
+/// together, that is five of these polls 100 ms apart.
 const MEMBER_POLLS: u32 = 6;
-/// The pause before a store that gave nothing is asked again. Chosen, not measured: shorter asks stores that are starting.
+/// The pause before a store that gave nothing is asked again. Chosen, not measured: shorter asks stores that
+/// are starting.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// What is read of a log.
@@ -75,7 +80,8 @@
 }
 
 impl NoOutline {
-    /// Whether another try may find what this one did not: a node that has just started learns of the stores one by one.
+    /// Whether another try may find what this one did not: a node that has just started learns of the stores
+    /// one by one.
     const fn may_pass(self) -> bool {
         matches!(self, Self::UnknownSet | Self::NoMember)
     }
@@ -121,7 +127,8 @@
     }
 }
 
-/// Reads the missing texts and hands them over: those of open jobs first, since their callers wait for them, then all.
+/// Reads the missing texts and hands them over: those of open jobs first, since their callers wait for them,
+/// then all.
 pub(super) async fn read_texts(scope: Scope, missing: MissingTexts, texts: mpsc::Sender<Ledger>) {
     for after in [missing.open_after, LogIndex::ZERO] {
         let ledger = read_between(&scope, after, missing.through).await;
@@ -211,12 +218,13 @@
     pages
 }
 
-/// Who keeps the log: as a store says that this node has heard of, or else as the platform does. The platform may name the
-/// first set; its members say which one followed.
+/// Who keeps the log: as a store says that this node has heard of, or else as the platform does. The platform
+/// may name the first set; its members say which one followed.
 async fn find_set(scope: &Scope) -> Option<ReplicaSet> {
     if let Some(set) = replica_sets::find_among_stores(&scope.context, &scope.shard).await {
         return Some(set);
     }
+    // Without a set the log is read in the ordinary way, whose error says why.
     replica_sets::find(&scope.context, &scope.shard).await.ok()
 }
 
@@ -229,8 +237,8 @@
     through: LogIndex,
 }
 
-/// The first page, and the members that can read on to its mark: a disk that was lost has none of the log, and a member that
-/// was brought in lately not all.
+/// The first page, and the members that can read on to its mark: a disk that was lost has none of the log,
+/// and a member that was brought in lately not all.
 async fn begin(scope: &Scope, set: &ReplicaSet) -> Option<Beginning> {
     // A member that is down is not waited for.
     let timeout = scope.context.settings.store.call_timeout;
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -1,8 +1,9 @@
 //! Drives the state machine of the batch jobs that this node owns.
 //!
-//! Owns the controller, the log, what is under way at replicas, and the callers that wait, from a takeover until the node
-//! drains, a much more capable one can own, or the log is lost. Relies on the controller (`core::batch::controller`) for all
-//! that concerns jobs; the files beside this one each hold one of the owner's parts.
+//! Owns the controller, the log, what is under way at replicas, and the callers that wait, from a takeover
+//! until the node drains, a much more capable one can own, or the log is lost. Relies on the controller
+//! (`core::batch::controller`) for all that concerns jobs; the files beside this one each hold one of the
+//! owner's parts.
 
 mod actions;
 mod callers;
@@ -46,13 +47,14 @@
 use crate::store::log_writer::AppendOutcome;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// The part of the machine's memory that items and results may take, in percent. Chosen, not measured: a follower may hold
-/// nearly as much on the same machine; more, and the machine runs out of memory; less, and hand-ins are refused early.
+/// The part of the machine's memory that items and results may take, in percent. Chosen, not measured: a
+/// follower may hold nearly as much on the same machine; more, and the machine runs out of memory; less, and
+/// hand-ins are refused early.
 const MAIN_MEMORY_PERCENT: usize = 35;
 /// The same for the jobs that are bound to some regions: a machine may own these beside the main shard.
 const REGIONAL_MEMORY_PERCENT: usize = 20;
-/// Margin above the order lease and the time for which an order may leave after its record. Chosen, not measured: covers
-/// clocks that run unlike; longer, and a new owner orders nothing for as much longer.
+/// Margin above the order lease and the time for which an order may leave after its record. Chosen, not
+/// measured: covers clocks that run unlike; longer, and a new owner orders nothing for as much longer.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The batch jobs as a new owner takes them over.
@@ -183,7 +185,8 @@
             Some(ended) = self.calls.load_ends.recv() => self.handle_load(&ended),
             Some(ended) = self.calls.duty_ends.recv() => self.handle_duty(&ended),
             Some(whole) = self.texts.recv() => self.fill_texts(whole),
-            // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is decided; 0.25 s after it.
+            // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is
+            // decided; 0.25 s after it.
             replacement = self.stores.keeper.next(), if !self.controller.ledger().is_outline() => {
                 self.stores.log.replace(replacement);
             }
--- a/crates/daemon/src/batch/owner/fenced_calls.rs
+++ b/crates/daemon/src/batch/owner/fenced_calls.rs
@@ -1,5 +1,5 @@
-//! Calls that carry the owner's epoch as their fencing token: orders to replicas to load a version, and the duties towards
-//! the platform.
+//! Calls that carry the owner's epoch as their fencing token: orders to replicas to load a version, and the
+//! duties towards the platform.
 
 use lichenpulley_core::identity::Epoch;
 use tokio::sync::mpsc;
--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -1,6 +1,7 @@
 //! How an owner leaves the batch jobs.
 //!
-//! When it leaves is decided in `core::batch::leaving` (a more capable node) and `core::batch::cut_off` (no store answers).
+//! When it leaves is decided in `core::batch::leaving` (a more capable node) and `core::batch::cut_off` (no
+//! store answers).
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 use super::Owner;
 use crate::batch::candidate;
 
-/// How long an owner that leaves waits for the stores to keep its progress. Chosen, not measured: shorter, and runs begin
-/// again further back; longer, and nobody works meanwhile.
+/// How long an owner that leaves waits for the stores to keep its progress. Chosen, not measured: shorter,
+/// and runs begin again further back; longer, and nobody works meanwhile.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Owner {
--- a/crates/daemon/src/batch/owner/running.rs
+++ b/crates/daemon/src/batch/owner/running.rs
@@ -1,7 +1,7 @@
 //! Runs of items and score requests that are under way at replicas.
 //!
-//! Owns their tasks, which go on `traffic`, and the channels by which they report. Relies on the state machine for which of
-//! them to start and to stop.
+//! Owns their tasks, which go on `traffic`, and the channels by which they report. Relies on the state
+//! machine for which of them to start and to stop.
 
 use std::collections::HashMap;
 
@@ -17,8 +17,8 @@
 use crate::context::Context;
 use crate::ingress::pool::ReplicaPool;
 
-/// Events of runs that wait for the owner before their connections are read no further. Chosen, not measured: a burst of all
-/// runs of some hundred replicas; greater costs memory while the owner stands still.
+/// Events of runs that wait for the owner before their connections are read no further. Chosen, not measured:
+/// a burst of all runs of some hundred replicas; greater costs memory while the owner stands still.
 const EVENT_BACKLOG: usize = 4_096;
 
 /// What is under way at replicas. Dropping it stops nothing: see [`Self::stop_all`].
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -1,8 +1,8 @@
-//! The owner's side of the stores that keep its log: writes, the confirmation of its authority, the replacement of members,
-//! and the suspicion that it is cut off.
+//! The owner's side of the stores that keep its log: writes, the confirmation of its authority, the
+//! replacement of members, and the suspicion that it is cut off.
 //!
-//! Owns the log's writer and the keeper of its replica set. Relies on `core::batch::cut_off` for when to ask the stores and
-//! when to leave.
+//! Owns the log's writer and the keeper of its replica set. Relies on `core::batch::cut_off` for when to ask
+//! the stores and when to leave.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 use crate::store::log_writer::{LogWriter, RecordFormat};
 use crate::store::shard_log::ShardLog;
 
-/// What was read under a confirmation may be shown for this long. Any later owner began after it: others wait for a second
-/// of silence (`batch.takeover_after_ms`) and then for the promises of the stores.
+/// What was read under a confirmation may be shown for this long. Any later owner began after it: others wait
+/// for a second of silence (`batch.takeover_after_ms`) and then for the promises of the stores.
 pub(in crate::batch) const CONFIRMED_FOR: Duration = Duration::from_millis(600);
 
 /// How records of batch jobs become bytes of the log.
@@ -54,7 +54,8 @@
 }
 
 impl OwnedStores {
-    /// The stores of a log that has just been taken over, which confirms the authority. The log holds `held_bytes` bytes.
+    /// The stores of a log that has just been taken over, which confirms the authority. The log holds
+    /// `held_bytes` bytes.
     pub(super) fn new(scope: Scope, log: ShardLog, held_bytes: usize) -> Self {
         let (reply_sender, replies) = mpsc::unbounded_channel();
         let clock = scope.context.boot_clock.clone();
--- a/crates/daemon/src/batch/owner/waiting.rs
+++ b/crates/daemon/src/batch/owner/waiting.rs
@@ -1,7 +1,7 @@
 //! Callers that wait for the owner's answer.
 //!
-//! Owns their commands. Invariants: a hand-in, an end or counts of usage are answered only once a majority of stores keeps
-//! them; nothing of a job is shown to another tenant, nor while its texts are missing.
+//! Owns their commands. Invariants: a hand-in, an end or counts of usage are answered only once a majority of
+//! stores keeps them; nothing of a job is shown to another tenant, nor while its texts are missing.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 
 use crate::batch::Command;
 
-/// Longest answer with results, in bytes of text. Chosen, not measured: a page that the link of a weak machine carries in a
-/// fraction of a second; smaller costs callers more calls.
+/// Longest answer with results, in bytes of text. Chosen, not measured: a page that the link of a weak
+/// machine carries in a fraction of a second; smaller costs callers more calls.
 const RESULTS_BYTES: usize = 700 << 10;
 
 /// A reader that waits for a result.
--- a/crates/daemon/src/batch/owner_order.rs
+++ b/crates/daemon/src/batch/owner_order.rs
@@ -15,8 +15,8 @@
     owns || (scope.context.settings.roles.coordinator && rank(scope) < CANDIDATES)
 }
 
-/// How much a node is preferred as one that reads for others, the same on every node: the most capable machines first, among
-/// equals by their weights.
+/// How much a node is preferred as one that reads for others, the same on every node: the most capable
+/// machines first, among equals by their weights.
 type Preference = (NodeCapacity, u64, NodeId);
 
 fn preference(scope: &Scope, node: &NodeId, capacity: NodeCapacity) -> Preference {
@@ -30,9 +30,10 @@
 /// How much a node is preferred as the owner of a shard.
 type OwnerKey = (bool, NodeCapacity, bool, u64, NodeId);
 
-/// The order of coordinators as owners of the shard: among machines that are alike those go first from which an append
-/// does not cross to another region. The owner of the main shard comes last as the owner of another, since its machine has
-/// enough to do. Time alone hangs on it: nodes that know of different sets may differ in it.
+/// The order of coordinators as owners of the shard: among machines that are alike those go first from which
+/// an append does not cross to another region. The owner of the main shard comes last as the owner of
+/// another, since its machine has enough to do. Time alone hangs on it: nodes that know of different sets may
+/// differ in it.
 struct OwnerOrder<'a> {
     scope: &'a Scope,
     home: Option<RegionName>,
@@ -82,8 +83,8 @@
     scope.coordinators().iter().filter(|member| order.key_of(member) > own).count()
 }
 
-/// This node's place among the coordinators, and how many there are. Regions don't count: those that read the platform's
-/// metadata store stand in all of them.
+/// This node's place among the coordinators, and how many there are. Regions don't count: those that read the
+/// platform's metadata store stand in all of them.
 pub(crate) fn rank_among(scope: &Scope) -> (usize, usize) {
     let own = preference(scope, &scope.context.node, scope.context.settings.machine.capacity());
     let coordinators = scope.coordinators();
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -1,7 +1,8 @@
 //! The shards of the batch jobs that may be kept in some regions only.
 //!
-//! A node takes part in those whose regions hold it, from when a configuration names them until it stops, so that jobs
-//! outlast a change of their route's regions. A deployment whose settings name no regions starts nothing of this.
+//! A node takes part in those whose regions hold it, from when a configuration names them until it stops, so
+//! that jobs outlast a change of their route's regions. A deployment whose settings name no regions starts
+//! nothing of this.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -104,7 +105,8 @@
         self.known().shards.values().cloned().collect()
     }
 
-    /// The shard in which a job was met; `None` where it is not remembered, and the main one's name for the main one.
+    /// The shard in which a job was met; `None` where it is not remembered, and the main one's name for the
+    /// main one.
     pub(super) fn shard_of_job(&self, batch: &BatchId) -> Option<ShardId> {
         self.known().by_job.get(batch).cloned()
     }
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -1,6 +1,7 @@
 //! Runs one item of a batch job at one replica.
 //!
-//! Owns the connection from the request to the last event. What becomes of an item whose run ended is the controller's choice.
+//! Owns the connection from the request to the last event. What becomes of an item whose run ended is the
+//! controller's choice.
 
 use std::time::Duration;
 
@@ -24,14 +25,15 @@
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
 
-/// A connection to a replica that is not made within this time is given up. Chosen, not measured: some round trips of a busy
-/// machine; longer holds an item at a replica that is gone.
+/// A connection to a replica that is not made within this time is given up. Chosen, not measured: some round
+/// trips of a busy machine; longer holds an item at a replica that is gone.
 const RUN_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An item that leaves this long after it was decided gets a log line: its job may have ended since. Chosen, not measured.
+/// An item that leaves this long after it was decided gets a log line: its job may have ended since. Chosen,
+/// not measured.
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
-/// Runs an item and tells the owner of its events. Dropping it closes the connection, by which the replica drops the
-/// item.
+/// Runs an item and tells the owner of its events. Dropping it closes the connection, by which the replica
+/// drops the item.
 pub(super) async fn run(
     context: Context,
     pool: ReplicaPool,
@@ -66,7 +68,8 @@
     decided_at: BootInstant,
 ) -> Result<Exchange, SendError> {
     let request = build(start).map_err(|error| {
-        // The ingress has parsed each part of the item, so that a retry elsewhere fails in the same way: this line says why.
+        // The ingress has parsed each part of the item, so that a retry elsewhere fails in the same way: this
+        // line says why.
         ::log::error!(target: "batch", "{} can't be sent: {error}. Hand it in again with a valid path and headers.", start.item.id);
         SendError::NotSent
     })?;
@@ -164,8 +167,8 @@
     RunEnd::Complete
 }
 
-/// The version that the answer's head names; events that name their own go before it. Without either an event counts as made by
-/// version 0, which no job accepts that asks for a version.
+/// The version that the answer's head names; events that name their own go before it. Without either an event
+/// counts as made by version 0, which no job accepts that asks for a version.
 fn named_version(fields: &hyper::HeaderMap, start: &RunStart) -> u64 {
     let Some(value) = fields.get(headers::WEIGHT_VERSION) else { return UNNAMED_VERSION };
     let version = value.to_str().ok().and_then(|version| version.trim().parse().ok());
--- a/crates/daemon/src/batch/scope.rs
+++ b/crates/daemon/src/batch/scope.rs
@@ -52,7 +52,8 @@
         Self { context: Arc::clone(context), shard, regions, owner: Arc::default() }
     }
 
-    /// Whether this is the shard of the jobs that may be kept anywhere. Its owner alone gives orders and has duties.
+    /// Whether this is the shard of the jobs that may be kept anywhere. Its owner alone gives orders and has
+    /// duties.
     pub(crate) fn is_main(&self) -> bool {
         self.regions.is_all()
     }
@@ -86,7 +87,8 @@
         stores.filter(|member| self.allows(member)).cloned().collect()
     }
 
-    /// What is lacking for the shard to get an owner and a log; `None` where nothing is, or where it has them.
+    /// What is lacking for the shard to get an owner and a log; `None` where nothing is, or where it has
+    /// them.
     pub(crate) fn shortage(&self) -> Option<Shortage> {
         let (coordinators, stores) = (self.coordinators().len(), self.stores().len());
         let stands = self.known_owner().is_some() || self.context.replica_sets.get(&self.shard).is_some();
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -1,6 +1,7 @@
 //! Sends one score request to one replica.
 //!
-//! Owns the connection until the whole answer has come. When a request is sent again is decided in `core::batch::score_plan`.
+//! Owns the connection until the whole answer has come. When a request is sent again is decided in
+//! `core::batch::score_plan`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,8 +19,8 @@
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
 
-/// Longest answer of a scorer that is read, in bytes. Chosen, not measured: its body is not used, only that it is whole; smaller
-/// refuses scores of wordy scorers.
+/// Longest answer of a scorer that is read, in bytes. Chosen, not measured: its body is not used, only that
+/// it is whole; smaller refuses scores of wordy scorers.
 const SCORE_ANSWER_LIMIT_BYTES: usize = 8 << 20;
 
 /// The end of a score request.
--- a/crates/daemon/src/coordinator/attempt.rs
+++ b/crates/daemon/src/coordinator/attempt.rs
@@ -13,8 +13,8 @@
 use crate::gateway::{Dispatcher, Generation, Repetition};
 use crate::http::client::HttpClient;
 
-/// The pause after failures in a row to score. Chosen, not measured: shorter storms a sick scorer, longer holds a slot that
-/// has its whole text.
+/// The pause after failures in a row to score. Chosen, not measured: shorter storms a sick scorer, longer
+/// holds a slot that has its whole text.
 const SCORE_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
 
 /// What every attempt of a job needs.
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Scoring changes nothing at the scorer, so it is repeated until it succeeds; the owner's timeout ends it.
+    /// Scoring changes nothing at the scorer, so it is repeated until it succeeds; the owner's timeout ends
+    /// it.
     async fn score(&self, start: &AttemptStart, prompt: String, answer: Answer) -> AttemptOutcome {
         let Some(scorer) = self.context.settings.platform.scorer else {
             return AttemptOutcome::Failed { reason: "no_scorer".to_owned(), retry_after: None };
--- a/crates/daemon/src/coordinator/discovery.rs
+++ b/crates/daemon/src/coordinator/discovery.rs
@@ -1,7 +1,7 @@
 //! Tells the owners of shards that the shards exist, so that a new owner runs them without being asked.
 //!
-//! Only store replicas know which shards there are. Of a shard's replicas, the first live one tells the shard's
-//! owner: one small request for each shard in each round, whatever the number of nodes.
+//! Only store replicas know which shards there are. Of a shard's replicas, the first live one tells the
+//! shard's owner: one small request for each shard in each round, whatever the number of nodes.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::context::Context;
 use crate::store::Store;
 
-/// Time between two rounds: how long a shard whose owner died waits at most, beside the time to notice the death. Chosen, not
-/// measured: shorter costs a request for each shard in each round.
+/// Time between two rounds: how long a shard whose owner died waits at most, beside the time to notice the
+/// death. Chosen, not measured: shorter costs a request for each shard in each round.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Tells owners until the node has stopped.
--- a/crates/daemon/src/coordinator/engines.rs
+++ b/crates/daemon/src/coordinator/engines.rs
@@ -40,7 +40,14 @@
     pub(super) async fn ask(&self, address: SocketAddr) -> Option<WeightReport> {
         let load: Result<LoadReport, ClientError> =
             self.http.get_json(address, "/v1/load", self.deadline).await;
-        load.ok().map(|load| report(&load))
+        match load {
+            Ok(load) => Some(report(&load)),
+            Err(error) => {
+                // It is asked again after the interval of its state.
+                log::debug!(target: "weights", "The engine at {address} gave no report: {error}.");
+                None
+            }
+        }
     }
 }
 
--- a/crates/daemon/src/coordinator/forward.rs
+++ b/crates/daemon/src/coordinator/forward.rs
@@ -1,8 +1,9 @@
 //! Brings a request to the owner of its shard, wherever that is.
 //!
-//! Relies on the members that this node knows: the owner of a shard of the own interface follows from them alone. The way to
-//! the owner of batch jobs (`batch::job_shard`) is another, because that owner is found by asking the stores, and because a
-//! hand-in that got no answer there is in doubt, where every request here can be repeated.
+//! Relies on the members that this node knows: the owner of a shard of the own interface follows from them
+//! alone. The way to the owner of batch jobs (`batch::job_shard`) is another, because that owner is found by
+//! asking the stores, and because a hand-in that got no answer there is in doubt, where every request here
+//! can be repeated.
 
 use std::time::Duration;
 
@@ -14,17 +15,17 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// How long a request tries to reach the owner of its shard. Chosen, not measured: above one deadline of an answer and a
-/// takeover; longer holds callers of a shard that nobody can own.
+/// How long a request tries to reach the owner of its shard. Chosen, not measured: above one deadline of an
+/// answer and a takeover; longer holds callers of a shard that nobody can own.
 const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long one node may take to answer. Chosen, not measured: above the time of a takeover, which a request waits for at its
-/// new owner.
+/// How long one node may take to answer. Chosen, not measured: above the time of a takeover, which a request
+/// waits for at its new owner.
 const ANSWER_DEADLINE: Duration = Duration::from_secs(5);
-/// Pause before the owner is looked up again. Chosen, not measured: well below the time in which the membership notices a
-/// change; shorter asks nodes that can't answer yet.
+/// Pause before the owner is looked up again. Chosen, not measured: well below the time in which the
+/// membership notices a change; shorter asks nodes that can't answer yet.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// When a caller should come back where no owner was found, in milliseconds. Chosen, not measured: the caller has waited for
-/// [`OWNER_SEARCH_TIMEOUT`] already.
+/// When a caller should come back where no owner was found, in milliseconds. Chosen, not measured: the caller
+/// has waited for [`OWNER_SEARCH_TIMEOUT`] already.
 const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 /// The member that should own a shard, as this node sees it.
@@ -32,8 +33,8 @@
     context.cluster.load().owner_of(shard).cloned()
 }
 
-/// Asks the owner of a shard and waits for its answer, also while the ownership moves. Every coordinator request
-/// can be repeated without harm, so a lost answer is asked for again.
+/// Asks the owner of a shard and waits for its answer, also while the ownership moves. Every coordinator
+/// request can be repeated without harm, so a lost answer is asked for again.
 pub async fn ask_owner(
     context: &Context,
     coordinator: &Coordinator,
@@ -77,6 +78,7 @@
     request: CoordinatorRequest,
 ) -> Option<CoordinatorResponse> {
     if member.node == context.node {
+        // Without an answer in time the owner is looked up again, as where another node gives none.
         return tokio::time::timeout(ANSWER_DEADLINE, coordinator.answer(request)).await.ok();
     }
     let answered = context.peers.coordinator(member.peer_address, request, ANSWER_DEADLINE).await;
--- a/crates/daemon/src/coordinator/job_owner.rs
+++ b/crates/daemon/src/coordinator/job_owner.rs
@@ -1,7 +1,8 @@
 //! Drives the state machine of one job that this node owns.
 //!
-//! Owns the job's controller, its log, its running attempts and the callers that wait. Relies on `core::rollout` for every
-//! choice. Unlike the owner of batch jobs it has no confirmed authority: each answer waits until its records are kept.
+//! Owns the job's controller, its log, its running attempts and the callers that wait. Relies on
+//! `core::rollout` for every choice. Unlike the owner of batch jobs it has no confirmed authority: each
+//! answer waits until its records are kept.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -26,8 +27,8 @@
 
 /// The prefix of this part's log lines.
 const PART: &str = "rollout";
-/// A connection to the scorer that is not made within this time is given up. Chosen, not measured: some round trips of a
-/// busy machine; longer, and an attempt loses its time to a scorer that is gone.
+/// A connection to the scorer that is not made within this time is given up. Chosen, not measured: some round
+/// trips of a busy machine; longer, and an attempt loses its time to a scorer that is gone.
 const SCORER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How an attempt's task ended.
--- a/crates/daemon/src/coordinator/job_shard.rs
+++ b/crates/daemon/src/coordinator/job_shard.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The log is empty: only a submission can make the job. Until one comes the epoch is held, so that the shard is
-    /// not taken over again and again.
+    /// The log is empty: only a submission can make the job. Until one comes the epoch is held, so that the
+    /// shard is not taken over again and again.
     async fn first_submission(
         &mut self,
         epoch: Epoch,
--- a/crates/daemon/src/coordinator/mod.rs
+++ b/crates/daemon/src/coordinator/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A shard is `job/<job>` or `weights/<pool>`. Its owner is the coordinator that the cluster view names; the
 //! owner takes over the shard's log, replays it and acts on it until the view names another node or a higher
-//! epoch shows that another owner is ahead. All of it runs on the control runtime; generations run on the traffic
-//! runtime, inside the [`Dispatcher`].
+//! epoch shows that another owner is ahead. All of it runs on the control runtime; generations run on the
+//! traffic runtime, inside the [`Dispatcher`].
 
 mod attempt;
 mod discovery;
@@ -27,8 +27,8 @@
 pub use forward::ask_owner;
 use shard::ShardCommand;
 
-/// Requests that wait for the supervisor, or for the owner of one shard, before senders have to wait. Chosen, not measured:
-/// greater costs memory while an owner takes over, smaller makes callers wait in a burst.
+/// Requests that wait for the supervisor, or for the owner of one shard, before senders have to wait. Chosen,
+/// not measured: greater costs memory while an owner takes over, smaller makes callers wait in a burst.
 const COORDINATOR_BACKLOG: usize = 1_024;
 
 /// The handle on this node's coordinator. Cheap to clone; usable from any runtime.
@@ -37,7 +37,8 @@
     commands: mpsc::Sender<ShardCommand>,
 }
 
-/// Starts the coordinator on the current runtime. A node with a store tells the owners of the shards that it holds.
+/// Starts the coordinator on the current runtime. A node with a store tells the owners of the shards that it
+/// holds.
 pub fn start(context: Context, dispatcher: Dispatcher, store: Option<Store>) -> Coordinator {
     let (commands, received) = mpsc::channel(COORDINATOR_BACKLOG);
     tokio::spawn(supervisor::run(Arc::clone(&context), dispatcher, received));
--- a/crates/daemon/src/coordinator/shard.rs
+++ b/crates/daemon/src/coordinator/shard.rs
@@ -9,8 +9,8 @@
 
 use crate::store::shard_log::ShardLogError;
 
-/// When a caller should come back after the shard's log could not be used, in milliseconds. Chosen, not measured: about the
-/// time of a takeover; shorter, and callers repeat requests that nobody can answer yet.
+/// When a caller should come back after the shard's log could not be used, in milliseconds. Chosen, not
+/// measured: about the time of a takeover; shorter, and callers repeat requests that nobody can answer yet.
 const LOG_RETRY_AFTER_MS: u64 = 1_000;
 
 /// A request to a shard's owner, and where its answer goes.
@@ -78,7 +78,8 @@
     }
 }
 
-/// The records as bytes for the log; `None`, with a line in the node's log, where one of them can't be encoded.
+/// The records as bytes for the log; `None`, with a line in the node's log, where one of them can't be
+/// encoded.
 pub(super) fn encode_all<R, E: std::fmt::Display>(
     part: &str,
     records: &[R],
@@ -93,8 +94,8 @@
     }
 }
 
-/// The answer to callers that still wait when an owner ends. Where its log failed, commands that it has not taken in are
-/// refused in the same way.
+/// The answer to callers that still wait when an owner ends. Where its log failed, commands that it has not
+/// taken in are refused in the same way.
 pub(super) fn last_answer(
     part: &str,
     failure: Option<&ShardLogError>,
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -1,8 +1,8 @@
 //! Takes over the shard of one pool's weights and drives its waves.
 //!
-//! Owns the pool's controller, its log, its calls to engines and the callers that wait. Relies on `core::weights` for every
-//! choice. The versions that batch jobs need are loaded by another owner, with other orders (`batch::load`): its replicas
-//! are the platform's and report differently.
+//! Owns the pool's controller, its log, its calls to engines and the callers that wait. Relies on
+//! `core::weights` for every choice. The versions that batch jobs need are loaded by another owner, with
+//! other orders (`batch::load`): its replicas are the platform's and report differently.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 
 /// The prefix of this part's log lines.
 const PART: &str = "weights";
-/// A connection to an engine that is not made within this time is given up. Chosen, not measured: some round trips of a busy
-/// machine; longer only delays the next question, since the wave goes on with other replicas.
+/// A connection to an engine that is not made within this time is given up. Chosen, not measured: some round
+/// trips of a busy machine; longer only delays the next question, since the wave goes on with other replicas.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One pool's weights on this node.
@@ -169,8 +169,8 @@
         })
     }
 
-    /// Takes the pool's replicas from the directory. A pool of which the directory knows nothing is left as it
-    /// was: the list may not have been read yet.
+    /// Takes the pool's replicas from the directory. A pool of which the directory knows nothing is left as
+    /// it was: the list may not have been read yet.
     fn refresh_replicas(&mut self) {
         let directory = self.context.directory.load();
         let Some(entries) = directory.pools.get(&self.pool) else { return };
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -1,6 +1,7 @@
 //! Duties towards the platform: the calls of their holder, and what each node counts for it.
 //!
-//! This is the half that makes calls. What a duty is stands in `core::duties`, when one is due in `core::batch::controller`.
+//! This is the half that makes calls. What a duty is stands in `core::duties`, when one is due in
+//! `core::batch::controller`.
 
 mod usage;
 
@@ -19,8 +20,8 @@
 pub use usage::{NodeUsage, RunCount};
 pub(crate) use usage::{hand_over, wall_time};
 
-/// A call without an answer within this time is made again. The platform answers calm calls within some milliseconds. Chosen,
-/// not measured: shorter repeats calls that were taken, longer reports a window late.
+/// A call without an answer within this time is made again. The platform answers calm calls within some
+/// milliseconds. Chosen, not measured: shorter repeats calls that were taken, longer reports a window late.
 const DUTY_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A call has ended.
@@ -66,10 +67,11 @@
                 return None;
             }
         };
-        let mut request = client::build(Method::POST, address, cloud::path(call), body.into()).ok()?;
+        let request = client::build(Method::POST, address, cloud::path(call), body.into());
+        let mut request = request.inspect_err(unsent).ok()?;
         let fields = request.headers_mut();
         fields.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        fields.insert(cloud::HOLDER, self.context.node.as_str().parse().ok()?);
+        fields.insert(cloud::HOLDER, self.context.node.as_str().parse().inspect_err(unsent).ok()?);
         fields.insert(cloud::FENCE, HeaderValue::from(self.epoch.0));
         let http = self.http.clone();
         Some(async move {
@@ -89,3 +91,8 @@
         })
     }
 }
+
+/// A call that can't be built counts as missed, and is made again: the line says why it never arrives.
+fn unsent(error: &impl std::fmt::Display) {
+    log::error!(target: "duties", "A call can't be built: {error}. Mend the platform's address or the node's name.");
+}
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -14,14 +14,15 @@
 use crate::batch::BatchJobs;
 use crate::context::Context;
 
-/// How long counts are gathered before they are reported: one report for a busy node, and a loss of power loses no more.
-/// Chosen, not measured.
+/// How long counts are gathered before they are reported: one report for a busy node, and a loss of power
+/// loses no more. Chosen, not measured.
 const GATHER_FOR: Duration = Duration::from_millis(250);
-/// The pause after a report that did not arrive. Chosen, not measured: shorter storms a new owner, longer loses more counts
-/// with the node.
+/// The pause after a report that did not arrive. Chosen, not measured: shorter storms a new owner, longer
+/// loses more counts with the node.
 const REPORT_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Counts requests that began to run on this node. Usable from any thread; the lock is held for a moment only.
+/// Counts requests that began to run on this node. Usable from any thread; the lock is held for a moment
+/// only.
 #[derive(Debug)]
 pub struct NodeUsage {
     meter: Mutex<UsageMeter>,
@@ -57,8 +58,8 @@
     }
 }
 
-/// A request that was sent to a replica. It counts as begun when this is dropped, unless it is known not to have run: a
-/// request whose caller left, or whose answer was lost, has run.
+/// A request that was sent to a replica. It counts as begun when this is dropped, unless it is known not to
+/// have run: a request whose caller left, or whose answer was lost, has run.
 pub struct RunCount {
     context: Context,
     at: Instant,
@@ -88,6 +89,7 @@
 
 /// The time of day by this machine's clock.
 pub(crate) fn wall_time() -> WallTime {
+    // A clock before 1970 counts as 1970: the holder of the duty goes by the clock in the middle.
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     WallTime(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -1,7 +1,7 @@
 //! Appends to a shard's log in a task of its own, so that the shard's owner goes on meanwhile.
 //!
-//! Owns the log from the takeover until its owner ends or a write fails. Appends that wait go into one write. Relies on
-//! [`ShardLog`] for the majority; the owner learns of each write by an [`AppendOutcome`].
+//! Owns the log from the takeover until its owner ends or a write fails. Appends that wait go into one write.
+//! Relies on [`ShardLog`] for the majority; the owner learns of each write by an [`AppendOutcome`].
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use super::shard_log::{ShardLog, ShardLogError};
 use crate::boot_clock::{BootClock, BootInstant};
 
-/// An owner is asked to compact its log once so many bytes were appended after the last snapshot. Nothing else is decided
-/// while a snapshot is written, so that the owner is not confirmed meanwhile: it should come seldom, and before a small
-/// disk is full. Chosen, not measured.
+/// An owner is asked to compact its log once so many bytes were appended after the last snapshot. Nothing
+/// else is decided while a snapshot is written, so that the owner is not confirmed meanwhile: it should come
+/// seldom, and before a small disk is full. Chosen, not measured.
 const COMPACT_BYTES: usize = 96 << 20;
 
 /// A member of the stores that is to be replaced.
