--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -184,21 +184,14 @@
         if self.is_held(batch, item) {
             return false;
         }
-        let Some(mut need) = self.need(batch, item) else { return false };
+        let Some(need) = self.need(batch, item) else { return false };
         let Some(job) = self.ledger.job(batch) else { return false };
         let Some(request) = self.item(batch, item) else { return false };
         let Some(live) = self.items.get(&(batch.clone(), item)) else { return false };
-        let mut last_event = live.events.last().map(|event| event.number);
-        let mut chosen = schedule::choose(&self.replicas, &need, self.slowdown, now);
-        let mut starts_anew = false;
-        if chosen.is_none() && need.exact_version.is_some() {
-            need.exact_version = None;
-            chosen = schedule::choose(&self.replicas, &need, self.slowdown, now);
-            last_event = None;
-            starts_anew = true;
-        }
-        let Some(chosen) = chosen else { return false };
-        let (tokens, request) = (need.tokens, request.clone());
+        let tokens = need.tokens;
+        let Some(Choice { replica: chosen, starts_anew }) = self.choose(need, now) else { return false };
+        let last_event = live.events.last().map(|event| event.number).filter(|_| !starts_anew);
+        let request = request.clone();
         let (host, tenant) = (job.job.host.clone(), job.job.tenant.clone());
         let Some(state) = self.replicas.get_mut(&chosen) else { return false };
         let Some(live) = self.items.get_mut(&(batch.clone(), item)) else { return false };
@@ -218,18 +211,42 @@
         let started =
             Run { batch: batch.clone(), item, replica: chosen, tokens, started_at: now, last_event_at: None };
         self.runs.insert(run, started);
-        let decision = Decision::new(Component::Rollout, "run_started", "chosen", &request.id)
-            .with("batch", batch)
-            .with("replica", &replica.id)
-            .with("run", run.0)
-            .with("fingerprint", fingerprint)
-            .with("after_event", last_event.map_or_else(|| "none".to_owned(), |number| number.to_string()));
-        self.decide(decision);
         let (item, urgency) = (request, DEFAULT_URGENCY);
         let start = RunStart { run, replica, host, tenant, item, fingerprint, last_event, urgency };
+        self.decide(start_decision(batch, &start));
         self.actions.push_back(Action::Start(Box::new(start)));
         true
     }
+
+    /// The replica on which an item would be done first. Where no replica has the version of its kept events, it
+    /// is begun anew on one with another version.
+    fn choose(&self, need: Need<'_>, now: Timestamp) -> Option<Choice> {
+        if let Some(replica) = schedule::choose(&self.replicas, &need, self.slowdown, now) {
+            return Some(Choice { replica, starts_anew: false });
+        }
+        need.exact_version?;
+        let need = Need { exact_version: None, ..need };
+        let replica = schedule::choose(&self.replicas, &need, self.slowdown, now)?;
+        Some(Choice { replica, starts_anew: true })
+    }
+}
+
+/// Where an item goes.
+struct Choice {
+    /// The replica's id.
+    replica: String,
+    /// Whether what came of the item so far is dropped.
+    starts_anew: bool,
+}
+
+fn start_decision(batch: &BatchId, start: &RunStart) -> Decision {
+    let after_event = start.last_event.map_or_else(|| "none".to_owned(), |number| number.to_string());
+    Decision::new(Component::Rollout, "run_started", "chosen", &start.item.id)
+        .with("batch", batch)
+        .with("replica", &start.replica.id)
+        .with("run", start.run.0)
+        .with("fingerprint", start.fingerprint)
+        .with("after_event", after_event)
 }
 
 /// An item to start.
