--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -5,7 +5,8 @@
 use crate::identity::{BatchId, TenantName};
 use crate::quarantine::{Fingerprint, RequestContent};
 
-/// A request that scores an item's text once it is whole. The signature of its successful answer is the score.
+/// A request that scores an item's text once it is whole. The signature of its successful answer is the
+/// score.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ScoreRequest {
     /// Its id.
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -32,7 +32,8 @@
         /// The slots.
         slots: Vec<Slot>,
     },
-    /// The unsaved batch grew too old for the version that the trainer stated; its positions are not used again.
+    /// The unsaved batch grew too old for the version that the trainer stated; its positions are not used
+    /// again.
     BatchVoided,
     /// A slot's sample grew too old; the slot is filled anew.
     Reopened {
