--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -1,4 +1,6 @@
 //! A starting node's question to the quorum set: which revision may have been in force before?
+//!
+//! Owns the answers so far; relies on the placement for who is in the quorum set.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,9 +13,9 @@
 
 /// The answers heard so far.
 ///
-/// Invariant (brief point 9): a node that was restarted puts nothing in force below what it may have had before.
-/// Whatever was in force anywhere is held by a majority of the quorum set; so it asks until it has heard a read
-/// quorum of settled members, and starts at no less than the highest revision among them.
+/// Invariant (brief point 9): a node that was restarted puts nothing in force below what it may have had
+/// before. Whatever was in force anywhere is held by a majority of the quorum set; so it asks until it has
+/// heard a read quorum of settled members, and starts at no less than the highest revision among them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bootstrap {
     answers: BTreeMap<NodeId, Revision>,
@@ -53,8 +55,8 @@
 }
 
 impl Disseminator {
-    /// A starting node goes on once a read quorum has answered: it pulls the highest revision heard, and makes sure
-    /// that a majority holds it before it puts it in force.
+    /// A starting node goes on once a read quorum has answered: it pulls the highest revision heard, and
+    /// makes sure that a majority holds it before it puts it in force.
     pub(super) fn finish_bootstrap(&mut self, now: Timestamp) {
         if self.in_force.is_some() || self.config.ablation.without_quorum {
             return;
@@ -81,8 +83,9 @@
         }
     }
 
-    /// Members of the quorum set read the platform themselves while they start, so that a cluster which starts as a
-    /// whole finds its way; any other node only where the quorum set has not answered for a while.
+    /// Members of the quorum set read the platform themselves while they start, so that a cluster which
+    /// starts as a whole finds its way; any other node only where the quorum set has not answered for a
+    /// while.
     fn may_read_once(&self, now: Timestamp) -> bool {
         let waited =
             self.started.is_some_and(|since| now.saturating_since(since) >= self.config.bootstrap_timeout);
--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -1,4 +1,6 @@
 //! One node's part in spreading one document.
+//!
+//! Owns what is in force, what is held and what is asked; the modules beside it extend it by one job each.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -41,7 +43,8 @@
 /// Spreads one document, as one node takes part in it.
 ///
 /// Invariant (brief point 9): the revision in force never goes down, and it goes up only to a revision that a
-/// majority of the quorum set holds: by this node's own count, or by the announcement of a node where it is in force.
+/// majority of the quorum set holds: by this node's own count, or by the announcement of a node where it is
+/// in force.
 #[derive(Clone, Debug)]
 pub struct Disseminator {
     pub(super) node: NodeId,
--- a/crates/core/src/configuration/dissemination/gather.rs
+++ b/crates/core/src/configuration/dissemination/gather.rs
@@ -1,4 +1,10 @@
-//! Holding a revision until a majority of the quorum set holds it, and putting it in force.
+//! When a revision of a document is in force: the one place that holds it until a majority of the quorum set
+//! holds it too.
+//!
+//! Inputs: the members of the quorum set that said that they hold a revision, and announcements of nodes
+//! where it is in force. Reason: what a majority of the quorum set holds is found again by any node that
+//! starts, so that no node goes back to an earlier revision. Without the quorum set or without the guard
+//! against lower revisions the simulations show nodes going back.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -34,8 +40,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Staged {
     pub(super) document: Arc<Document>,
-    /// Members of the quorum set known to hold it, while this node gathers a majority; `None` where another node
-    /// does, and this one only holds it.
+    /// Members of the quorum set known to hold it, while this node gathers a majority; `None` where another
+    /// node does, and this one only holds it.
     pub(super) holders: Option<BTreeSet<NodeId>>,
     /// Since when it is held.
     pub(super) since: Timestamp,
--- a/crates/core/src/configuration/dissemination/placement.rs
+++ b/crates/core/src/configuration/dissemination/placement.rs
@@ -1,4 +1,7 @@
 //! Who reads the platform and who is in the quorum set, computed alike by all from the live members.
+//!
+//! Owns the ranking by rendezvous weights; a node with another view of the members may rank otherwise for a
+//! while.
 
 use std::cmp::Reverse;
 
@@ -86,8 +89,8 @@
 
     /// Other members of the quorum set that a starting node must hear.
     ///
-    /// Invariant: of the `n` members at least `w` held what was in force, the starting node perhaps among them. Of
-    /// the other `n - 1`, at least `w - 1` still do, so any `n - w + 1` of them include one.
+    /// Invariant: of the `n` members at least `w` held what was in force, the starting node perhaps among
+    /// them. Of the other `n - 1`, at least `w - 1` still do, so any `n - w + 1` of them include one.
     pub(crate) fn read_quorum(&self) -> usize {
         self.quorum + 1 - self.write_quorum().min(self.quorum)
     }
--- a/crates/core/src/configuration/dissemination/pull.rs
+++ b/crates/core/src/configuration/dissemination/pull.rs
@@ -1,4 +1,6 @@
 //! Pulling a revision from a node that has it, and answering such pulls.
+//!
+//! Owns the pull under way; asks other holders in turn until one answers.
 
 use std::sync::Arc;
 
@@ -47,8 +49,8 @@
         self.actions.push_back(Action::Send { to, message: Message::Pull { after, offered } });
     }
 
-    /// Pulls again: in turn from whoever is known to have the revision and from the members of the quorum set, a
-    /// majority of which holds it.
+    /// Pulls again: in turn from whoever is known to have the revision and from the members of the quorum
+    /// set, a majority of which holds it.
     pub(super) fn turn_pull(&mut self) {
         let Some(pulling) = &mut self.pulling else { return };
         let announced = self.announced.iter().filter(|(revision, _)| *revision >= pulling.target);
--- a/crates/core/src/configuration/document.rs
+++ b/crates/core/src/configuration/document.rs
@@ -1,4 +1,6 @@
 //! A keyed document with revisions: its entries, the last changes, and what brings an older copy up to date.
+//!
+//! Owns the entries and the last changes; a delta applies only to the revision that it names.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +10,8 @@
 
 use crate::identity::Revision;
 
-/// Changes that a document remembers, so that copies not further behind get a delta.
+/// Changes that a document remembers, so that copies not further behind get a delta. Chosen, not measured:
+/// a copy that is further behind gets the whole document.
 pub const REMEMBERED_CHANGES: usize = 64;
 
 /// One entry set or removed.
@@ -33,7 +36,8 @@
 
 /// A document at one revision.
 ///
-/// Invariant: `recent` is a chain that ends at `revision`: each record's base is the revision of the one before.
+/// Invariant: `recent` is a chain that ends at `revision`: each record's base is the revision of the one
+/// before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct Document {
     revision: Revision,
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -1,4 +1,7 @@
 //! The configuration as the object API keeps it: the document and the changes that it has taken in.
+//!
+//! Owns the ids of changes taken in, so that a repeated change takes effect once. Stored as JSON under its
+//! present names.
 
 use std::collections::VecDeque;
 
@@ -15,7 +18,9 @@
 /// The key of the register in the object API.
 pub const OBJECT_KEY: &str = "config/tree";
 
-/// Change ids that are remembered; a repeat of an older one is refused by its base revision.
+/// Change ids that are remembered; a repeat of an older one is refused by its base revision. Chosen, not
+/// measured: with fewer, an operator who repeats a change late is told of a conflict although it was
+/// written.
 pub(crate) const REMEMBERED_CHANGE_IDS: usize = 256;
 
 /// Characters in a change id at most.
@@ -81,8 +86,9 @@
 
 /// The document with the ids of its last changes.
 ///
-/// Invariant (brief point 9): a change is in the document at most once. Its id is looked for first, and it is only
-/// taken in on top of the revision that it names; the object API refuses a write whose base is not current.
+/// Invariant (brief point 9): a change is in the document at most once. Its id is looked for first, and it is
+/// only taken in on top of the revision that it names; the object API refuses a write whose base is not
+/// current.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     document: Document,
--- a/crates/core/src/configuration/tree.rs
+++ b/crates/core/src/configuration/tree.rs
@@ -1,4 +1,7 @@
 //! Which value holds at a level, and which level it comes from.
+//!
+//! Owns nothing but the values read from a document; a value that is not set comes from the level above or
+//! the default.
 
 use std::collections::BTreeMap;
 
@@ -54,8 +57,8 @@
 }
 
 impl SettingsTree {
-    /// The tree that a document holds. Entries that this release does not know are left out, so that an older node
-    /// can read a newer document.
+    /// The tree that a document holds. Entries that this release does not know are left out, so that an older
+    /// node can read a newer document.
     pub fn from_document(document: &Document) -> Self {
         let mut tree = Self::default();
         for (entry, text) in document.entries() {
--- a/crates/core/src/configuration/writer.rs
+++ b/crates/core/src/configuration/writer.rs
@@ -1,4 +1,6 @@
 //! Brings one change into the register of the object API, through lost replies and races.
+//!
+//! Owns the state of one change; the driver does the reads and writes that it asks for.
 
 use std::time::Duration;
 
@@ -81,17 +83,17 @@
     Refused(ChangeRefused),
     /// Proved: nothing was written, since the object API can't be reached.
     Unavailable,
-    /// A write got no reply, and the object API has not told since whether it took effect. The remedy is to repeat
-    /// the same change under the same id.
+    /// A write got no reply, and the object API has not told since whether it took effect. The remedy is to
+    /// repeat the same change under the same id.
     InDoubt,
 }
 
 /// One change on its way.
 ///
-/// Invariant (brief point 9): `Accepted` follows only from a reply that proves it: a write that was confirmed, or a
-/// read that shows the change's id. `Unavailable` and `Refused` follow only while no write of ours can be under way:
-/// a write that got no reply is ruled out by a read that shows a later version without the change's id, since its
-/// base version can never be current again.
+/// Invariant (brief point 9): `Accepted` follows only from a reply that proves it: a write that was
+/// confirmed, or a read that shows the change's id. `Unavailable` and `Refused` follow only while no write of
+/// ours can be under way: a write that got no reply is ruled out by a read that shows a later version without
+/// the change's id, since its base version can never be current again.
 #[derive(Clone, Debug)]
 pub struct ChangeWriter {
     change: Change,
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -1,4 +1,6 @@
 //! Settings of the membership protocol.
+//!
+//! Owns the checks of their bounds; each error names the field and what to set.
 
 use std::time::Duration;
 
--- a/crates/core/src/membership/detect.rs
+++ b/crates/core/src/membership/detect.rs
@@ -1,4 +1,11 @@
-//! Probing members, directly and through others.
+//! When a member counts as dead: the one place that probes, suspects and declares failed.
+//!
+//! Inputs: answers to direct and indirect probes, claims of others, this node's time awake. A member is
+//! suspected after two unanswered probes in a row, and declared failed where it has not refuted within
+//! [`Config::suspicion_timeout`](super::Config::suspicion_timeout) (probe intervals times log10 of the
+//! members). Measured on the simulated network with 200 nodes and 30 % loss over two minutes: 1,881
+//! suspicions and 3,285 views of a healthy member lost with one unanswered probe, 66 and none with two; it
+//! costs about a second of detection.
 
 use std::net::SocketAddr;
 
--- a/crates/core/src/membership/documents.rs
+++ b/crates/core/src/membership/documents.rs
@@ -1,4 +1,6 @@
 //! Revisions of the documents that every node holds, as members announce them.
+//!
+//! Owns the highest revision of each document and a live member that holds it.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +8,8 @@
 use super::message::DocumentRevision;
 use crate::identity::{NodeId, Revision};
 
-/// Documents that are remembered; more come only from a broken or hostile sender.
+/// Documents that are remembered; more come only from a broken or hostile sender. Five are in use; chosen
+/// above that so that memory stays bounded.
 const MAXIMUM_DOCUMENTS: usize = 8;
 
 /// The longest document name, in bytes.
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,4 +1,6 @@
 //! What the protocol tells its embedder.
+//!
+//! Events carry what a decision in the log names; counters become metrics.
 
 use std::time::Duration;
 
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -1,4 +1,6 @@
 //! The state machine's own state and its doors to the driver.
+//!
+//! Owns all parts of the protocol and calls them; the modules beside it extend it by one job each.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,7 +23,8 @@
 use crate::identity::{NodeId, Revision};
 use crate::time::Timestamp;
 
-/// How many members are told at once that this node leaves.
+/// How many members are told at once that this node leaves. Chosen, not measured: with fewer, all notices
+/// may be lost and the leaving node counts as failed only after the suspicion.
 const LEAVE_NOTICES: usize = 5;
 
 /// A datagram to send.
@@ -51,8 +54,9 @@
 
 /// One node's part in the membership protocol.
 ///
-/// The driver hands in datagrams and wake-ups with the time, then takes out datagrams ([`Self::poll_transmit`]),
-/// events ([`Self::poll_event`]) and the next wake-up ([`Self::poll_timeout`]) until there are none.
+/// The driver hands in datagrams and wake-ups with the time, then takes out datagrams
+/// ([`Self::poll_transmit`]), events ([`Self::poll_event`]) and the next wake-up ([`Self::poll_timeout`])
+/// until there are none.
 pub struct Membership {
     pub(super) config: Config,
     pub(super) own: NodeId,
@@ -180,8 +184,8 @@
         self.documents.announce(document, revision);
     }
 
-    /// Tells a few members that this node leaves, and takes no further part: it is no longer among the live members,
-    /// not even in its own view.
+    /// Tells a few members that this node leaves, and takes no further part: it is no longer among the live
+    /// members, not even in its own view.
     pub fn leave(&mut self, now: Timestamp) {
         let now = self.wake(now);
         if self.leaving {
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,4 +1,6 @@
 //! The datagrams of the protocol, encoded by `speedy`.
+//!
+//! The order of fields and variants is the encoding: a change of it raises the version of the protocol.
 
 use speedy::{LittleEndian, Readable, Writable};
 
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -1,4 +1,6 @@
 //! Whom to probe next, and the probe that waits for its answer.
+//!
+//! Owns the order of a round and probes made for others; `detect` decides by what comes of them.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +14,8 @@
 
 use std::net::SocketAddr;
 
-/// Probes that this node makes for others at a time; more are refused by silence.
+/// Probes that this node makes for others at a time; more are refused by silence. Chosen, not measured: it
+/// bounds memory; too few refuse indirect probes while many members are in doubt.
 const MAXIMUM_RELAYS: usize = 64;
 
 /// The probe of this period.
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -1,4 +1,6 @@
 //! What each kind of datagram leads to.
+//!
+//! Owns nothing; hands updates to `spread`, answers to `detect` and pages to `repair`.
 
 use std::net::SocketAddr;
 
@@ -9,7 +11,8 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Corrections sent in answer to one message; the rest follows when the doubts are heard again.
+/// Corrections sent in answer to one message; the rest follows when the doubts are heard again. Chosen, not
+/// measured: it bounds what one datagram can make this node send.
 const MAXIMUM_CORRECTIONS: usize = 8;
 
 impl Membership {
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -1,4 +1,6 @@
 //! Joining through seeds, comparing whole tables, and trying failed members again.
+//!
+//! Owns the times of these three; relies on the table for digests and on the seeds that the embedder named.
 
 use std::net::SocketAddr;
 
@@ -13,10 +15,12 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Room left in a page for what every message carries besides its entries, in bytes.
+/// Room left in a page for what every message carries besides its entries, in bytes. An upper bound on
+/// names and document revisions by their limits; too little makes a datagram exceed its payload.
 const PAGE_OVERHEAD_BYTES: usize = 300;
 
-/// While comparisons find differences, the next follows after so many probe intervals on average.
+/// While comparisons find differences, the next follows after so many probe intervals on average. Chosen,
+/// not measured: more delays the merging of tables after a partition, fewer costs bytes while it heals.
 const BUSY_SYNC_PROBES: u32 = 4;
 
 /// Members of some buckets.
@@ -140,16 +144,17 @@
         }
     }
 
-    /// Compares tables with a seed that is not known as a live member. Where all seeds were restarted, they find only each
-    /// other, and whoever was not restarted holds them for left: only this brings the two together.
+    /// Compares tables with a seed that is not known as a live member. Where all seeds were restarted, they
+    /// find only each other, and whoever was not restarted holds them for left: only this brings the two
+    /// together.
     fn try_silent_seed(&mut self, now: Timestamp) {
         if let Some(seed) = self.silent_seed() {
             self.introduce_and_compare(now, seed);
         }
     }
 
-    /// Compares tables with a member that is not known here and probes this node: to all others it is a member like any, so that no
-    /// news of it need ever come again.
+    /// Compares tables with a member that is not known here and probes this node: to all others it is a
+    /// member like any, so that no news of it need ever come again.
     pub(super) fn inquire(&mut self, now: Timestamp, from: SocketAddr) {
         if !self.config.mechanisms.anti_entropy || self.next_inquiry_at > now {
             return;
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -1,4 +1,6 @@
 //! Taking in news about members, and passing it on.
+//!
+//! Decides what is believed by the order of claims, and refutes what is claimed of this node.
 
 use std::time::Duration;
 
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,6 @@
 //! Every member that this node knows, itself included.
+//!
+//! Owns the records and the count of live ones; claims decide which update is taken over.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -11,7 +13,8 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Buckets that a table is compared by.
+/// Buckets that a table is compared by. Part of the protocol, the same on all nodes. Chosen, not measured:
+/// with fewer, a difference costs a larger page.
 pub(crate) const DIGEST_BUCKETS: u8 = 64;
 
 /// Members by id.
@@ -113,8 +116,8 @@
         });
     }
 
-    /// One digest for each bucket, over ids and incarnations of live members. Suspicions come and go too fast to
-    /// be compared, and what has failed is forgotten at different times on different nodes.
+    /// One digest for each bucket, over ids and incarnations of live members. Suspicions come and go too fast
+    /// to be compared, and what has failed is forgotten at different times on different nodes.
     pub(super) fn digest(&self) -> Vec<u32> {
         let mut buckets = vec![0; usize::from(DIGEST_BUCKETS)];
         for record in self.live() {
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,9 +1,19 @@
-//! From where a node of a large deployment takes the platform's metadata: from the platform, or from a peer that does.
+//! Which source a node of a large deployment reads the platform's metadata from: the platform, or a peer that
+//! does. The one place that decides when a reader is followed and when it is left.
 //!
-//! The platform serves few readers and prices each call, also those that it refuses. So a few nodes read it, and the
-//! others follow one of them. A follower's copy may be as old as its reader's last word from the platform: each answer
-//! tells that age. A follower to which some readers in a row gave nothing fresh asks the platform for a small answer,
-//! and reads for itself only once it got two and a reader after them is still behind: while the platform is away from all, no one asks it more than that.
+//! Inputs: the node's rank among the live ones, how old each answer of a reader is (the time since the
+//! platform last confirmed its copy), failures of readers, and answers of the platform to small probes.
+//! Reason: the platform serves few readers and prices each call, also those that it refuses; with followers
+//! the sum of all prices of a quiet day of 75 gateways fell from 0.268 to 0.127. A follower to which some
+//! readers in a row gave nothing fresh probes the platform, and reads for itself only once two probes were
+//! answered and a reader after them is still behind: while the platform is away from all, no node asks it
+//! more than that.
+//!
+//! The platform serves few readers and prices each call, also those that it refuses. So a few nodes read it,
+//! and the others follow one of them. A follower's copy may be as old as its reader's last word from the
+//! platform: each answer tells that age. A follower to which some readers in a row gave nothing fresh asks
+//! the platform for a small answer, and reads for itself only once it got two and a reader after them is
+//! still behind: while the platform is away from all, no one asks it more than that.
 
 use std::time::Duration;
 
@@ -12,20 +22,27 @@
 /// Sizes and times of following.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayConfig {
-    /// Nodes that read the platform, the first by rank.
+    /// Nodes that read the platform, the first by rank. A setting. Chosen, not measured: by arithmetic each
+    /// of 6 readers of 410 nodes gives some 270 short answers a second; more readers cost priced calls.
     pub readers: usize,
-    /// With fewer nodes each reads for itself.
+    /// With fewer nodes each reads for itself. A setting. Chosen, not measured: four times the readers, so
+    /// that following saves most of the calls.
     pub least_nodes: usize,
-    /// A copy that the platform last confirmed so long ago is not relied upon.
+    /// A copy that the platform last confirmed longer ago than this is not relied upon. Chosen, not measured:
+    /// shorter leaves readers that only wait for a held watch, longer lets a follower act on what has
+    /// changed.
     pub stale_after: Duration,
-    /// A follower that was let down reads for itself at least so long.
+    /// How long a follower that was let down reads for itself. Chosen, not measured: shorter returns to
+    /// readers that are still behind, longer costs priced calls.
     pub direct_for: Duration,
-    /// Readers that may fail or be behind in a row before a follower probes the platform.
+    /// Readers that may fail or be behind in a row before a follower probes the platform. Chosen, not
+    /// measured: none would have one lost answer cost a probe.
     pub tolerated_failures: u32,
-    /// The pause between two probes.
+    /// The pause between two probes. Chosen, not measured: it bounds what all nodes ask while the platform is
+    /// away from all.
     pub probe_pause: Duration,
-    /// Probes in a row that the platform must answer before a follower reads for itself: readers that lost the platform
-    /// with everyone else find it again meanwhile.
+    /// Probes in a row that the platform must answer before a follower reads for itself: readers that lost
+    /// the platform with everyone else find it again meanwhile.
     pub needed_probes: u32,
 }
 
@@ -56,8 +73,8 @@
 
 /// Chooses the source of one kind of metadata on one node.
 ///
-/// Invariant: no node follows behind a platform that it could reach for itself for longer than `stale_after`, the time of
-/// the tolerated answers, and that of the probes.
+/// Invariant: no node follows behind a platform that it could reach for itself for longer than `stale_after`,
+/// the time of the tolerated answers, and that of the probes.
 #[derive(Clone, Debug)]
 pub struct RelayChoice {
     config: RelayConfig,
--- a/crates/core/src/replication/claim_tally.rs
+++ b/crates/core/src/replication/claim_tally.rs
@@ -1,4 +1,6 @@
 //! The claimant's side: counts votes on one claim in one generation.
+//!
+//! Owns the votes so far; the driver sends the questions and asks again those that gave no vote.
 
 use super::claims::ClaimVote;
 use super::quorum::VoteCount;
--- a/crates/core/src/replication/copy_target.rs
+++ b/crates/core/src/replication/copy_target.rs
@@ -1,4 +1,6 @@
 //! One member of the next generation while state is copied to it.
+//!
+//! Owns which page of which source comes next for it, and begins anew when the member has lost its place.
 
 use super::message::{CopiedSource, CopyPage, Install, Operation, PagePosition, StatePage, TransferId};
 use super::reconfigurer::Sources;
--- a/crates/core/src/replication/entry.rs
+++ b/crates/core/src/replication/entry.rs
@@ -1,4 +1,6 @@
 //! Entries of a shard's log.
+//!
+//! Stored and sent as they stand: the order of fields and variants must not change.
 
 use std::fmt;
 
@@ -102,7 +104,8 @@
     pub payload: Payload,
 }
 
-/// Bytes that an entry takes in a message or on disk besides its body, rounded up.
+/// Bytes that an entry takes in a message or on disk besides its body, rounded up. Chosen, not measured:
+/// limits of messages and disks count it, so too little fills a disk before the limit is met.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
--- a/crates/core/src/replication/fault_tolerance.rs
+++ b/crates/core/src/replication/fault_tolerance.rs
@@ -1,4 +1,8 @@
-//! What losses a replica set tolerates: how many disks, zones or regions may be lost while the others still decide.
+//! What losses a replica set tolerates: how many disks, zones or regions may be lost while the others still
+//! decide.
+//!
+//! Computed from the members and the regions of their zones alone; [`placement`](super::placement) chooses
+//! members by it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,8 +14,8 @@
 
 /// The losses that a replica set should tolerate, each by itself.
 ///
-/// Invariant: where a set tolerates them, that many members may lose their disks at once, or so many zones or regions, and the
-/// members that are left are a majority, which holds each decided entry.
+/// Invariant: where a set tolerates them, that many members may lose their disks at once, or so many zones or
+/// regions, and the members that are left are a majority, which holds each decided entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToleranceTarget {
     disks: usize,
@@ -42,14 +46,14 @@
         2 * self.disks + 1
     }
 
-    /// Members that decide together in a set of so many as the loss of disks asks for. Where fewer stores stand, the
-    /// majority of a set follows from its own members.
+    /// Members that decide together in a set of so many as the loss of disks asks for. Where fewer stores
+    /// stand, the majority of a set follows from its own members.
     pub const fn majority(self) -> usize {
         self.disks + 1
     }
 
-    /// The fewest members of a set that is made where fewer stores stand than are wanted: with one more than the disks
-    /// that may be lost, a copy of what all members hold outlives the loss.
+    /// The fewest members of a set that is made where fewer stores stand than are wanted: with one more than
+    /// the disks that may be lost, a copy of what all members hold outlives the loss.
     pub const fn least_members(self) -> usize {
         self.disks + 1
     }
@@ -144,8 +148,8 @@
         }
     }
 
-    /// How many members more than may be lost would go with the greatest zones or regions that should be tolerated; 0 where
-    /// all of these are.
+    /// How many members more than may be lost would go with the greatest zones or regions that should be
+    /// tolerated; 0 where all of these are.
     pub(super) fn excess(&self, target: ToleranceTarget) -> usize {
         let beyond = |groups: &[usize], lost: usize| {
             groups.iter().take(lost).sum::<usize>().saturating_sub(self.spare())
--- a/crates/core/src/replication/group.rs
+++ b/crates/core/src/replication/group.rs
@@ -1,4 +1,6 @@
 //! What a store keeps about its part in a shard's replica set.
+//!
+//! Stored as it stands: the order of fields and variants must not change.
 
 use speedy::{Readable, Writable};
 
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -1,4 +1,7 @@
 //! From entries to what an owner recovers, and from a snapshot to entries.
+//!
+//! Leaves out what a later owner overtook, and joins the parts of a snapshot; relies on entries in order
+//! without a gap.
 
 use super::entry::{LogIndex, Payload};
 use super::replica_set::ReplicaSet;
@@ -11,7 +14,8 @@
     pub snapshot: Option<Vec<u8>>,
     /// Records after the snapshot, in order. Each may have been acknowledged; none that was is missing.
     pub records: Vec<Vec<u8>>,
-    /// The last set that an owner chose to follow; it is in force already where its generation is not a later one.
+    /// The last set that an owner chose to follow; it is in force already where its generation is not a later
+    /// one.
     pub next_set: Option<ReplicaSet>,
     /// The epoch of the last owner that appended.
     pub latest_origin: Epoch,
@@ -47,13 +51,13 @@
     NextSet(ReplicaSet),
 }
 
-/// Puts a log together from its entries in order. A snapshot of which a part is missing counts for nothing: its
-/// owner was superseded while writing it, and nothing was dropped for it.
+/// Puts a log together from its entries in order. A snapshot of which a part is missing counts for nothing:
+/// its owner was superseded while writing it, and nothing was dropped for it.
 ///
-/// A position can come to hold what an owner left at a minority, after positions of a later owner that knew nothing
-/// of it. Such a record was never acknowledged: had it been decided, the later owner would have found it, and its
-/// own records would lie behind it. With `skip_overtaken` it is left out, so that no record follows one of a later
-/// owner.
+/// A position can come to hold what an owner left at a minority, after positions of a later owner that knew
+/// nothing of it. Such a record was never acknowledged: had it been decided, the later owner would have found
+/// it, and its own records would lie behind it. With `skip_overtaken` it is left out, so that no record
+/// follows one of a later owner.
 #[derive(Debug)]
 pub(crate) struct LogAssembler {
     parts: PartialSnapshot,
--- a/crates/core/src/replication/member_progress.rs
+++ b/crates/core/src/replication/member_progress.rs
@@ -1,4 +1,6 @@
 //! What a proposer knows of one replica.
+//!
+//! Owns when the replica is asked again, its promise, and how far it has accepted; the proposer decides by it.
 
 use super::entry::LogIndex;
 use super::group::LogPosition;
--- a/crates/core/src/replication/memory_storage.rs
+++ b/crates/core/src/replication/memory_storage.rs
@@ -1,4 +1,6 @@
 //! A store's disk in memory, for simulations: what was synced survives a crash, the rest does not.
+//!
+//! Implements the same contract as the file of a store, without its limits.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -1,4 +1,11 @@
-//! Chooses which stores keep a shard: the first replica set, who takes the place of a member, and how a set grows.
+//! Where a log's stores stand: the first replica set, who takes the place of a member, and how a set grows.
+//! The one place that decides it.
+//!
+//! Inputs: the stores that answer with their zones, the tolerated losses of the settings, the region of each
+//! zone and the home region. Counts are of members, zones and regions. Reason: as many disks, zones or
+//! regions as the settings name may be lost while a majority is left, and appends should not cross to another
+//! region (`docs/design/log-placement.md`). With three members a grown deployment that may lose two disks at
+//! once lost six jobs on one day, with five none: `2 f + 1` members tolerate `f` lost disks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,9 +18,12 @@
 use crate::identity::{NodeId, RegionName, ShardId, ZoneName};
 use crate::ingress::places::ZoneMap;
 
-/// Most members of a set: each one more costs a copy of every append.
+/// Most members of a set: each one more costs a copy of every append. Chosen, not measured, as is the bound
+/// of the search; a set that would need more tolerates less than is wanted, which is reported.
 const MAX_MEMBERS: usize = 13;
 /// The regions with the most stores that a first set is spread over; more would be weighed without an end.
+/// Chosen, not measured: the ways to share members out grow steeply with it, and with fewer some set that
+/// tolerates more is not found.
 const MAX_REGIONS: usize = 6;
 
 /// Fewer stores than the smallest set that may be made.
@@ -87,8 +97,9 @@
         if tolerance.covers(wanted) { Ok(()) } else { Err(shortfall) }
     }
 
-    /// The best store to add to `members`: one that leaves the smallest excess over the losses to tolerate, then one in the region
-    /// where most members stand, in a zone that has fewest of them, with the highest weight.
+    /// The best store to add to `members`: one that leaves the smallest excess over the losses to tolerate,
+    /// then one in the region where most members stand, in a zone that has fewest of them, with the highest
+    /// weight.
     pub fn best_addition(
         &self,
         shard: &ShardId,
@@ -112,8 +123,8 @@
         best.cloned()
     }
 
-    /// The next step by which a set whose members all answer tolerates more: it grows while it is smaller than these stores
-    /// allow, then members move. Never shrinks a set.
+    /// The next step by which a set whose members all answer tolerates more: it grows while it is smaller
+    /// than these stores allow, then members move. Never shrinks a set.
     pub fn improvement(&self, set: &ReplicaSet, candidates: &[SetMember]) -> Option<Improvement> {
         let free = candidates.iter().filter(|candidate| !stands_in(&set.members, candidate));
         let free: Vec<SetMember> = free.cloned().collect();
@@ -187,8 +198,9 @@
         best.map(|(_, chosen)| chosen).unwrap_or_default()
     }
 
-    /// The best set of so many members, and by how much it misses what it should tolerate. Within a region, stores taken
-    /// evenly over its zones lose the fewest with any number of zones: only the share of each region is to be found.
+    /// The best set of so many members, and by how much it misses what it should tolerate. Within a region,
+    /// stores taken evenly over its zones lose the fewest with any number of zones: only the share of each
+    /// region is to be found.
     fn best_of_size(&self, held: &[Vec<SetMember>], members: usize) -> Option<(usize, Vec<SetMember>)> {
         let capacities: Vec<usize> = held.iter().map(Vec::len).collect();
         let sets = shares(&capacities, members).into_iter().map(|shares| {
@@ -210,14 +222,16 @@
     }
 }
 
-/// The first replica set by the loss of disks alone, where all stores stand in one region. `None` where there are too few.
+/// The first replica set by the loss of disks alone, where all stores stand in one region. `None` where there
+/// are too few.
 pub fn first_set(shard: &ShardId, candidates: &[SetMember], size: ToleranceTarget) -> Option<ReplicaSet> {
     let policy = PlacementPolicy { size, ..PlacementPolicy::default() };
     policy.first_set(shard, candidates).ok()
 }
 
-/// The best store to add to `members` where all stores stand in one region: first one in a zone that has fewest of them,
-/// then the highest weight. So a set of five in three zones never has three members in one, and tolerates the loss of any.
+/// The best store to add to `members` where all stores stand in one region: first one in a zone that has
+/// fewest of them, then the highest weight. So a set of five in three zones never has three members in one,
+/// and tolerates the loss of any.
 pub fn best_addition(shard: &ShardId, members: &[SetMember], candidates: &[SetMember]) -> Option<SetMember> {
     PlacementPolicy::default().best_addition(shard, members, candidates)
 }
@@ -242,8 +256,8 @@
     stores
 }
 
-/// Stores in the order in which a set takes them: evenly over their zones, by weight within each. `stores` are in the
-/// order of their weights.
+/// Stores in the order in which a set takes them: evenly over their zones, by weight within each. `stores`
+/// are in the order of their weights.
 fn in_order_of_choice(shard: &ShardId, stores: &[SetMember]) -> Vec<SetMember> {
     let mut turns: BTreeMap<&ZoneName, usize> = BTreeMap::new();
     let mut ordered: Vec<(usize, &SetMember)> = Vec::new();
--- a/crates/core/src/replication/quorum.rs
+++ b/crates/core/src/replication/quorum.rs
@@ -1,4 +1,6 @@
 //! Majorities of a replica set.
+//!
+//! More than half of the members: any two majorities of a set share one.
 
 use std::collections::BTreeSet;
 
--- a/crates/core/src/replication/recovery.rs
+++ b/crates/core/src/replication/recovery.rs
@@ -1,4 +1,6 @@
 //! Reading a majority after it promised: which entries may be decided.
+//!
+//! Owns the entries read so far. Of two entries at a position the one with the higher epoch may be decided.
 
 use std::collections::BTreeMap;
 
@@ -20,8 +22,8 @@
 
 /// Reads in progress.
 ///
-/// Positions known to be decided are read from the one replica that knows most of them. Of the others, the entry
-/// with the highest epoch among a majority is taken, as in phase 1 of Paxos.
+/// Positions known to be decided are read from the one replica that knows most of them. Of the others, the
+/// entry with the highest epoch among a majority is taken, as in phase 1 of Paxos.
 pub(super) struct Recovery {
     first: LogIndex,
     /// The first position that is read; those before are decided and known.
@@ -44,8 +46,8 @@
 }
 
 impl Recovery {
-    /// Reads from replicas that promised; with `read_undecided` off, only what is known to be decided. What is decided
-    /// up to `known_through` is known already and left out.
+    /// Reads from replicas that promised; with `read_undecided` off, only what is known to be decided. What
+    /// is decided up to `known_through` is known already and left out.
     pub(super) fn new(
         promises: &[(StoreId, Promise)],
         read_undecided: bool,
--- a/crates/core/src/replication/replica_set.rs
+++ b/crates/core/src/replication/replica_set.rs
@@ -1,4 +1,6 @@
 //! The store replicas of a shard, versioned by generation.
+//!
+//! A set never changes; a change makes the next generation. Stored and sent as it stands.
 
 use std::fmt;
 
@@ -8,8 +10,9 @@
 use super::quorum::majority;
 use crate::identity::{NodeId, ShardId, ZoneName};
 
-/// One store: one disk in one life. A store draws a new id when it finds its folder empty, so a replica that lost
-/// its disk is no longer the member that the replica set names, and abstains until it is made a member again.
+/// One store: one disk in one life. A store draws a new id when it finds its folder empty, so a replica that
+/// lost its disk is no longer the member that the replica set names, and abstains until it is made a member
+/// again.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Readable, Writable,
 )]
@@ -105,9 +108,9 @@
         majority(self.members.len())
     }
 
-    /// The next generation, with `leaving` replaced by `joining`. One member at a time, so that most of the next
-    /// set already has most of the state. Where `leaving` is the joining store itself, nobody leaves and the set grows.
-    /// `None` where `leaving` is no member otherwise or `joining` is one already.
+    /// The next generation, with `leaving` replaced by `joining`. One member at a time, so that most of the
+    /// next set already has most of the state. Where `leaving` is the joining store itself, nobody leaves and
+    /// the set grows. `None` where `leaving` is no member otherwise or `joining` is one already.
     pub fn with_replaced(&self, leaving: &StoreId, joining: SetMember) -> Option<Self> {
         if self.member(&joining.store).is_some() {
             return None;
--- a/crates/core/src/replication/storage.rs
+++ b/crates/core/src/replication/storage.rs
@@ -1,4 +1,7 @@
 //! What an acceptor needs of its disk.
+//!
+//! The contract between the acceptor and a disk: one transaction for each answer, synced before the answer
+//! leaves.
 
 use super::claims::ClaimRecord;
 use super::entry::{Entry, IndexedEntry, LogIndex};
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -1,4 +1,6 @@
 //! A replica's side of changing the replica set: seal, hand out pages, take pages, install.
+//!
+//! Owns nothing: it works on the group record and the storage that the acceptor hands it.
 
 use super::acceptor::AcceptorChecks;
 use super::claims;
@@ -12,11 +14,15 @@
 use super::storage::ShardStorage;
 use crate::identity::ShardId;
 
-/// Bytes of log entries in a page; one larger entry makes a page of its own.
+/// Bytes of log entries in a page; one larger entry makes a page of its own. Chosen, not measured. On a grown
+/// deployment small requests behind such pages waited 460 ms in place of 4 ms: larger pages hold up what
+/// waits behind them for longer, smaller ones cost more round trips.
 pub(super) const PAGE_BYTES: usize = 1 << 20;
-/// Claims in a page.
+/// Claims in a page. Chosen, not measured: too many make an answer outlast the call timeout, too few cost
+/// calls.
 const PAGE_CLAIMS: usize = 4_096;
-/// Copyings of which a member remembers how far they have come.
+/// Copyings of which a member remembers how far they have come. Chosen, not measured: with fewer, copyings
+/// that run side by side push each other out and begin again.
 const MAXIMUM_COPYINGS: usize = 8;
 
 /// Stops the replica in its generation, for good.
@@ -65,8 +71,8 @@
 
 /// Takes a page into a member of the next generation that doesn't take part in it yet.
 ///
-/// Entries of the sealed generation are only added to, and only by others accepted in it under a higher epoch, so
-/// a copying that stops halfway leaves a state that can itself be copied from.
+/// Entries of the sealed generation are only added to, and only by others accepted in it under a higher
+/// epoch, so a copying that stops halfway leaves a state that can itself be copied from.
 pub(super) fn copy<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
@@ -125,9 +131,9 @@
     Ok(ReplicaAnswer::Installed(generation))
 }
 
-/// The record into which state of a later generation may be copied. That generation `n` is pending says that `n - 1`
-/// was installed, so that every earlier one is sealed for good; and its state is copied only once a majority of
-/// `n - 1` is sealed. So a replica that missed its sealing may make up for it here.
+/// The record into which state of a later generation may be copied. That generation `n` is pending says that
+/// `n - 1` was installed, so that every earlier one is sealed for good; and its state is copied only once a
+/// majority of `n - 1` is sealed. So a replica that missed its sealing may make up for it here.
 fn joining_record(record: Option<GroupRecord>, set: &ReplicaSet) -> Result<GroupRecord, Box<ReplicaAnswer>> {
     let Some(mut record) = record else {
         return Ok(GroupRecord::joining(set.clone()));
--- a/crates/core/src/replication/window.rs
+++ b/crates/core/src/replication/window.rs
@@ -1,4 +1,7 @@
 //! Entries that a proposer still has to get to its replicas.
+//!
+//! Owns entries from the last position that all replicas have on, within a bound of bytes for those that are
+//! behind.
 
 use std::collections::VecDeque;
 
--- a/crates/daemon/src/configuration/change.rs
+++ b/crates/daemon/src/configuration/change.rs
@@ -1,4 +1,7 @@
 //! Settles an operator's change of the settings tree.
+//!
+//! Drives the core's change writer against the object API, then waits until the revision is in force on this
+//! node.
 
 use std::time::{Duration, Instant};
 
@@ -16,8 +19,9 @@
 use super::source::register_of;
 use crate::context::Context;
 
-/// How long an accepted change may take until a majority of the quorum set holds it. Chosen, not measured: too short tells
-/// an operator that a change is not in force yet which soon is; too long keeps the call waiting while the set can't be reached.
+/// How long an accepted change may take until a majority of the quorum set holds it. Chosen, not measured:
+/// too short tells an operator that a change is not in force yet which soon is; too long keeps the call
+/// waiting while the set can't be reached.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a change was not accepted.
--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -1,4 +1,6 @@
 //! The task that spreads one document: sockets, timers and the platform round the core's disseminator.
+//!
+//! Owns the disseminator and the reader of the platform; publishes what is in force through the handle.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +26,14 @@
 use crate::directory::ReplicaDirectory;
 use crate::membership::{self, HeardRevisions};
 
-/// How often the live members are polled.
+/// How often the live members are polled. Chosen, not measured: longer delays the choice of readers after a
+/// change of the members.
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a single read of the platform that gave no answer.
+/// Pause after a single read of the platform that gave no answer. Chosen, not measured: shorter loads a
+/// platform that is down, longer delays the start of a node.
 const READ_ONCE_PAUSE: Duration = Duration::from_secs(1);
-/// A message to a peer is given up after this; the disseminator sends it again.
+/// A message to a peer is given up after this; the disseminator sends it again. Chosen, not measured: it
+/// bounds tasks that wait for a silent peer.
 const MESSAGE_DEADLINE: Duration = Duration::from_secs(2);
 
 /// Starts the task of a document; a second start is ignored.
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -1,4 +1,6 @@
 //! How the other parts of a node reach the tasks that spread the documents.
+//!
+//! Owns the channels of events and what is in force; it imports no other part's tasks.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
--- a/crates/daemon/src/configuration/platform.rs
+++ b/crates/daemon/src/configuration/platform.rs
@@ -1,4 +1,6 @@
 //! Calls of the platform's object API and machine list.
+//!
+//! Owns the addresses and time-outs of both; tells apart what was not written from what is in doubt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,8 +30,8 @@
     /// Proved: nothing was written.
     #[error("nothing was written: {0}; try again when the object API answers")]
     NotWritten(ClientError),
-    /// The write may have taken effect. Read the object to find out; repeating it on the same base version is safe,
-    /// since it takes effect at most once.
+    /// The write may have taken effect. Read the object to find out; repeating it on the same base version is
+    /// safe, since it takes effect at most once.
     #[error("the write may have taken effect: {0}; read the object to find out")]
     InDoubt(ClientError),
 }
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -1,4 +1,5 @@
-//! Reads a document from the platform: the settings tree from the object API, the directory from the machine list.
+//! Reads a document from the platform: the settings tree from the object API, the directory from the machine
+//! list.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +14,8 @@
 use super::platform::{MachineListClient, ObjectClient, PlatformError};
 use crate::settings::Settings;
 
-/// Pause after the platform gave no answer.
+/// Pause after the platform gave no answer. Chosen, not measured: shorter loads a platform that is down,
+/// longer delays changes after it is back.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Why a document could not be read.
@@ -48,7 +50,8 @@
         found.unwrap_or(Self::Nothing)
     }
 
-    /// Reads the document once. `latest` is the one that the node holds, on which the remembered changes are based.
+    /// Reads the document once. `latest` is the one that the node holds, on which the remembered changes are
+    /// based.
     pub(super) async fn read(&self, latest: Option<Arc<Document>>) -> Result<Document, SourceError> {
         match self {
             Self::Objects(client) => {
--- a/crates/daemon/src/configuration/view.rs
+++ b/crates/daemon/src/configuration/view.rs
@@ -1,4 +1,6 @@
 //! The settings tree as the other parts of a node read it.
+//!
+//! Replaced as a whole when a revision is put in force; readers take no lock.
 
 use lichenpulley_core::configuration::document::Document;
 use lichenpulley_core::configuration::path::LevelPath;
--- a/crates/daemon/src/membership/driver.rs
+++ b/crates/daemon/src/membership/driver.rs
@@ -1,4 +1,6 @@
 //! Moves datagrams, timers and commands between the runtime and the protocol's state machine.
+//!
+//! Owns the socket and the state machine; publishes the view of the members and the announced revisions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,10 +22,12 @@
 /// The largest datagram that a UDP socket can hand over, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 65_535;
 
-/// Datagrams taken in before timers and commands get their turn.
+/// Datagrams taken in before timers and commands get their turn. Chosen, not measured: more delay probes
+/// that are due while datagrams flood in.
 const RECEIVE_BATCH: usize = 256;
 
-/// How long to wait for a wake-up where the protocol asks for none.
+/// How long to wait for a wake-up where the protocol asks for none. Chosen, not measured: it only bounds a
+/// sleep that nothing ends.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// The membership task of one node.
--- a/crates/daemon/src/membership/handle.rs
+++ b/crates/daemon/src/membership/handle.rs
@@ -1,4 +1,6 @@
 //! How the other parts of a node speak to its membership task.
+//!
+//! Owns the channel of commands and the announced revisions; it imports no other part's tasks.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,7 +11,8 @@
 
 use crate::cluster::Member;
 
-/// How long a planned stop waits for the notice of leaving to be sent.
+/// How long a planned stop waits for the notice of leaving to be sent. Chosen, not measured: the notice is
+/// one datagram to a few members, so a second is ample; longer delays a stop.
 const LEAVE_WAIT: Duration = Duration::from_secs(1);
 
 /// The highest revision of a document that has been announced.
--- a/crates/daemon/src/membership/meter.rs
+++ b/crates/daemon/src/membership/meter.rs
@@ -1,4 +1,6 @@
 //! The protocol's counters as metrics.
+//!
+//! Owns the counters as last shown, so that metrics grow by the difference.
 
 use lichenpulley_core::membership::Counters;
 use prometheus::{IntCounter, IntGauge, Registry};
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -27,13 +27,17 @@
 use crate::decisions::unix_milliseconds;
 use crate::settings::MembershipSettings;
 
-/// A failed member is tried again once in so many probe intervals.
+/// A failed member is tried again once in so many probe intervals. Chosen, not measured: 5 s with the
+/// default interval; longer delays the merging of a healed partition, shorter costs datagrams to dead
+/// nodes.
 const RECONNECT_PROBES: u32 = 10;
 
-/// Whole tables are compared once in so many probe intervals.
+/// Whole tables are compared once in so many probe intervals. Chosen, not measured: 30 s with the default
+/// interval; longer leaves a lost update unrepaired for longer.
 const SYNC_PROBES: u32 = 60;
 
-/// A seed that did not answer is followed by the next after so many probe intervals.
+/// A seed that did not answer is followed by the next after so many probe intervals. Chosen, not measured:
+/// 1 s with the default interval; longer delays a start whose first seed is down.
 const JOIN_RETRY_PROBES: u32 = 2;
 
 /// What a node brings into the cluster.
--- a/crates/daemon/src/membership/report.rs
+++ b/crates/daemon/src/membership/report.rs
@@ -1,4 +1,6 @@
 //! The protocol's events as decisions and log lines.
+//!
+//! Owns nothing; names of decisions are part of the operators' interface.
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::membership::{Cause, Event, EventKind};
--- a/crates/daemon/src/metadata/announcements.rs
+++ b/crates/daemon/src/metadata/announcements.rs
@@ -1,4 +1,5 @@
-//! Announcements of metadata revisions that ride on the heartbeats, so that a node whose watch is stuck reads again.
+//! Announcements of metadata revisions that ride on the heartbeats, so that a node whose watch is stuck reads
+//! again.
 
 use std::time::Duration;
 
@@ -9,10 +10,13 @@
 use crate::context::Context;
 use crate::membership::{self, AnnouncedRevision, HeardRevisions};
 
-/// How long a node that heard of something newer waits for its own watch to bring it.
+/// How long a node that heard of something newer waits for its own watch to bring it. Chosen, not measured:
+/// shorter costs calls for what the watch brings anyway, longer delays a change at a node whose watch is
+/// stuck.
 const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The name under which what a node holds of a kind is announced; none for kinds that change too often, or matter to few.
+/// The name under which what a node holds of a kind is announced; none for kinds that change too often, or
+/// matter to few.
 const fn announced_name(kind: MetadataKind) -> Option<&'static str> {
     match kind {
         MetadataKind::Configuration => Some("routes"),
@@ -22,8 +26,8 @@
     }
 }
 
-/// What this node holds of a kind, in the numbers that are announced: the configuration has versions of its own. 0 where it
-/// holds nothing, which is below every announced number and is never announced.
+/// What this node holds of a kind, in the numbers that are announced: the configuration has versions of its
+/// own. 0 where it holds nothing, which is below every announced number and is never announced.
 fn held(context: &Context, kind: MetadataKind) -> u64 {
     let metadata = &context.metadata;
     match kind {
@@ -52,8 +56,8 @@
     announced.filter(|announced| announced.revision.0 > held(context, kind)).cloned()
 }
 
-/// Waits until a peer has announced something newer than this node has, and its own watch had time to bring it. Returns
-/// the peer.
+/// Waits until a peer has announced something newer than this node has, and its own watch had time to bring
+/// it. Returns the peer.
 pub(super) async fn heard_newer(context: &Context, kind: MetadataKind) -> Member {
     let mut heard = membership::watch_revisions(context);
     loop {
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -1,4 +1,6 @@
 //! Calls of the platform's metadata store.
+//!
+//! Owns the address and time-outs; `platform/` decodes what the store answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +14,8 @@
 use crate::http::client::{ClientError, HttpClient};
 use crate::settings::Settings;
 
-/// A watch of what is rare is held for so many times the usual time: in half a minute of calm, one call in place of four.
+/// A watch of what is rare is held for so many times the usual time: in half a minute of calm, one call in
+/// place of four.
 const RARE_HOLDS: u32 = 4;
 
 /// A client of the metadata store. Cheap to clone.
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Evacuations and ended replicas are rare, and announced by whoever learns of one: a watch of them that is stuck does no harm,
-    /// so that each is held for longer and costs fewer calls.
+    /// Evacuations and ended replicas are rare, and announced by whoever learns of one: a watch of them that
+    /// is stuck does no harm, so that each is held for longer and costs fewer calls.
     fn hold(&self, kind: &str) -> Duration {
         if [objects::EVACUATIONS, QUARANTINE].contains(&kind) {
             (self.watch_hold * RARE_HOLDS).min(objects::LONGEST_WATCH).max(self.watch_hold)
--- a/crates/daemon/src/metadata/copy.rs
+++ b/crates/daemon/src/metadata/copy.rs
@@ -1,4 +1,7 @@
 //! From the objects of a kind to the product's own types.
+//!
+//! Decodes by `platform/`. An object that can't be read is left out and logged; the configuration in force
+//! never goes back.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,7 +15,8 @@
 use super::MetadataHandle;
 use crate::quarantine::QuarantineRecords;
 
-/// Replicas whose records did not change keep what was read of them: with thousands of replicas, one changes at a time.
+/// Replicas whose records did not change keep what was read of them: with thousands of replicas, one changes
+/// at a time.
 fn apply_replicas(handle: &MetadataHandle, before: Option<&MetadataCopy>, copy: &MetadataCopy) {
     let held = handle.replicas.load();
     let held: HashMap<&str, &ReplicaRecord> =
--- a/crates/daemon/src/metadata/freshness.rs
+++ b/crates/daemon/src/metadata/freshness.rs
@@ -1,4 +1,6 @@
 //! How long ago the platform last confirmed what this node holds.
+//!
+//! Owns the times of confirmation of all kinds, by a clock that counts suspensions of the machine.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering};
 use std::time::Duration;
@@ -13,8 +15,8 @@
 
 /// Confirmations by kind.
 ///
-/// Invariant: the age is never below the true one. An answer of the platform to a probe confirms only kinds whose watch
-/// stands; a copy that came from a peer is as old as the peer said.
+/// Invariant: the age is never below the true one. An answer of the platform to a probe confirms only kinds
+/// whose watch stands; a copy that came from a peer is as old as the peer said.
 #[derive(Debug)]
 pub(super) struct Freshness {
     clock: BootClock,
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -1,9 +1,10 @@
-//! The platform's metadata on this node: the operator's configuration, replicas, and versions that trainers named.
+//! The platform's metadata on this node: the operator's configuration, replicas, and versions that trainers
+//! named.
 //!
-//! In a small deployment every node watches it for itself; in a large one a few do, and the others follow them (see
-//! `lichenpulley_core::relay`). A node that can't reach the platform takes a peer's copy. Invariant: the
-//! copy of a kind never goes back to an earlier revision, nor the configuration to an earlier version, within the life
-//! of a process.
+//! In a small deployment every node watches it for itself; in a large one a few do, and the others follow
+//! them (see `lichenpulley_core::relay`). A node that can't reach the platform takes a peer's copy.
+//! Invariant: the copy of a kind never goes back to an earlier revision, nor the configuration to an earlier
+//! version, within the life of a process.
 
 mod announcements;
 pub mod client;
@@ -29,8 +30,8 @@
 use crate::context::Context;
 use crate::quarantine;
 
-/// Starts to watch on the current runtime, where a metadata store is named in the settings. Nodes that serve no callers
-/// and own no control work need none of it.
+/// Starts to watch on the current runtime, where a metadata store is named in the settings. Nodes that serve
+/// no callers and own no control work need none of it.
 pub fn start(context: &Context) {
     let roles = context.settings.roles;
     if !roles.gateway && !roles.coordinator {
@@ -44,7 +45,8 @@
     }
 }
 
-/// The longest that an answer to a peer waits for a change.
+/// The longest that an answer to a peer waits for a change. Above what followers ask for, so that it only
+/// bounds what a faulty peer can hold. Chosen, not measured: it costs one waiting task for each asker.
 const MAX_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Answers a peer that follows this node, or can't reach the platform.
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -1,4 +1,7 @@
 //! Asking a peer for its copy, beside or in place of the platform.
+//!
+//! Owns nothing; relies on the peers' connections and on the ranking of coordinators for who reads the
+//! platform.
 
 use std::time::Duration;
 
@@ -11,11 +14,14 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// How long a peer may take to hand over its copy.
+/// How long a peer may take to hand over its copy. Chosen, not measured: shorter gives up peers that are
+/// only slow, longer delays asking the next one.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two looks at what another reader of the platform has.
+/// Time between two looks at what another reader of the platform has. Chosen, not measured: longer lets a
+/// silent watch go unnoticed for longer, shorter costs calls between nodes.
 const COMPARE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A watch that stands brings what another reader has well within this time: twice the pause between two watches.
+/// A watch that stands brings what another reader has well within this time: twice the pause between two
+/// watches.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What a peer gave.
@@ -56,8 +62,9 @@
     others.collect::<Vec<_>>().choose(&mut rand::rng()).map(|member| Member::clone(member))
 }
 
-/// Waits until another reader of the platform has had newer replicas for so long that this node's own watch can't stand:
-/// its connection may be silent while others to the store answer. Kinds that are announced need none of it.
+/// Waits until another reader of the platform has had newer replicas for so long that this node's own watch
+/// can't stand: its connection may be silent while others to the store answer. Kinds that are announced need
+/// none of it.
 pub(super) async fn behind(context: &Context, kind: MetadataKind) -> Given {
     if kind != MetadataKind::Replicas {
         return std::future::pending().await;
--- a/crates/daemon/src/metadata/reachability.rs
+++ b/crates/daemon/src/metadata/reachability.rs
@@ -1,8 +1,8 @@
 //! Whether the metadata store can be reached.
 //!
-//! A watch that was sent while the store was silent is never answered, and looks like one that waits. So each node asks
-//! for a small answer now and then. Where it gets none, its watches are given up and peers are asked meanwhile; once it
-//! gets one again, watches are begun anew.
+//! A watch that was sent while the store was silent is never answered, and looks like one that waits. So each
+//! node asks for a small answer now and then. Where it gets none, its watches are given up and peers are
+//! asked meanwhile; once it gets one again, watches are begun anew.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 use super::client::MetadataClient;
 use crate::context::Context;
 
-/// Time between two probes.
+/// Time between two probes. Chosen, not measured: longer delays finding out that the store is away, shorter
+/// costs priced calls.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Whether the store gave an answer when it was last asked.
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -1,4 +1,6 @@
 //! Following a peer that reads the platform.
+//!
+//! Owns which reader is asked next; the core's `relay` decides when a reader is followed or left.
 
 use std::time::Duration;
 
@@ -14,9 +16,11 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// How long a reader may wait for a change before it answers.
+/// How long a reader may wait for a change before it answers. Chosen, not measured: shorter costs calls
+/// between nodes; longer delays finding out that a reader is silent.
 const HOLD: Duration = Duration::from_millis(500);
-/// How long an answer may take beyond that.
+/// How long an answer may take beyond that. Chosen, not measured: shorter leaves readers that are only
+/// slow, longer delays the change to another.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// One kind of metadata on a node that may follow.
--- a/crates/daemon/src/metadata/retirements.rs
+++ b/crates/daemon/src/metadata/retirements.rs
@@ -1,4 +1,7 @@
 //! Machines with disks that the operator wants emptied.
+//!
+//! Owns the open retirements; writes to the platform once the owner of the stores' log says that a machine is
+//! empty.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,9 +16,10 @@
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
 
-/// Pause after the platform gave no answer.
+/// Pause after the platform gave no answer. Chosen, not measured: shorter loads a platform that is down.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause before a status that was written is looked at again.
+/// Pause before a status that was written is looked at again. Chosen, not measured: it only spaces out the
+/// writes of statuses.
 const SETTLE_PAUSE: Duration = Duration::from_millis(100);
 
 /// Open retirements, as the owner of the stores' log sees them. Dropping it ends its tasks.
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -1,4 +1,7 @@
 //! Watches one kind of the platform's objects.
+//!
+//! Owns the objects of the kind as last read and where to read next; puts each copy into the handle. Relies
+//! on the core's `relay` for the source and on `lapse` for entries that vanished while the store was away.
 
 mod away;
 
@@ -29,25 +32,31 @@
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
 
-/// The least pause between two watches, so that a burst of changes costs few calls.
+/// The least pause between two watches, so that a burst of changes costs few calls. Chosen, not measured:
+/// longer delays a change by as much, shorter costs priced calls.
 const WATCH_PAUSE: Duration = Duration::from_millis(80);
-/// The least pause between two watches of replicas. A replica that begins to drain is known well within the time that
-/// it goes on serving.
+/// The least pause between two watches of replicas. A replica that begins to drain is known well within the
+/// time that it goes on serving. Chosen, not measured: longer sends requests to replicas that drain,
+/// shorter costs priced calls.
 const REPLICA_WATCH_PAUSE: Duration = Duration::from_millis(500);
-/// How often a node that may not own the batch jobs looks whether it may now.
+/// How often a node that may not own the batch jobs looks whether it may now. Chosen, not measured: longer
+/// delays the versions at a node that may own jobs since a moment ago.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Through whom what is read from the platform itself is known.
 const PLATFORM: &str = "platform";
-/// The longest pause between two tries.
+/// The longest pause between two tries. Chosen, not measured: longer delays what the store has to say after
+/// an outage, shorter costs refused calls, which are priced too.
 const RETRY_LIMIT: Duration = Duration::from_millis(500);
-/// The least pause between two questions to a peer that has nothing new.
+/// The least pause between two questions to a peer that has nothing new. Chosen, not measured: it keeps a
+/// follower from asking without end a reader that answers at once.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(250);
 
 /// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip.
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds.
 const MIN_SETTLE: Duration = Duration::from_millis(1_000);
-/// A node reads after so long though it still hears of others.
+/// A node reads after so long though it still hears of others. Chosen, not measured: longer delays the
+/// start of a node in a deployment whose members keep changing.
 const MAX_SETTLE: Duration = Duration::from_millis(2_000);
 
 /// The platform's name of a kind.
@@ -149,8 +158,8 @@
         }
     }
 
-    /// Serves by what the platform gives cheaply until it is known from where to read. Only a beginning: the revision stays
-    /// unknown, so that all is read anew.
+    /// Serves by what the platform gives cheaply until it is known from where to read. Only a beginning: the
+    /// revision stays unknown, so that all is read anew.
     async fn begin(&mut self) {
         if self.kind == MetadataKind::Versions {
             return;
@@ -164,8 +173,9 @@
         }
     }
 
-    /// Waits until the node has heard who else there is: which nodes read the platform depends on all of them, and each
-    /// one that starts would take itself for the first. Takes a peer's copy meanwhile, where there is one.
+    /// Waits until the node has heard who else there is: which nodes read the platform depends on all of
+    /// them, and each one that starts would take itself for the first. Takes a peer's copy meanwhile, where
+    /// there is one.
     async fn settle(&mut self) {
         let began = Instant::now();
         let mut nodes = 0;
@@ -330,8 +340,8 @@
         self.objects.remove(name);
     }
 
-    /// Entries that did not come back are gone. All are listed anew, so that this is told under a later revision: followers
-    /// ask for what came after the one they have.
+    /// Entries that did not come back are gone. All are listed anew, so that this is told under a later
+    /// revision: followers ask for what came after the one they have.
     fn drop_lapsed(&mut self) {
         let gone = self.lapses.expire(self.now());
         if !gone.is_empty() {
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -1,4 +1,6 @@
 //! What a watcher does while the platform gives it nothing, and when a peer has something newer.
+//!
+//! Extends the watcher: backoff, questions to peers, and what is taken from them.
 
 use std::time::Duration;
 
@@ -13,7 +15,8 @@
 
 /// The pause after failures in a row.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), RETRY_LIMIT);
-/// The pause between two questions to peers while the store is silent: one that was asked may itself know nothing new.
+/// The pause between two questions to peers while the store is silent: one that was asked may itself know
+/// nothing new. Chosen, not measured: longer delays what peers have, shorter costs calls between nodes.
 const AWAY_PAUSE: Duration = Duration::from_millis(250);
 
 impl Watcher {
@@ -52,8 +55,8 @@
         }
     }
 
-    /// Takes what a peer gave. A copy that the platform confirmed to the peer after it fell silent for this node shows that
-    /// it serves others: what vanished there is gone.
+    /// Takes what a peer gave. A copy that the platform confirmed to the peer after it fell silent for this
+    /// node shows that it serves others: what vanished there is gone.
     pub(super) fn take_given(&mut self, given: Given) {
         if self.lapses.served_others(self.now(), given.age) {
             self.context.metadata.freshness.confirm(self.kind, given.age);
@@ -64,8 +67,8 @@
         }
     }
 
-    /// Takes what a peer announced, from that peer: it costs the platform nothing, and helps where that turns this node
-    /// away. Asks the platform only where the peer gives nothing as new.
+    /// Takes what a peer announced, from that peer: it costs the platform nothing, and helps where that turns
+    /// this node away. Asks the platform only where the peer gives nothing as new.
     pub(super) async fn take_announced(&mut self, holder: &Member) -> Result<(), PlatformError> {
         if let Some(given) = peers::ask(&self.context, holder, self.kind, self.held()).await {
             self.take_given(given);
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -1,4 +1,6 @@
 //! Zones that are evacuated, as this node knows them, and the operator's way to change that.
+//!
+//! Owns since when and through whom each evacuation is known, for the operators' list.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/daemon/src/peers/connection.rs
+++ b/crates/daemon/src/peers/connection.rs
@@ -1,4 +1,6 @@
 //! One peer's connection: opened on first use, opened again with backoff after it broke.
+//!
+//! Owns the client and the failures in a row; one caller connects, the others wait for it.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,7 +22,8 @@
 use crate::http::socket::{self, SocketLimits};
 use crate::settings::PeerSettings;
 
-/// The pause after failures in a row to connect. Chosen, not measured: a member that restarts is reached again within half a second.
+/// The pause after failures in a row to connect. Chosen, not measured: a member that restarts is reached
+/// again within half a second.
 const CONNECT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(50), Duration::from_millis(500));
 
 /// A peer's connection, or the intention to make one.
@@ -77,8 +80,8 @@
         Ok(PeerCall { address: self.address, client, limit })
     }
 
-    /// Closes the connection where it has not been used for a while; tells whether it was idle. A call that runs
-    /// still ends well.
+    /// Closes the connection where it has not been used for a while; tells whether it was idle. A call that
+    /// runs still ends well.
     pub(super) fn close_if_idle(&self) -> bool {
         let idle_ms = self.age_ms().saturating_sub(self.last_used_ms.load(Ordering::Relaxed));
         let idle = Duration::from_millis(idle_ms) >= self.settings.idle;
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,4 +1,6 @@
 //! Connections to other nodes, opened when first used and closed when idle.
+//!
+//! Owns one connection for each address and closes idle ones. An error says whether the call may have run.
 
 mod connection;
 
@@ -50,8 +52,8 @@
 
 /// Connections by peer address. Cheap to clone; usable from any runtime.
 ///
-/// Connections are driven by the control runtime. Callers on traffic threads look the connection up in a snapshot
-/// and hand the request over a channel, so that no lock is shared with control.
+/// Connections are driven by the control runtime. Callers on traffic threads look the connection up in a
+/// snapshot and hand the request over a channel, so that no lock is shared with control.
 #[derive(Clone)]
 pub struct PeerClients {
     shared: Arc<Shared>,
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -1,4 +1,7 @@
 //! Write-once claims on the ids of requests that may run at most once (brief point 6).
+//!
+//! Owns the exchange of one claim; the core's `claim_tally` decides by the votes. Only `Granted` allows a
+//! dispatch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,13 +20,17 @@
 use super::{reconfiguration, replica_sets};
 use crate::context::Context;
 
-/// Shards over which request ids are spread.
+/// Shards over which request ids are spread. Must be the same on all nodes and for the life of a
+/// deployment: with another number a claim is looked for in the wrong shard and granted twice. The number
+/// itself is chosen.
 pub(crate) const CLAIM_SHARDS: u64 = 16;
 /// What the names of claim shards begin with.
 const CLAIM_SHARD_PREFIX: &str = "claims/";
-/// Pause before a replica that gave no vote is asked again.
+/// Pause before a replica that gave no vote is asked again. Chosen, not measured: longer adds to the time
+/// of a request that runs at most once, shorter repeats calls to a store that is busy.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How many call timeouts a claim may last.
+/// How many call timeouts a claim may last. Chosen, not measured: the caller waits that long for a refusal
+/// when no majority answers; with one, a single slow store refuses.
 const CLAIM_TIMEOUTS: u32 = 2;
 
 /// What became of a claim.
@@ -33,8 +40,8 @@
     Granted,
     /// Another attempt holds the id, or may: this one must not send.
     Held,
-    /// The id's issue time is outside the window in which claims are kept: refused, since an earlier claim may have
-    /// been forgotten, or one now might never be.
+    /// The id's issue time is outside the window in which claims are kept: refused, since an earlier claim
+    /// may have been forgotten, or one now might never be.
     Expired,
     /// No majority answered. This attempt must not send, and nobody else can be sure either.
     NoMajority,
--- a/crates/daemon/src/store/disk.rs
+++ b/crates/daemon/src/store/disk.rs
@@ -18,7 +18,8 @@
 const UNFINISHED_NAME: &str = "replicas.redb.new";
 /// The format that this release writes.
 const FORMAT: u64 = 2;
-/// Memory for pages read from the file, in bytes.
+/// Memory for pages read from the file, in bytes. Chosen, not measured: more costs memory on small
+/// machines, less costs reads of the file.
 const CACHE_BYTES: usize = 4 << 20;
 /// What a file system puts into an empty volume.
 const VOLUME_FOLDER: &str = "lost+found";
@@ -69,7 +70,8 @@
         &self.store
     }
 
-    /// Runs `work` in a transaction. When it returns well, everything it wrote is on disk; otherwise nothing is.
+    /// Runs `work` in a transaction. When it returns well, everything it wrote is on disk; otherwise nothing
+    /// is.
     pub(super) fn transact<T>(
         &self,
         work: impl FnOnce(&mut Transaction<'_>) -> Result<T, DiskError>,
@@ -98,8 +100,8 @@
     }
 }
 
-/// Makes the store's file under another name and renames it once it is whole, so that a first start that stopped
-/// halfway is simply begun again.
+/// Makes the store's file under another name and renames it once it is whole, so that a first start that
+/// stopped halfway is simply begun again.
 fn create_file(folder: &Path, path: &Path) -> Result<(), StoreError> {
     let folder_error = |source| StoreError::Folder { folder: folder.to_owned(), source };
     let unfinished = folder.join(UNFINISHED_NAME);
--- a/crates/daemon/src/store/error.rs
+++ b/crates/daemon/src/store/error.rs
@@ -1,4 +1,6 @@
 //! Why a store can't start or can't use its disk.
+//!
+//! Each error names its remedy; errors of the database are sorted into full, damaged and failed.
 
 use std::path::PathBuf;
 
--- a/crates/daemon/src/store/exchange.rs
+++ b/crates/daemon/src/store/exchange.rs
@@ -1,4 +1,7 @@
-//! Carries requests to store replicas and their answers back.
+//! Carries requests to store replicas and their answers back, each in a task of its own.
+//!
+//! Relies on the peers' connections and on the members' addresses in the cluster view; it decides nothing and
+//! repeats nothing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +13,8 @@
 
 use crate::context::Context;
 
-/// Answers that may wait to be taken.
+/// Answers that may wait to be taken. Chosen, not measured: above the members of two sets, so that a task
+/// that answers does not wait.
 const ANSWERS_LIMIT: usize = 64;
 
 /// Where a member answers: where the cluster sees its node, or else where it was when the set was made.
--- a/crates/daemon/src/store/metrics.rs
+++ b/crates/daemon/src/store/metrics.rs
@@ -1,4 +1,6 @@
 //! Counters of the store.
+//!
+//! Registered once for each registry; the names are part of the operators' interface.
 
 use prometheus::{IntCounter, IntGauge, Registry};
 
--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -42,7 +42,8 @@
 use thread::StoreThread;
 use worker::{Done, Job, Work, Worker};
 
-/// Requests that wait for the store's thread before callers are made to wait.
+/// Requests that wait for the store's thread before callers are made to wait. Chosen, not measured: it
+/// bounds memory; with fewer, callers wait before a batch is full.
 const QUEUE_LIMIT: usize = 1_024;
 
 /// This node's store. Cheap to clone.
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -1,4 +1,7 @@
 //! By what this node chooses the stores of a shard, and how it reports which losses the chosen ones tolerate.
+//!
+//! Relies on the core's `replication::placement` for the choice; here are its inputs from settings and live
+//! members.
 
 use std::collections::BTreeMap;
 
@@ -17,8 +20,9 @@
     PlacementPolicy { size: context.settings.store.set_size, places: places.zones.clone(), home }
 }
 
-/// The region from which a shard is best owned: the one where a majority of its members stands, so that appends don't cross
-/// to another; before the set is known, the one with the most stores. `None` where there is no such region.
+/// The region from which a shard is best owned: the one where a majority of its members stands, so that
+/// appends don't cross to another; before the set is known, the one with the most stores. `None` where there
+/// is no such region.
 pub(crate) fn home_region(context: &NodeContext, shard: &ShardId) -> Option<RegionName> {
     match context.replica_sets.get(shard) {
         Some(set) => {
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -1,4 +1,6 @@
 //! Replaces a member of a shard's replica set.
+//!
+//! Drives the core's reconfigurer between the old and the next set, and settles the set's document afterwards.
 
 use std::time::Duration;
 
@@ -15,13 +17,15 @@
 use super::replica_sets::{self, DocumentClient, ReplicaSetError, StoredDocument};
 use crate::context::Context;
 
-/// How many call timeouts a change may last before it is given up; it can be taken up again.
+/// How many call timeouts a change may last before it is given up; it can be taken up again. Chosen, not
+/// measured: too few give up a change that is under way, too many hold its caller.
 const RECONFIGURATION_TIMEOUTS: u32 = 30;
-/// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which others read there
-/// meanwhile, its answers wait for longer than one. Requests that were given up after one came again without end, and a
-/// change of two disks was not done after six seconds.
+/// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which
+/// others read there meanwhile, its answers wait for longer than one. Requests that were given up after one
+/// came again without end, and a change of two disks was not done after six seconds.
 const ANSWER_TIMEOUTS: u32 = 4;
-/// Above the time for an answer, so that a request is not sent again while its call still runs.
+/// Above the time for an answer, so that a request is not sent again while its call still runs. Chosen, not
+/// measured: any small time does.
 const RETRANSMIT_MARGIN: Duration = Duration::from_millis(50);
 
 /// Why a member was not replaced.
--- a/crates/daemon/src/store/record.rs
+++ b/crates/daemon/src/store/record.rs
@@ -1,4 +1,6 @@
 //! Records on disk: a checksum, then a `speedy` body.
+//!
+//! A record whose checksum differs is reported as damage and never used.
 
 use speedy::{Readable, Writable};
 
--- a/crates/daemon/src/store/repair.rs
+++ b/crates/daemon/src/store/repair.rs
@@ -1,5 +1,5 @@
-//! Looks after the store's replicas: fills gaps of a replica that missed appends, finishes changes of replica sets that
-//! stopped halfway, has members that are gone replaced, and drops expired claims.
+//! Looks after the store's replicas: fills gaps of a replica that missed appends, finishes changes of replica
+//! sets that stopped halfway, has members that are gone replaced, and drops expired claims.
 
 use std::time::Duration;
 
@@ -14,7 +14,8 @@
 use super::{Store, reconfiguration};
 use crate::context::Context;
 
-/// Time between two rounds.
+/// Time between two rounds. Chosen, not measured: longer leaves a replica that missed appends behind for
+/// longer, shorter costs calls between stores.
 const ROUND: Duration = Duration::from_secs(2);
 
 /// Repairs the store's logs and drops expired claims until the node stops.
@@ -46,7 +47,8 @@
     }
 }
 
-/// Finishes a change of replica set that stopped halfway. A store that has left the set waits for others to do so.
+/// Finishes a change of replica set that stopped halfway. A store that has left the set waits for others to
+/// do so.
 async fn finish_change(context: &Context, store: &Store, group: &GroupRecord, next: &ReplicaSet) {
     if next.member(&store.id).is_none() {
         return;
--- a/crates/daemon/src/store/replacement.rs
+++ b/crates/daemon/src/store/replacement.rs
@@ -1,5 +1,10 @@
-//! Replaces members of replica sets that are gone: the disk was replaced, the node has not been seen for long, or
-//! the machine list says that it leaves. Has a set grow that was made while fewer stores stood than were wanted.
+//! When a member of a replica set is replaced, where no metadata store is named: its disk was replaced, its
+//! node has not been seen for as long as `store.replace_after_ms` says, or the machine list says that its
+//! machine leaves. Has a set grow that was made while fewer stores stood than were wanted.
+//!
+//! One member a round, by the first of the others whose node is seen, so that two stores don't replace the
+//! same. Where a metadata store is named, the owner of the log replaces members instead (`batch/keeper`). the
+//! machine list says that it leaves. Has a set grow that was made while fewer stores stood than were wanted.
 
 use std::collections::{HashMap, HashSet};
 
@@ -18,7 +23,9 @@
 use crate::configuration::platform::MachineListClient;
 use crate::context::Context;
 
-/// Rounds between two readings of the machine list, which serves few readers.
+/// Rounds between two readings of the machine list, which serves few readers. With a round each 2 s, one
+/// reading a minute. Chosen, not measured: more often loads the list, more rarely delays emptying a machine
+/// that leaves.
 const ROUNDS_PER_READING: u64 = 30;
 
 /// Why a member is replaced.
@@ -126,7 +133,8 @@
     }
 }
 
-/// Lets a set grow that is smaller than the settings want, where all of its members are seen and this store is the first.
+/// Lets a set grow that is smaller than the settings want, where all of its members are seen and this store
+/// is the first.
 async fn grow_if_small(context: &Context, store: &StoreId, set: &ReplicaSet) {
     let cluster = context.cluster.load();
     let is_seen = |member: &SetMember| cluster.member(&member.node).is_some();
@@ -157,8 +165,8 @@
     reconfiguration::complete(context, set, &next).await
 }
 
-/// The member that looks after another: the first of the others, by store id, whose node is seen. Never itself: a
-/// node that lost its disk is seen, and its old store looks after nobody any more.
+/// The member that looks after another: the first of the others, by store id, whose node is seen. Never
+/// itself: a node that lost its disk is seen, and its old store looks after nobody any more.
 fn responsible<'a>(context: &Context, set: &'a ReplicaSet, after: &SetMember) -> Option<&'a StoreId> {
     let cluster = context.cluster.load();
     let others = set.members.iter().filter(|member| member.store != after.store);
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -1,7 +1,11 @@
 //! Finds the store replicas of a shard, and chooses the first ones.
 //!
-//! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any source
-//! will do, and the ones that need no platform are asked first.
+//! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any
+//! source will do, and the ones that need no platform are asked first: this node's cache, the stores, then
+//! the document.
+//!
+//! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any
+//! source will do, and the ones that need no platform are asked first.
 
 mod document;
 mod error;
@@ -103,8 +107,8 @@
     Ok(set)
 }
 
-/// The first set of a shard. One smaller than wanted only after others were waited for: what is decided before the set has
-/// grown tolerates fewer losses.
+/// The first set of a shard. One smaller than wanted only after others were waited for: what is decided
+/// before the set has grown tolerates fewer losses.
 fn choose_first(
     context: &Context,
     shard: &ShardId,
--- a/crates/daemon/src/store/thread.rs
+++ b/crates/daemon/src/store/thread.rs
@@ -1,4 +1,6 @@
 //! The life of the store's thread.
+//!
+//! Owns the thread's handle; the folder is free once the last handle of the store is dropped.
 
 use std::thread::{Builder, JoinHandle};
 
@@ -6,8 +8,8 @@
 
 /// The thread that owns the store's file, which ends when nobody can send it work any more.
 ///
-/// Dropping it waits for that end, so that the folder is free once the node has ended. The senders of work must be
-/// gone by then: a struct that holds both names them in that order.
+/// Dropping it waits for that end, so that the folder is free once the node has ended. The senders of work
+/// must be gone by then: a struct that holds both names them in that order.
 pub(super) struct StoreThread {
     handle: Option<JoinHandle<()>>,
 }
--- a/crates/daemon/src/store/transaction.rs
+++ b/crates/daemon/src/store/transaction.rs
@@ -1,4 +1,6 @@
 //! One transaction on the store's file, as the acceptor sees it.
+//!
+//! Owns the open tables and the count of used bytes, which is written in the same transaction as the records.
 
 use lichenpulley_core::identity::{RequestId, ShardId};
 use lichenpulley_core::replication::claims::ClaimRecord;
@@ -19,8 +21,10 @@
 const USED_BYTES_KEY: &str = "used_bytes";
 
 /// The part of the capacity that records may fill, in quarters; the rest is for snapshots and recovery.
+/// Chosen, not measured: with more, a full disk leaves no room for the snapshot that would free it.
 const RECORD_QUARTERS: u64 = 3;
-/// Bytes that a claim counts for besides its names: two keys, checksums, page overhead, rounded up.
+/// Bytes that a claim counts for besides its names: two keys, checksums, page overhead, rounded up. Chosen,
+/// not measured: too little fills the disk before the limit is met.
 const CLAIM_OVERHEAD_BYTES: u64 = 192;
 
 /// An open transaction.
--- a/crates/daemon/src/store/worker.rs
+++ b/crates/daemon/src/store/worker.rs
@@ -1,7 +1,7 @@
 //! The thread that owns the store's file.
 //!
-//! Requests that wait are done in one transaction, so that one sync of the disk serves them all. No answer leaves
-//! before the transaction is on disk.
+//! Requests that wait are done in one transaction, so that one sync of the disk serves them all. No answer
+//! leaves before the transaction is on disk.
 
 use std::time::{Duration, Instant};
 
@@ -24,9 +24,11 @@
 use super::transaction::Transaction;
 use crate::decisions::unix_milliseconds;
 
-/// Requests done in one transaction at most.
+/// Requests done in one transaction at most. Chosen, not measured: more lengthen a transaction and with it
+/// the wait of those that come next, fewer cost syncs.
 const BATCH_LIMIT: usize = 256;
-/// Pause before the file is opened again after the disk failed.
+/// Pause before the file is opened again after the disk failed. Chosen, not measured: it keeps the thread
+/// from spinning on a disk that fails at once.
 const REOPEN_PAUSE: Duration = Duration::from_millis(200);
 
 /// What the thread is asked to do.
