--- a/crates/core/src/ingress/warming_share.rs
+++ b/crates/core/src/ingress/warming_share.rs
@@ -57,7 +57,7 @@
     pub interval: Duration,
 }
 
-/// What the replicas of a service bear while they are cold, split by role.
+/// The rate of the replicas of a service while they are cold, split by role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmingBudget {
     /// The bounds of the service.
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -199,19 +199,21 @@
         self.refresh_shares(now);
     }
 
+    /// Takes the record of a replica that was not known; returns whether it is cold.
+    fn take_new(&mut self, record: &ReplicaRecord, budget: &WarmingBudget, now: Timestamp) -> bool {
+        let mut known = Known { record: record.clone(), listed_at: now, spell: None, returned_at: None };
+        let is_cold = !record.cold_left.is_zero();
+        if is_cold {
+            let (cause, left) = cold_time(record, budget);
+            begin(&mut known, cause, left, now);
+        }
+        self.known.insert(record.id.clone(), known);
+        is_cold
+    }
+
     /// Takes a replica's record; returns whether it turned cold by it.
     fn take_record(&mut self, record: &ReplicaRecord, budget: &WarmingBudget, now: Timestamp) -> bool {
-        let Some(known) = self.known.get_mut(&record.id) else {
-            let record = record.clone();
-            let mut known = Known { record, listed_at: now, spell: None, returned_at: None };
-            let is_cold = !known.record.cold_left.is_zero();
-            if is_cold {
-                let (cause, left) = cold_time(&known.record, budget);
-                begin(&mut known, cause, left, now);
-            }
-            self.known.insert(known.record.id.clone(), known);
-            return is_cold;
-        };
+        let Some(known) = self.known.get_mut(&record.id) else { return self.take_new(record, budget, now) };
         known.listed_at = now;
         if known.record == *record {
             return false;
--- a/crates/core/src/request/execution/mod.rs
+++ b/crates/core/src/request/execution/mod.rs
@@ -30,12 +30,12 @@
 pub const ENGINE_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// A stream that waits for its first token is resumed when no event came for this time. Chosen, not measured:
 /// longer than [`TOKEN_STALL_TIMEOUT`], since a stream may queue at its engine.
-pub const START_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+const START_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// A stream that has begun is resumed when no event came for this time. That costs one small exchange, and an
 /// engine that still has the stream keeps it. Chosen, not measured.
-pub const TOKEN_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TOKEN_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Missing tokens that did not come within this time are fetched again. Chosen, not measured.
-pub const GAP_TIMEOUT: Duration = Duration::from_millis(300);
+const GAP_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a request waits for replicas to confirm that they take work, when none has lately. Chosen, not
 /// measured: one probe of 500 ms fits.
 const CONFIRMATION_WAIT: Duration = Duration::from_millis(600);
--- a/crates/core/src/routing/balancer.rs
+++ b/crates/core/src/routing/balancer.rs
@@ -68,7 +68,7 @@
 }
 
 /// The cost of sending a request to a replica.
-pub fn cost(config: &BalancerConfig, replica: &Replica, prefix_cached: bool) -> f64 {
+fn cost(config: &BalancerConfig, replica: &Replica, prefix_cached: bool) -> f64 {
     let capacity = replica.load.capacity().unwrap_or(ASSUMED_CAPACITY);
     let occupied = f64::from(replica.load.streams()) / f64::from(capacity);
     if prefix_cached { occupied } else { occupied + config.missing_prefix_cost }
--- a/crates/core/src/routing/prefix.rs
+++ b/crates/core/src/routing/prefix.rs
@@ -6,18 +6,18 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bytes of a prompt that make its prefix group. Chosen, not measured: fewer join prompts that share little.
-pub const PREFIX_GROUP_BYTES: usize = 256;
+const PREFIX_GROUP_BYTES: usize = 256;
 /// Prefix groups remembered for each replica. Chosen, not measured: fewer forget what the replica still
 /// caches.
 const MAX_GROUPS: usize = 512;
 
-/// The group of prompts that share their first [`PREFIX_GROUP_BYTES`].
+/// The group of prompts that share their first 256 bytes.
 pub fn prefix_group(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     xxh3_64(&bytes[..bytes.len().min(PREFIX_GROUP_BYTES)])
 }
 
-/// The groups that a replica was sent or reported of late.
+/// The groups that a replica was sent of late.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
     uses: BTreeMap<u64, u64>,
@@ -26,7 +26,7 @@
 }
 
 impl PrefixHints {
-    /// Notes that the replica has, or will have, this group.
+    /// Notes that the replica was sent this group.
     pub fn insert(&mut self, group: u64) {
         self.clock += 1;
         self.uses.insert(group, self.clock);
@@ -36,11 +36,6 @@
         }
     }
 
-    /// Notes that the replica has evicted this group.
-    pub fn remove(&mut self, group: u64) {
-        self.uses.remove(&group);
-    }
-
     /// Whether the replica probably has this group.
     pub fn contains(&self, group: u64) -> bool {
         self.uses.contains_key(&group)
