--- a/crates/lab/src/simulations/configuration/world/mod.rs
+++ b/crates/lab/src/simulations/configuration/world/mod.rs
@@ -64,14 +64,14 @@
     pub fn new(seed: u64, options: WorldOptions) -> Self {
         let mut simulation = Simulation::new(seed, options.link);
         let checks_base = options.switched_off != SwitchedOff::BaseVersion;
-        simulation.add(Machine::Platform(Box::new(Platform::new(seed, checks_base))));
+        simulation.add(Platform::new(seed, checks_base).into());
         let node_options = options.node_options();
         for number in 0..options.nodes {
-            simulation.add(Machine::Node(Box::new(Node::new(number, 0, node_options.clone()))));
+            simulation.add(Node::new(number, 0, node_options.clone()).into());
         }
         for number in 0..options.operators {
             let operator = Operator::new(number, options.nodes, options.mean_pause, seed);
-            simulation.add(Machine::Operator(Box::new(operator)));
+            simulation.add(operator.into());
         }
         let zone = |number: usize| {
             ZoneName::new(format!(
@@ -189,11 +189,7 @@
                 spreading.platform_up = false;
             }
         }
-        self.simulation.interact(PLATFORM, |machine, _, _| {
-            if let Machine::Platform(platform) = machine {
-                platform.set_faults(faults);
-            }
-        });
+        self.simulation.interact_as(PLATFORM, |platform: &mut Platform, _, _| platform.set_faults(faults));
     }
 
     /// Ends every fault; operators finish what they have begun.
@@ -206,11 +202,7 @@
         self.simulation.set_link(LinkQuality::GOOD);
         let operators: Vec<ProcessId> = self.operator_processes().collect();
         for operator in operators {
-            self.simulation.interact(operator, |machine, _, _| {
-                if let Machine::Operator(operator) = machine {
-                    operator.stop();
-                }
-            });
+            self.simulation.interact_as(operator, |operator: &mut Operator, _, _| operator.stop());
         }
     }
 
@@ -221,20 +213,20 @@
     }
 
     fn node(&self, number: usize) -> Option<&Node> {
-        self.simulation.process(node_process(number)).node()
+        self.simulation.process_as(node_process(number))
     }
 
     fn finish(mut self) -> RunReport {
         let mut records: Vec<ChangeRecord> = Vec::new();
         for process in self.operator_processes() {
-            let Some(operator) = self.simulation.process(process).operator() else { continue };
+            let Some(operator) = self.simulation.process_as::<Operator>(process) else { continue };
             records.extend(operator.records().iter().cloned());
             if let Some((change, called)) = operator.under_way() {
                 let ended = self.simulation.now();
                 records.push(ChangeRecord { change: change.clone(), called, ended, end: ChangeEnd::Unknown });
             }
         }
-        let Some(platform) = self.simulation.process(PLATFORM).platform() else { return self.report };
+        let Some(platform) = self.simulation.process_as::<Platform>(PLATFORM) else { return self.report };
         self.report.lost_replies = platform.lost_replies();
         let mut violations = checks::check_changes(&records, platform);
         let (_, register) = platform.register();
--- a/crates/lab/src/simulations/configuration/world/observer.rs
+++ b/crates/lab/src/simulations/configuration/world/observer.rs
@@ -10,10 +10,10 @@
 
 use super::{Spreading, World};
 use crate::simulations::configuration::checks::Violation;
-use crate::simulations::configuration::machine::Machine;
 use crate::simulations::configuration::node::Node;
-use crate::simulations::configuration::operator::{ChangeEnd, ChangeRecord};
+use crate::simulations::configuration::operator::{ChangeEnd, ChangeRecord, Operator};
 use crate::simulations::configuration::packet::{PLATFORM, node_process};
+use crate::simulations::configuration::platform::Platform;
 
 /// Time between two updates of the failure detector.
 const VIEW_STEP: Duration = Duration::from_millis(250);
@@ -48,10 +48,8 @@
         self.views.update(&self.reachability, now);
         for number in 0..self.options.nodes {
             let members = self.views.of(number);
-            self.simulation.interact(node_process(number), |machine, now, outbox| {
-                if let Machine::Node(node) = machine {
-                    node.set_members(members, now, outbox);
-                }
+            self.simulation.interact_as(node_process(number), |node: &mut Node, now, outbox| {
+                node.set_members(members, now, outbox);
             });
         }
     }
@@ -84,7 +82,7 @@
     fn take_new_records(&mut self, now: Timestamp) {
         let operators: Vec<ProcessId> = self.operator_processes().collect();
         for (number, process) in operators.into_iter().enumerate() {
-            let Some(operator) = self.simulation.process(process).operator() else { continue };
+            let Some(operator) = self.simulation.process_as::<Operator>(process) else { continue };
             let records: Vec<ChangeRecord> = operator.records()[self.seen_records[number]..].to_vec();
             self.seen_records[number] += records.len();
             for record in records {
@@ -105,7 +103,7 @@
     fn begin_spreading(&mut self, revision: Revision, now: Timestamp) {
         let has = |number: &usize| self.has(*number, revision);
         let sources = (0..self.options.nodes).filter(has).collect();
-        let platform = self.simulation.process(PLATFORM).platform();
+        let platform = self.simulation.process_as::<Platform>(PLATFORM);
         let platform_up = platform.is_some_and(|platform| !platform.faults().down);
         self.spreading.push(Spreading { revision, accepted_at: now, sources, platform_up });
     }
--- a/crates/lab/src/simulations/replication/world.rs
+++ b/crates/lab/src/simulations/replication/world.rs
@@ -46,10 +46,10 @@
     /// A process of the run.
     pub(super) enum Member(Message) {
         Platform(Platform),
-        Store(Box<Store>),
-        Operator(Box<Operator>),
-        Owner(Box<Owner>),
-        Claimant(Box<Claimant>),
+        Store(Store),
+        Operator(Operator),
+        Owner(Owner),
+        Claimant(Claimant),
     }
 }
 
@@ -86,11 +86,11 @@
             .filter_map(|shard| first_set(shard, &stores, ToleranceTarget::default()))
             .collect();
         let mut simulation = Simulation::new(seed, LinkQuality::POOR);
-        simulation.add(Member::Platform(Platform::new(&sets)));
+        simulation.add(Platform::new(&sets).into());
         let config = mechanisms.store_config();
         for store in &stores {
             let store = Store::new(store.store.clone(), config.clone());
-            simulation.add(Member::Store(Box::new(store)));
+            simulation.add(store.into());
         }
         for number in 0..OPERATORS {
             let shards = match changes {
@@ -101,19 +101,19 @@
             let operator_seed = seed.wrapping_mul(31).wrapping_add(number as u64);
             let operator =
                 Operator::new(name, operator_seed, shards, stores.clone(), mechanisms.reconfigurer);
-            simulation.add(Member::Operator(Box::new(operator)));
+            simulation.add(operator.into());
         }
         let checks = OwnerChecks { proposer: mechanisms.proposer, reconfigurer: mechanisms.reconfigurer };
         for number in 0..OWNERS {
             let owner_seed = seed.wrapping_mul(37).wrapping_add(number as u64);
             let owner = Owner::new(format!("owner-{number}"), owner_seed, sets[0].clone(), checks);
-            simulation.add(Member::Owner(Box::new(owner)));
+            simulation.add(owner.into());
         }
         for number in 0..CLAIMANTS {
             let name = format!("gateway-{number}");
             let claimant_seed = seed.wrapping_mul(41).wrapping_add(number as u64);
             let claimant = Claimant::new(name, claimant_seed, sets[1].clone(), mechanisms.reconfigurer);
-            simulation.add(Member::Claimant(Box::new(claimant)));
+            simulation.add(claimant.into());
         }
         let random = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
         Self { simulation, random, mechanisms, log_shard, claim_shard, disks: 0, changes, leaving: None }
@@ -161,12 +161,10 @@
         self.simulation.run_for(CALM_TIME / 2);
         for owner in FIRST_OWNER..FIRST_CLAIMANT {
             let last = owner == FIRST_OWNER;
-            self.simulation.interact(ProcessId(owner), |process, now, _| {
-                if let Member::Owner(owner) = process {
-                    owner.active = false;
-                    if last {
-                        owner.start_over(now);
-                    }
+            self.simulation.interact_as(ProcessId(owner), |owner: &mut Owner, now, _| {
+                owner.active = false;
+                if last {
+                    owner.start_over(now);
                 }
             });
         }
@@ -201,14 +199,12 @@
     /// Whether the last take-over succeeded after the calm began.
     fn came_back(&self) -> bool {
         let calm_since = Timestamp::ORIGIN + FAULTY_TIME + CALM_TIME / 2;
-        match self.simulation.process(ProcessId(FIRST_OWNER)) {
-            Member::Owner(owner) => owner.recovered_since(calm_since),
-            _ => false,
-        }
+        let owner = self.simulation.process_as::<Owner>(ProcessId(FIRST_OWNER));
+        owner.is_some_and(|owner| owner.recovered_since(calm_since))
     }
 
     fn generations(&self) -> u64 {
-        let Member::Platform(platform) = self.simulation.process(PLATFORM) else { return 0 };
+        let Some(platform) = self.simulation.process_as::<Platform>(PLATFORM) else { return 0 };
         let of = |shard| platform.document(shard).map_or(0, |document| document.current.generation.0);
         let latest = self.latest_log_set().map_or(0, |set| set.generation.0);
         of(&self.log_shard).max(latest) + of(&self.claim_shard)
@@ -236,20 +232,16 @@
     }
 
     fn set_platform(&mut self, down: bool, lose_replies: bool) {
-        self.simulation.interact(PLATFORM, |process, _, _| {
-            if let Member::Platform(platform) = process {
-                platform.set_faults(down, lose_replies);
-            }
+        self.simulation.interact_as(PLATFORM, |platform: &mut Platform, _, _| {
+            platform.set_faults(down, lose_replies);
         });
     }
 
     fn move_a_clock(&mut self) {
         let number = self.random.random_range(0..STORES);
         let offset = self.random.random_range(-CLOCK_OFFSET_MS..=CLOCK_OFFSET_MS);
-        self.simulation.interact(ProcessId(FIRST_STORE + number), |process, _, _| {
-            if let Member::Store(store) = process {
-                store.set_clock_offset(offset);
-            }
+        self.simulation.interact_as(ProcessId(FIRST_STORE + number), |store: &mut Store, _, _| {
+            store.set_clock_offset(offset);
         });
     }
 
@@ -269,7 +261,7 @@
         let store = member(number, self.disks).store;
         let config = self.mechanisms.store_config();
         self.simulation.kill(id);
-        self.simulation.restart(id, |_| Member::Store(Box::new(Store::new(store, config))));
+        self.simulation.restart(id, |_| Store::new(store, config).into());
     }
 
     /// Notifies operators which stores there are; those that are down or frozen learn it later.
@@ -277,10 +269,8 @@
         let stores = self.stores();
         for operator in FIRST_OPERATOR..FIRST_OWNER {
             let stores = stores.clone();
-            self.simulation.interact(ProcessId(operator), |process, _, _| {
-                if let Member::Operator(operator) = process {
-                    operator.set_stores(stores);
-                }
+            self.simulation.interact_as(ProcessId(operator), |operator: &mut Operator, _, _| {
+                operator.set_stores(stores);
             });
         }
     }
@@ -290,10 +280,8 @@
         let (stores, in_force) = (self.stores(), self.latest_log_set());
         for owner in FIRST_OWNER..FIRST_CLAIMANT {
             let (stores, in_force) = (stores.clone(), in_force.clone());
-            self.simulation.interact(ProcessId(owner), |process, _, _| {
-                if let Member::Owner(owner) = process {
-                    owner.set_stores(stores, in_force);
-                }
+            self.simulation.interact_as(ProcessId(owner), |owner: &mut Owner, _, _| {
+                owner.set_stores(stores, in_force);
             });
         }
     }
@@ -302,7 +290,7 @@
     fn cut_changing_owner(&mut self) {
         let changing = (FIRST_OWNER..FIRST_CLAIMANT)
             .map(ProcessId)
-            .find(|id| matches!(self.simulation.process(*id), Member::Owner(owner) if owner.is_changing()));
+            .find(|id| self.simulation.process_as(*id).is_some_and(Owner::is_changing));
         if let Some(owner) = changing.filter(|_| self.random.random_bool(CUT_RATE)) {
             self.simulation.cut_off(&[owner]);
         }
@@ -310,18 +298,15 @@
 
     /// The latest set of the log in which a store takes part.
     fn latest_log_set(&self) -> Option<ReplicaSet> {
-        let groups =
-            (0..STORES).filter_map(|number| match self.simulation.process(ProcessId(FIRST_STORE + number)) {
-                Member::Store(store) => store.group(&self.log_shard),
-                _ => None,
-            });
+        let stores = (0..STORES).filter_map(|number| self.store(number));
+        let groups = stores.filter_map(|store| store.group(&self.log_shard));
         let active = groups.filter(|group| group.phase == GroupPhase::Active).map(|group| &group.set);
         active.max_by_key(|set| set.generation).cloned()
     }
 
     /// Whether every member of every current set takes part in it.
     fn is_settled(&self) -> bool {
-        let Member::Platform(platform) = self.simulation.process(PLATFORM) else { return false };
+        let Some(platform) = self.simulation.process_as::<Platform>(PLATFORM) else { return false };
         [&self.log_shard, &self.claim_shard].into_iter().all(|shard| {
             let settled = platform.document(shard).filter(|document| document.pending.is_none());
             let by_owner = self.changes == Changes::ByOwner && shard == &self.log_shard;
@@ -332,7 +317,9 @@
     }
 
     fn takes_part(&self, set: &ReplicaSet, member: &SetMember) -> bool {
-        let Member::Store(store) = self.simulation.process(super::process_of(member)) else { return false };
+        let Some(store) = self.simulation.process_as::<Store>(super::process_of(member)) else {
+            return false;
+        };
         let group = store.group(&set.shard);
         // A member of the first generation that was never asked has nothing to lose.
         let fresh = set.generation.0 == 1 && group.is_none();
@@ -340,14 +327,14 @@
         store.id() == &member.store && (fresh || active)
     }
 
+    fn store(&self, number: usize) -> Option<&Store> {
+        self.simulation.process_as(ProcessId(FIRST_STORE + number))
+    }
+
     fn stores(&self) -> Vec<SetMember> {
         let numbers = (0..STORES).filter(|number| Some(*number) != self.leaving);
-        let stores =
-            numbers.filter_map(|number| match self.simulation.process(ProcessId(FIRST_STORE + number)) {
-                Member::Store(store) => Some(SetMember { store: store.id().clone(), ..member(number, 0) }),
-                _ => None,
-            });
-        stores.collect()
+        let as_member = |number, store: &Store| SetMember { store: store.id().clone(), ..member(number, 0) };
+        numbers.filter_map(|number| Some(as_member(number, self.store(number)?))).collect()
     }
 }
 
--- a/crates/lab/src/simulations/requests/process.rs
+++ b/crates/lab/src/simulations/requests/process.rs
@@ -11,28 +11,10 @@
     /// A gateway, an engine or a claim replica.
     pub enum Role(Message) {
         /// A gateway.
-        Gateway(Box<GatewayProcess>),
+        Gateway(GatewayProcess),
         /// An engine.
-        Engine(Box<EngineProcess>),
+        Engine(EngineProcess),
         /// A claim replica.
         Claims(ClaimProcess),
     }
 }
-
-impl Role {
-    /// The gateway that this is, if it is one.
-    pub const fn gateway(&self) -> Option<&GatewayProcess> {
-        match self {
-            Self::Gateway(gateway) => Some(gateway),
-            _ => None,
-        }
-    }
-
-    /// The engine that this is, if it is one.
-    pub const fn engine(&self) -> Option<&EngineProcess> {
-        match self {
-            Self::Engine(engine) => Some(engine),
-            _ => None,
-        }
-    }
-}
--- a/crates/lab/src/simulations/requests/schedule.rs
+++ b/crates/lab/src/simulations/requests/schedule.rs
@@ -225,11 +225,11 @@
                 config.capacity = 4;
                 config.queue_limit = 4;
                 config.step_time = Duration::from_millis(20);
-                simulation.add(Role::Engine(Box::new(EngineProcess::new(config))))
+                simulation.add(EngineProcess::new(config).into())
             })
             .collect();
         let claims: Vec<ProcessId> =
-            (0..CLAIM_REPLICAS).map(|_| simulation.add(Role::Claims(ClaimProcess::default()))).collect();
+            (0..CLAIM_REPLICAS).map(|_| simulation.add(ClaimProcess::default().into())).collect();
         let by_replica: BTreeMap<ReplicaId, ProcessId> = engines
             .iter()
             .enumerate()
@@ -244,7 +244,7 @@
                     mechanisms,
                     schedule.seed + number as u64,
                 );
-                simulation.add(Role::Gateway(Box::new(gateway)))
+                simulation.add(gateway.into())
             })
             .collect();
         let tally = Tally::default();
@@ -281,10 +281,8 @@
             .take(GATEWAYS)
             .find(|id| self.simulation.is_alive(**id) && !self.simulation.is_frozen(**id));
         let id = reached.copied().unwrap_or(id);
-        self.simulation.interact(id, |role, now, outbox| {
-            if let Role::Gateway(gateway) = role {
-                gateway.submit(submission.clone(), now, outbox);
-            }
+        self.simulation.interact_as(id, |gateway: &mut GatewayProcess, now, outbox| {
+            gateway.submit(submission.clone(), now, outbox);
         });
         self.tally.submitted += 1;
     }
@@ -320,12 +318,7 @@
     }
 
     fn with_engine(&mut self, engine: usize, act: impl FnOnce(&mut EngineProcess, Timestamp)) -> bool {
-        let reached = self.simulation.interact(self.engines[engine], |role, now, _| {
-            if let Role::Engine(engine) = role {
-                act(engine, now);
-            }
-        });
-        reached.is_some()
+        self.simulation.interact_as(self.engines[engine], |engine, now, _| act(engine, now)).is_some()
     }
 
     fn order(&mut self, command: Command) -> Order {
@@ -334,7 +327,7 @@
     }
 
     fn note_absence(&mut self, id: ProcessId, from: Timestamp) {
-        let Some(engine) = self.simulation.process(id).engine() else { return };
+        let Some(engine) = self.simulation.process_as::<EngineProcess>(id) else { return };
         let replica = engine.replica().clone();
         let is_away =
             self.absences.iter().any(|absence| absence.replica == replica && absence.until.is_none());
@@ -344,7 +337,7 @@
     }
 
     fn note_return(&mut self, id: ProcessId, until: Timestamp) {
-        let Some(engine) = self.simulation.process(id).engine() else { return };
+        let Some(engine) = self.simulation.process_as::<EngineProcess>(id) else { return };
         let replica = engine.replica().clone();
         for absence in &mut self.absences {
             if absence.replica == replica && absence.until.is_none() {
@@ -358,14 +351,14 @@
         let admissions: Vec<Admission> = self
             .engines
             .iter()
-            .filter_map(|id| self.simulation.process(*id).engine())
+            .filter_map(|id| self.simulation.process_as::<EngineProcess>(*id))
             .flat_map(|engine| engine.admissions.clone())
             .collect();
         self.tally.admissions = admissions.len() as u64;
         let mut answer_count = 0;
         let mut running = 0;
         for id in &self.gateways {
-            let Some(gateway) = self.simulation.process(*id).gateway() else { continue };
+            let Some(gateway) = self.simulation.process_as::<GatewayProcess>(*id) else { continue };
             running += if self.simulation.is_alive(*id) { gateway.running() } else { 0 };
             for answered in &gateway.answers {
                 answer_count += 1;
--- a/crates/lab/src/simulations/rollout/world.rs
+++ b/crates/lab/src/simulations/rollout/world.rs
@@ -30,10 +30,10 @@
 process_kinds! {
     /// A process of the world.
     pub(super) enum WorldProcess(Message) {
-        Store(Box<Store>),
-        Owner(Box<Owner>),
+        Store(Store),
+        Owner(Owner),
         Engine(Engine),
-        Trainer(Box<Trainer>),
+        Trainer(Trainer),
     }
 }
 
@@ -145,45 +145,32 @@
     };
     let mut world = Simulation::new(seed, LinkQuality::POOR);
     for number in 0..STORES {
-        world.add(WorldProcess::Store(Box::new(Store::new(number, mechanisms.fencing))));
+        world.add(Store::new(number, mechanisms.fencing).into());
     }
     for number in 0..OWNERS {
-        world.add(WorldProcess::Owner(Box::new(Owner::new(number, setup.clone()))));
+        world.add(Owner::new(number, setup.clone()).into());
     }
     for number in 0..ENGINES as u64 {
-        world.add(WorldProcess::Engine(Engine::new(seed.wrapping_mul(31).wrapping_add(number))));
+        world.add(Engine::new(seed.wrapping_mul(31).wrapping_add(number)).into());
     }
-    world.add(WorldProcess::Trainer(Box::new(Trainer::new(seed, STALENESS_BOUND))));
+    world.add(Trainer::new(seed, STALENESS_BOUND).into());
     world
 }
 
 fn settle(world: &mut Simulation<WorldProcess>) {
-    let mut settled = false;
-    while !settled {
-        settled = world
-            .interact(TRAINER, |process, _, _| {
-                if let WorldProcess::Trainer(trainer) = process {
-                    trainer.settle();
-                }
-            })
-            .is_some();
-        if !settled {
-            world.run_for(Duration::from_millis(50));
-        }
+    while world.interact_as(TRAINER, |trainer: &mut Trainer, _, _| trainer.settle()).is_none() {
+        world.run_for(Duration::from_millis(50));
     }
 }
 
 fn trainer(world: &Simulation<WorldProcess>) -> Option<&Trainer> {
-    match world.process(TRAINER) {
-        WorldProcess::Trainer(trainer) => Some(trainer),
-        _ => None,
-    }
+    world.process_as(TRAINER)
 }
 
 fn report(world: &Simulation<WorldProcess>, specification: &JobSpecification, faults: usize) -> RunReport {
     let mut report = RunReport { faults, messages: world.delivered(), ..RunReport::default() };
     for id in world.ids() {
-        let WorldProcess::Owner(owner) = world.process(id) else { continue };
+        let Some(owner) = world.process_as::<Owner>(id) else { continue };
         let counts = owner.counts();
         report.takeovers += counts.takeovers;
         report.superseded += counts.superseded;
--- a/crates/lab/src/simulations/weights/world.rs
+++ b/crates/lab/src/simulations/weights/world.rs
@@ -8,7 +8,7 @@
 use lichenpulley_simulation::{FaultPlan, FaultRates, LinkQuality, ProcessId, Simulation, process_kinds};
 
 use super::log::Log;
-use super::message::{FIRST_OWNER, FIRST_REPLICA, Message, OWNERS, PUBLISHER, WEIGHT_STORE};
+use super::message::{FIRST_OWNER, Message, OWNERS, PUBLISHER, WEIGHT_STORE};
 use super::owner::Owner;
 use super::publisher::Publisher;
 use super::replica::Replica;
@@ -30,7 +30,7 @@
         Log(Log),
         WeightStore(WeightStore),
         Publisher(Publisher),
-        Owner(Box<Owner>),
+        Owner(Owner),
         Replica(Replica),
     }
 }
@@ -155,15 +155,15 @@
     versions: u64,
 ) -> Simulation<WorldProcess> {
     let mut world = Simulation::new(seed, LinkQuality::GOOD);
-    world.add(WorldProcess::Log(Log::default()));
-    world.add(WorldProcess::WeightStore(WeightStore::new(size)));
-    world.add(WorldProcess::Publisher(Publisher::new(seed, versions, PUBLISH_INTERVAL)));
+    world.add(Log::default().into());
+    world.add(WeightStore::new(size).into());
+    world.add(Publisher::new(seed, versions, PUBLISH_INTERVAL).into());
     for number in 0..OWNERS {
-        world.add(WorldProcess::Owner(Box::new(Owner::new(config, size.replicas, number == 0))));
+        world.add(Owner::new(config, size.replicas, number == 0).into());
     }
     for number in 0..size.replicas as u64 {
         let seed = seed.wrapping_mul(1_000).wrapping_add(number);
-        world.add(WorldProcess::Replica(Replica::new(seed, size, fencing)));
+        world.add(Replica::new(seed, size, fencing).into());
     }
     world
 }
@@ -173,17 +173,11 @@
 }
 
 fn last_version(world: &Simulation<WorldProcess>) -> Option<WeightVersion> {
-    match world.process(PUBLISHER) {
-        WorldProcess::Publisher(publisher) => publisher.finished(),
-        _ => None,
-    }
+    world.process_as::<Publisher>(PUBLISHER)?.finished()
 }
 
 fn replicas(world: &Simulation<WorldProcess>) -> impl Iterator<Item = &Replica> {
-    world.ids().filter(|id| id.0 >= FIRST_REPLICA).filter_map(|id| match world.process(id) {
-        WorldProcess::Replica(replica) => Some(replica),
-        _ => None,
-    })
+    world.ids().filter_map(|id| world.process_as(id))
 }
 
 fn behind(world: &Simulation<WorldProcess>, version: WeightVersion) -> usize {
@@ -192,7 +186,7 @@
 
 fn report(world: &Simulation<WorldProcess>, limit: usize, faults: usize) -> RunReport {
     let mut report = RunReport { faults, ..RunReport::default() };
-    if let WorldProcess::WeightStore(store) = world.process(WEIGHT_STORE) {
+    if let Some(store) = world.process_as::<WeightStore>(WEIGHT_STORE) {
         report.most_fetches = store.most_fetches();
     }
     if report.most_fetches > limit {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use faults::{Fault, FaultPlan, FaultRates};
 pub use link::LinkQuality;
-pub use simulation::{Outbox, Process, ProcessId, Simulation};
+pub use simulation::{Outbox, Process, ProcessId, ProcessKind, Simulation};
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -41,30 +41,15 @@
     }
 }
 
-impl<P: Process> Process for Box<P> {
-    type Message = P::Message;
-
-    fn start(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>) {
-        (**self).start(now, outbox);
-    }
-
-    fn receive(
-        &mut self,
-        now: Timestamp,
-        from: ProcessId,
-        message: Self::Message,
-        outbox: &mut Outbox<Self::Message>,
-    ) {
-        (**self).receive(now, from, message, outbox);
-    }
-
-    fn wake(&mut self, now: Timestamp, outbox: &mut Outbox<Self::Message>) {
-        (**self).wake(now, outbox);
-    }
-
-    fn next_wake(&self) -> Option<Timestamp> {
-        (**self).next_wake()
-    }
+/// A process that may be of the kind `K`; [`process_kinds!`] implements it for each of its kinds.
+///
+/// [`process_kinds!`]: crate::process_kinds
+pub trait ProcessKind<K> {
+    /// The process, where it is of this kind.
+    fn kind(&self) -> Option<&K>;
+
+    /// The same, to change it.
+    fn kind_mut(&mut self) -> Option<&mut K>;
 }
 
 /// Messages that a process sends during one call.
@@ -195,6 +180,14 @@
         &self.slots[id.0].process
     }
 
+    /// A process, dead ones too, where it is of this kind.
+    pub fn process_as<K>(&self, id: ProcessId) -> Option<&K>
+    where
+        P: ProcessKind<K>,
+    {
+        self.process(id).kind()
+    }
+
     /// Whether a process has not been killed.
     pub fn is_alive(&self, id: ProcessId) -> bool {
         self.slots[id.0].alive
@@ -221,6 +214,19 @@
         reachable.then(|| self.call(id, act))
     }
 
+    /// The same for a process of one kind. `None` also where it is of another.
+    pub fn interact_as<K, R>(
+        &mut self,
+        id: ProcessId,
+        act: impl FnOnce(&mut K, Timestamp, &mut Outbox<P::Message>) -> R,
+    ) -> Option<R>
+    where
+        P: ProcessKind<K>,
+    {
+        self.interact(id, |process, now, outbox| process.kind_mut().map(|kind| act(kind, now, outbox)))
+            .flatten()
+    }
+
     /// Kills a process: it receives nothing more. What it would find on its disk is left in [`Self::process`].
     pub fn kill(&mut self, id: ProcessId) {
         self.slots[id.0].alive = false;
