--- a/crates/lab/src/simulations/configuration/world/mod.rs
+++ b/crates/lab/src/simulations/configuration/world/mod.rs
@@ -1,6 +1,6 @@
 //! One run: nodes, platform and operators under one seed's faults.
 //!
-//! Owns the processes, the faults that fall on them and what was observed. Relies on [`observer`] for the checks after
+//! Owns the processes, the faults that fall on them and what was observed. Relies on `observer` for the checks after
 //! every step, and on [`checks`] for those at the end.
 //!
 //! [`checks`]: super::checks
--- a/crates/lab/src/simulations/replication/owner/mod.rs
+++ b/crates/lab/src/simulations/replication/owner/mod.rs
@@ -1,6 +1,6 @@
 //! An owner of the log: takes it over, appends, compacts, is superseded, and takes it over again.
 //!
-//! Owns what it knows to be decided and what it observed. Relies on the core's proposer, and on [`set_change`] for
+//! Owns what it knows to be decided and what it observed. Relies on the core's proposer, and on `set_change` for
 //! changes of the log's stores.
 
 mod observation;
