--- a/crates/core/src/replication/memory_storage.rs
+++ b/crates/core/src/replication/memory_storage.rs
@@ -9,7 +9,7 @@
 use super::entry::{Entry, IndexedEntry, LogIndex};
 use super::group::GroupRecord;
 use super::message::ClaimedRequest;
-use super::storage::ShardStorage;
+use super::storage::{PageBudget, ShardStorage};
 use crate::identity::{RequestId, ShardId};
 
 /// Room on the disk: far more than a simulation writes.
@@ -70,11 +70,10 @@
         maximum_bytes: usize,
     ) -> Result<Vec<IndexedEntry>, Infallible> {
         let mut page = Vec::new();
-        let mut bytes = 0;
+        let mut budget = PageBudget::new(maximum_bytes);
         let entries = self.cached.entries.get(shard);
         for (index, entry) in entries.into_iter().flat_map(|entries| entries.range(from..)) {
-            bytes += entry.cost();
-            if bytes > maximum_bytes && !page.is_empty() {
+            if !budget.takes(entry.cost()) {
                 break;
             }
             page.push(IndexedEntry { index: *index, entry: entry.clone() });
--- a/crates/core/src/replication/storage.rs
+++ b/crates/core/src/replication/storage.rs
@@ -102,3 +102,24 @@
     /// Whether `bytes` more still fit, with the part kept back for snapshots and recovery.
     fn has_room(&self, bytes: u64) -> bool;
 }
+
+/// How many entries a page takes: as many as fit into its bytes, but at least one.
+#[derive(Clone, Copy, Debug)]
+pub struct PageBudget {
+    maximum_bytes: usize,
+    used_bytes: usize,
+}
+
+impl PageBudget {
+    /// The budget of an empty page.
+    pub const fn new(maximum_bytes: usize) -> Self {
+        Self { maximum_bytes, used_bytes: 0 }
+    }
+
+    /// Counts an entry of these bytes; `false` where the page ends before it.
+    pub const fn takes(&mut self, bytes: usize) -> bool {
+        let is_first = self.used_bytes == 0;
+        self.used_bytes = self.used_bytes.saturating_add(bytes);
+        is_first || self.used_bytes <= self.maximum_bytes
+    }
+}
--- a/crates/daemon/src/store/transaction.rs
+++ b/crates/daemon/src/store/transaction.rs
@@ -7,7 +7,7 @@
 use lichenpulley_core::replication::entry::{Entry, IndexedEntry, LogIndex};
 use lichenpulley_core::replication::group::GroupRecord;
 use lichenpulley_core::replication::message::ClaimedRequest;
-use lichenpulley_core::replication::storage::ShardStorage;
+use lichenpulley_core::replication::storage::{PageBudget, ShardStorage};
 use redb::{ReadableTable, Table, TableDefinition, WriteTransaction};
 
 use super::error::DiskError;
@@ -130,12 +130,11 @@
         maximum_bytes: usize,
     ) -> Result<Vec<IndexedEntry>, DiskError> {
         let mut entries = Vec::new();
-        let mut bytes = 0;
+        let mut budget = PageBudget::new(maximum_bytes);
         for row in self.entries.range((shard.as_str(), from.0)..=(shard.as_str(), u64::MAX))? {
             let (key, value) = row?;
             let entry: Entry = decode(value.value())?;
-            bytes += entry.cost();
-            if bytes > maximum_bytes && !entries.is_empty() {
+            if !budget.takes(entry.cost()) {
                 break;
             }
             entries.push(IndexedEntry { index: LogIndex(key.value().1), entry });
