--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -4,6 +4,8 @@
 //! on the core's `relay` for the source and on `lapse` for entries that vanished while the store was away.
 
 mod away;
+mod lapsed;
+mod starting;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,14 +53,6 @@
 /// follower from asking without end a reader that answers at once.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(250);
 
-/// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip.
-const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds.
-const MIN_SETTLE: Duration = Duration::from_millis(1_000);
-/// A node reads after so long though it still hears of others. Chosen, not measured: longer delays the
-/// start of a node in a deployment whose members keep changing.
-const MAX_SETTLE: Duration = Duration::from_millis(2_000);
-
 /// The platform's name of a kind.
 const fn kind_name(kind: MetadataKind) -> &'static str {
     match kind {
@@ -158,42 +152,6 @@
         }
     }
 
-    /// Serves by what the platform gives cheaply until it is known from where to read. Only a beginning: the
-    /// revision stays unknown, so that all is read anew.
-    async fn begin(&mut self) {
-        if self.kind == MetadataKind::Versions {
-            return;
-        }
-        match self.client.list_stale(kind_name(self.kind)).await {
-            Ok(list) => {
-                self.objects = by_name(list.items);
-                self.publish(list.at, PLATFORM);
-            }
-            Err(error) => log::info!(target: "metadata", "No first {:?} yet: {error}.", self.kind),
-        }
-    }
-
-    /// Waits until the node has heard who else there is: which nodes read the platform depends on all of
-    /// them, and each one that starts would take itself for the first. Takes a peer's copy meanwhile, where
-    /// there is one.
-    async fn settle(&mut self) {
-        let began = Instant::now();
-        let mut nodes = 0;
-        loop {
-            tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
-            let heard = self.context.cluster.load().members.len();
-            // In a large deployment more nodes change nothing; a small one may be the beginning of a large one.
-            let is_known = heard == nodes || heard >= self.context.settings.configuration.follow_from_nodes;
-            if (is_known && began.elapsed() >= MIN_SETTLE) || began.elapsed() >= MAX_SETTLE {
-                return;
-            }
-            nodes = heard;
-            if self.revision.is_none() {
-                self.ask_peer().await;
-            }
-        }
-    }
-
     /// Takes what changed from a peer that reads the platform.
     async fn follow(&mut self) {
         let began = Instant::now();
@@ -320,36 +278,6 @@
         Ok(())
     }
 
-    /// The store answered: from now on entries that lapsed meanwhile may come back.
-    fn store_answered(&mut self) {
-        if self.kind == MetadataKind::Replicas {
-            let was_away = self.failures > 0 || self.context.metadata.freshness.is_away();
-            self.lapses.answered(self.now(), was_away);
-        }
-    }
-
-    /// An object is gone, unless it lapsed while the store was away.
-    fn remove(&mut self, name: &str) {
-        if self.lapses.keeps(name) {
-            return;
-        }
-        if self.objects.contains_key(name) && self.lapses.vanished(name) {
-            log::info!(target: "metadata", "The entry of {name} vanished while the store was away: it is kept for now.");
-            return;
-        }
-        self.objects.remove(name);
-    }
-
-    /// Entries that did not come back are gone. All are listed anew, so that this is told under a later
-    /// revision: followers ask for what came after the one they have.
-    fn drop_lapsed(&mut self) {
-        let gone = self.lapses.expire(self.now());
-        if !gone.is_empty() {
-            log::info!(target: "metadata", "{} entries did not come back after the store did: they are gone.", gone.len());
-            self.revision = None;
-        }
-    }
-
     fn now(&self) -> Timestamp {
         Timestamp::ORIGIN + self.origin.elapsed()
     }
