--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -15,7 +15,7 @@
 use crate::batch::keeper::StoreKeeper;
 use crate::batch::scope::Scope;
 use crate::boot_clock::{BootClock, BootInstant};
-use crate::store::log_writer::{LogWriter, RecordFormat};
+use crate::store::log_writer::{AppendMode, LogWriter, RecordFormat};
 use crate::store::shard_log::ShardLog;
 
 /// What was read under a confirmation may be shown for this long. Any later owner began after it: others wait
@@ -61,7 +61,7 @@
         let clock = scope.context.boot_clock.clone();
         Self {
             keeper: StoreKeeper::start(scope.clone(), log.set().clone()),
-            log: LogWriter::start(log, RECORD_FORMAT, held_bytes, clock.clone()),
+            log: LogWriter::start(log, RECORD_FORMAT, AppendMode::Gathered, held_bytes, clock.clone()),
             scope,
             confirmed_at: clock.now(),
             clock,
--- a/crates/daemon/src/coordinator/job_owner.rs
+++ b/crates/daemon/src/coordinator/job_owner.rs
@@ -22,7 +22,7 @@
 use crate::context::Context;
 use crate::gateway::Dispatcher;
 use crate::http::client::HttpClient;
-use crate::store::log_writer::{AppendOutcome, LogWriter, RecordFormat};
+use crate::store::log_writer::{AppendMode, AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
 /// The prefix of this part's log lines.
@@ -76,7 +76,7 @@
             runner,
             controller,
             clock,
-            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, clock_of_writes),
+            log: LogWriter::start(log, RecordFormat::bytes(PART), AppendMode::Single, 0, clock_of_writes),
             attempts: JoinSet::new(),
             running: HashMap::new(),
             pulls: HashMap::new(),
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -20,7 +20,7 @@
 use super::shard::{ShardClock, ShardCommand, encode_all, last_answer, refuse_waiting, refused};
 use crate::context::Context;
 use crate::http::client::HttpClient;
-use crate::store::log_writer::{AppendOutcome, LogWriter, RecordFormat};
+use crate::store::log_writer::{AppendMode, AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{RecoveredLog, ShardLog, ShardLogError};
 
 /// The prefix of this part's log lines.
@@ -81,7 +81,13 @@
             engines,
             controller,
             clock,
-            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, self.context.boot_clock.clone()),
+            log: LogWriter::start(
+                log,
+                RecordFormat::bytes(PART),
+                AppendMode::Single,
+                0,
+                self.context.boot_clock.clone(),
+            ),
             calls: JoinSet::new(),
             addresses: HashMap::new(),
             waiting: HashMap::new(),
--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -1,7 +1,8 @@
 //! Appends to a shard's log in a task of its own, so that the shard's owner goes on meanwhile.
 //!
-//! Owns the log from the takeover until its owner ends or a write fails. Appends that wait go into one write.
-//! Relies on [`ShardLog`] for the majority; the owner learns of each write by an [`AppendOutcome`].
+//! Owns the log from the takeover until its owner ends or a write fails. What becomes of appends that wait is
+//! the owner's [`AppendMode`]. Relies on [`ShardLog`] for the majority; the owner learns of each write by an
+//! [`AppendOutcome`].
 
 use std::time::Duration;
 
@@ -40,6 +41,16 @@
     }
 }
 
+/// What becomes of appends that wait for the one under way.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AppendMode {
+    /// All go into one write. Those of an owner that has ended are written too, until another owner takes
+    /// over: what it took is kept where it can be.
+    Gathered,
+    /// Each is a write of its own. Once the owner has ended, the append under way is the last.
+    Single,
+}
+
 enum Write<R> {
     Append(Vec<R>),
     Compact(Vec<u8>),
@@ -61,7 +72,7 @@
     Failed(ShardLogError),
 }
 
-/// Writes in the order of the calls; ends when dropped or at the first failure.
+/// Writes in the order of the calls; ends at the first failure, or when dropped as its [`AppendMode`] says.
 pub(crate) struct LogWriter<R> {
     writes: mpsc::UnboundedSender<Write<R>>,
     outcomes: mpsc::UnboundedReceiver<AppendOutcome>,
@@ -70,11 +81,17 @@
 
 impl<R: Send + 'static> LogWriter<R> {
     /// Starts to write to a log that has been taken over and holds so many bytes.
-    pub(crate) fn start(log: ShardLog, format: RecordFormat<R>, held_bytes: usize, clock: BootClock) -> Self {
+    pub(crate) fn start(
+        log: ShardLog,
+        format: RecordFormat<R>,
+        mode: AppendMode,
+        held_bytes: usize,
+        clock: BootClock,
+    ) -> Self {
         let (writes, received) = mpsc::unbounded_channel();
         let (sender, outcomes) = mpsc::unbounded_channel();
         let last_answer = log.last_answer();
-        tokio::spawn(Task { log, format, received, sender, held_bytes, clock }.run());
+        tokio::spawn(Task { log, format, mode, received, sender, held_bytes, clock }.run());
         Self { writes, outcomes, last_answer }
     }
 
@@ -115,6 +132,7 @@
 struct Task<R> {
     log: ShardLog,
     format: RecordFormat<R>,
+    mode: AppendMode,
     received: mpsc::UnboundedReceiver<Write<R>>,
     sender: mpsc::UnboundedSender<AppendOutcome>,
     held_bytes: usize,
@@ -132,6 +150,7 @@
                     None => return,
                 },
             };
+            let is_append = matches!(first, Write::Append(_));
             let result = match first {
                 Write::Append(records) => {
                     let mut appends = vec![records];
@@ -152,11 +171,18 @@
                 self.report(AppendOutcome::Failed(error));
                 return;
             }
+            if is_append && self.mode == AppendMode::Single && self.sender.is_closed() {
+                return;
+            }
         }
     }
 
-    /// Takes the appends that wait; gives a write of another kind that stands behind them.
+    /// Takes the appends that wait, where they are gathered; gives a write of another kind that stands behind
+    /// them.
     fn take_appends(&mut self, appends: &mut Vec<Vec<R>>) -> Option<Write<R>> {
+        if self.mode == AppendMode::Single {
+            return None;
+        }
         while let Ok(write) = self.received.try_recv() {
             match write {
                 Write::Append(records) => appends.push(records),
