--- a/crates/core/src/batch/cut_off.rs
+++ b/crates/core/src/batch/cut_off.rs
@@ -4,8 +4,8 @@
 //! and the reply to the question that the owner then asks of all stores. Stores that give no answer to
 //! appends may be busy, and after this node itself stood still answers lie unread. So silence alone proves
 //! nothing: the owner asks all stores of the deployment a small question, and is cut off only when none
-//! answers it within its time. Measured: an owner that relied on silence alone was taken over from four times
-//! in 20 s while its stores were busy with its own first append.
+//! answers it within its time. Traced on a day with trouble: an owner that relied on silence alone left its
+//! stores and took over again four times, while they were busy with its own first append.
 
 use std::time::Duration;
 
--- a/crates/core/src/batch/moves.rs
+++ b/crates/core/src/batch/moves.rs
@@ -3,9 +3,11 @@
 //! Inputs: the pause between events where the run is and where it would go, in seconds and with the run
 //! counted at both (`schedule`), and how many events it has made. The item that decides a step is nearly
 //! always a long one that runs on a slow replica: 9.2 s on the third of the replicas that are 1.3 times
-//! slower, against 7.1 s at the best pace and 7.5 s due. Trials, one play each of three days with trouble:
-//! the share served in time rose from 0.724 to 0.791, from 0.732 to 0.772, and from 0.842 to 0.874. A bound
-//! on the ratio of paces alone (1.2) gave less, 0.666 against 0.678: short runs moved too.
+//! slower, against 7.1 s at the best pace and 7.5 s due. Trials, one play each of three days: the share
+//! served in time rose from 0.724 to 0.791 and from 0.842 to 0.874 together with the measured slowdown
+//! (`schedule`), and from 0.732 to 0.772 beside the slowdown alone. A lower bound on the ratio of paces alone
+//! (1.2 in place of 1.6) together with other orders of loads was worth 0.666 against 0.678 in 12 plays: short
+//! runs moved too.
 
 use std::time::Duration;
 
--- a/crates/core/src/weights/config.rs
+++ b/crates/core/src/weights/config.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Replicas that fetch at once. Measured with `simulate-weights --replicas 870` (a store that allows 18.0 s,
-/// a fetch of 3 s, a swap of 0.5 s): all have the version after 50.2 s with 64, 25.6 s with 128, 22.5 s with
-/// 256.
+/// Replicas that fetch at once. Measured in a simulation of 870 replicas (a store that allows 18.0 s, a fetch
+/// of 3 s, a swap of 0.5 s; `docs/decisions/weight-waves.md`): all have the version after 50.2 s with 64,
+/// 25.6 s with 128, 22.5 s with 256.
 const MAX_CONCURRENT_LOADS: usize = 256;
 /// The greatest part of a pool that loads at once, in percent: the other half goes on serving. Chosen; with
 /// half of the pool the same simulation took 20.0 s.
