--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -3,9 +3,6 @@
 //! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any
 //! source will do, and the ones that need no platform are asked first: this node's cache, the stores, then
 //! the document.
-//!
-//! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any
-//! source will do, and the ones that need no platform are asked first.
 
 mod document;
 mod error;
