--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -122,49 +122,80 @@
 ) -> RunEnd {
     let HttpExchange { response, connection } = exchange;
     if let Some(end) = end_by_head(&response, &start.item.id) {
-        match end {
-            RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
-            RunEnd::Failed | RunEnd::Never => traced.ended_whole(),
-            RunEnd::Broken | RunEnd::Complete => {}
-        }
+        trace_head(traced, &end);
         return end;
     }
     let (head, mut body) = response.into_parts();
-    let mut version = named_version(&head.headers, start);
-    let mut splitter = EventSplitter::default();
-    while let Some(frame) = body.frame().await {
-        // Why the connection broke does not matter: the run is resumed elsewhere.
-        let Ok(frame) = frame else {
-            traced.broke().await;
-            return RunEnd::Broken;
-        };
-        // Trailers carry no events.
-        let Ok(bytes) = frame.into_data() else { continue };
-        splitter.push(&bytes);
+    let version = named_version(&head.headers, start);
+    let mut reader = EventReader { start, events, version, splitter: EventSplitter::default() };
+    if let Err(end) = reader.read_all(&mut body, traced).await {
+        return end;
+    }
+    if reader.splitter.has_rest() || !is_framed(&head.headers) {
+        traced.broke().await;
+        return RunEnd::Broken;
+    }
+    traced.ended_whole();
+    pool.give_back(connection, &head.headers);
+    RunEnd::Complete
+}
+
+/// Notes what an answer without events says of the run.
+fn trace_head(traced: &mut TracedRun, end: &RunEnd) {
+    match end {
+        RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
+        RunEnd::Failed | RunEnd::Never => traced.ended_whole(),
+        RunEnd::Broken | RunEnd::Complete => {}
+    }
+}
+
+/// Passes the events of one answer on to the owner.
+struct EventReader<'a> {
+    start: &'a RunStart,
+    events: &'a mpsc::Sender<(RunId, RunEvent)>,
+    /// The version that the newest event, or else the head, names.
+    version: u64,
+    splitter: EventSplitter,
+}
+
+impl EventReader<'_> {
+    /// Reads until the body ends. The error is the run's end, where the connection or an event broke or the
+    /// owner has ended.
+    async fn read_all(&mut self, body: &mut Incoming, traced: &mut TracedRun) -> Result<(), RunEnd> {
+        while let Some(frame) = body.frame().await {
+            // Why the connection broke does not matter: the run is resumed elsewhere.
+            let Ok(frame) = frame else {
+                traced.broke().await;
+                return Err(RunEnd::Broken);
+            };
+            // Trailers carry no events.
+            let Ok(bytes) = frame.into_data() else { continue };
+            self.splitter.push(&bytes);
+            self.pass_on().await?;
+        }
+        Ok(())
+    }
+
+    /// Passes on the events that are whole.
+    async fn pass_on(&mut self) -> Result<(), RunEnd> {
         loop {
-            let event = match splitter.next_event() {
+            let event = match self.splitter.next_event() {
                 Ok(Some(event)) => event,
-                Ok(None) => break,
+                Ok(None) => return Ok(()),
                 Err(error) => {
-                    ::log::info!(target: "batch", "{} at {}: the events can't be read: {error}.", start.item.id, start.replica.id);
-                    return RunEnd::Broken;
+                    ::log::info!(target: "batch", "{} at {}: the events can't be read: {error}.", self.start.item.id, self.start.replica.id);
+                    return Err(RunEnd::Broken);
                 }
             };
-            version = event.version.unwrap_or(version);
+            self.version = event.version.unwrap_or(self.version);
             let Some(number) = event.number else { continue };
-            let kept = KeptEvent { number, version, data: event.data };
-            if events.send((start.run, RunEvent::Event(kept))).await.is_err() {
-                return RunEnd::Broken;
+            let kept = KeptEvent { number, version: self.version, data: event.data };
+            // An error says that the owner has ended.
+            if self.events.send((self.start.run, RunEvent::Event(kept))).await.is_err() {
+                return Err(RunEnd::Broken);
             }
         }
     }
-    if splitter.has_rest() || !is_framed(&head.headers) {
-        traced.broke().await;
-        return RunEnd::Broken;
-    }
-    traced.ended_whole();
-    pool.give_back(connection, &head.headers);
-    RunEnd::Complete
 }
 
 /// The version that the answer's head names; events that name their own go before it. Without either an event
