--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -4,6 +4,8 @@
 //! the owner's [`AppendMode`]. Relies on [`ShardLog`] for the majority; the owner learns of each write by an
 //! [`AppendOutcome`].
 
+mod write_queue;
+
 use std::time::Duration;
 
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
@@ -12,6 +14,7 @@
 use super::last_answer::LastAnswer;
 use super::shard_log::{ShardLog, ShardLogError};
 use crate::boot_clock::{BootClock, BootInstant};
+use write_queue::{Write, WriteQueue, WriteStep};
 
 /// An owner is asked to compact its log once so many bytes were appended after the last snapshot. Nothing
 /// else is decided while a snapshot is written, so that the owner is not confirmed meanwhile: it should come
@@ -51,12 +54,6 @@
     Single,
 }
 
-enum Write<R> {
-    Append(Vec<R>),
-    Compact(Vec<u8>),
-    Replace(Replacement),
-}
-
 /// What came of writes.
 pub(crate) enum AppendOutcome {
     /// So many appends are kept by a majority; the first of them was begun at `began`.
@@ -91,7 +88,8 @@
         let (writes, received) = mpsc::unbounded_channel();
         let (sender, outcomes) = mpsc::unbounded_channel();
         let last_answer = log.last_answer();
-        tokio::spawn(Task { log, format, mode, received, sender, held_bytes, clock }.run());
+        let queue = WriteQueue::new(mode, received, sender.clone());
+        tokio::spawn(Task { log, format, queue, sender, held_bytes, clock }.run());
         Self { writes, outcomes, last_answer }
     }
 
@@ -132,8 +130,7 @@
 struct Task<R> {
     log: ShardLog,
     format: RecordFormat<R>,
-    mode: AppendMode,
-    received: mpsc::UnboundedReceiver<Write<R>>,
+    queue: WriteQueue<R>,
     sender: mpsc::UnboundedSender<AppendOutcome>,
     held_bytes: usize,
     clock: BootClock,
@@ -141,24 +138,11 @@
 
 impl<R: Send + 'static> Task<R> {
     async fn run(mut self) {
-        let mut waiting = None;
-        loop {
-            let first = match waiting.take() {
-                Some(write) => write,
-                None => match self.received.recv().await {
-                    Some(write) => write,
-                    None => return,
-                },
-            };
-            let is_append = matches!(first, Write::Append(_));
-            let result = match first {
-                Write::Append(records) => {
-                    let mut appends = vec![records];
-                    waiting = self.take_appends(&mut appends);
-                    self.append(appends).await
-                }
-                Write::Compact(snapshot) => self.compact(snapshot).await,
-                Write::Replace(replacement) => {
+        while let Some(step) = self.queue.next().await {
+            let result = match step {
+                WriteStep::Append(appends) => self.append(appends).await,
+                WriteStep::Compact(snapshot) => self.compact(snapshot).await,
+                WriteStep::Replace(replacement) => {
                     let owner = self.sender.clone();
                     tokio::select! {
                         replaced = self.replace(replacement) => replaced,
@@ -171,25 +155,7 @@
                 self.report(AppendOutcome::Failed(error));
                 return;
             }
-            if is_append && self.mode == AppendMode::Single && self.sender.is_closed() {
-                return;
-            }
-        }
-    }
-
-    /// Takes the appends that wait, where they are gathered; gives a write of another kind that stands behind
-    /// them.
-    fn take_appends(&mut self, appends: &mut Vec<Vec<R>>) -> Option<Write<R>> {
-        if self.mode == AppendMode::Single {
-            return None;
-        }
-        while let Ok(write) = self.received.try_recv() {
-            match write {
-                Write::Append(records) => appends.push(records),
-                Write::Compact(_) | Write::Replace(_) => return Some(write),
-            }
         }
-        None
     }
 
     async fn replace(&mut self, replacement: Replacement) -> Result<(), ShardLogError> {
