--- a/crates/core/src/retry/retry_after.rs
+++ b/crates/core/src/retry/retry_after.rs
@@ -1,4 +1,4 @@
-//! When a refused caller should come back: the value of `Retry-After`.
+//! When a refused caller should come back: the value of `Retry-After` and of `retry_after_ms`.
 //!
 //! Inputs: why the request was refused ([`RetryCause`]), with the time until a replica opens where that is
 //! known. Unit: [`Duration`]; the wire rounds to tenths of a second. A time that is too short has callers
@@ -25,6 +25,15 @@
 /// After a gateway refused a generation before it asked a pool: it is draining for a planned stop, so that
 /// the caller's next try reaches another gateway. Chosen, not measured.
 const AFTER_REFUSAL_AT_ONCE: Duration = Duration::from_secs(1);
+/// After no node answered for a shard: the request has been forwarded from node to node for seconds already.
+/// Chosen, not measured.
+const AFTER_NO_SHARD_OWNER: Duration = Duration::from_secs(1);
+/// After a shard's log could not be used: about the time of a takeover. Chosen, not measured: sooner, and
+/// callers repeat requests that nobody can answer yet.
+const AFTER_LOG_UNUSABLE: Duration = Duration::from_secs(1);
+/// After the platform's object API gave no answer to a change. Chosen, not measured: sooner repeats changes
+/// against a platform that is away, later keeps operators waiting after its return.
+const AFTER_PLATFORM_UNAVAILABLE: Duration = Duration::from_secs(5);
 
 /// Why a caller is asked to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,6 +48,12 @@
     NodeShortage,
     /// The gateway refused before it asked any replica.
     RefusedAtOnce,
+    /// No node answered for the shard.
+    NoShardOwner,
+    /// The shard's log could not be used.
+    LogUnusable,
+    /// The platform's object API gave no answer.
+    PlatformUnavailable,
 }
 
 impl RetryCause {
@@ -50,6 +65,15 @@
             Self::Quarantined => TRIAL_AFTER,
             Self::NodeShortage => AFTER_NODE_SHORTAGE,
             Self::RefusedAtOnce => AFTER_REFUSAL_AT_ONCE,
+            Self::NoShardOwner => AFTER_NO_SHARD_OWNER,
+            Self::LogUnusable => AFTER_LOG_UNUSABLE,
+            Self::PlatformUnavailable => AFTER_PLATFORM_UNAVAILABLE,
         }
     }
+
+    /// The same in whole milliseconds, as `retry_after_ms` names it.
+    pub fn retry_after_ms(self) -> u64 {
+        // No time above comes near the bound.
+        u64::try_from(self.retry_after().as_millis()).unwrap_or(u64::MAX)
+    }
 }
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -74,4 +74,8 @@
     assert_eq!(after_ms(RetryCause::NodeShortage), 400);
     assert_eq!(after_ms(RetryCause::RefusedAtOnce), 1_000);
     assert_eq!(after_ms(RetryCause::Quarantined), 300_000);
+    assert_eq!(after_ms(RetryCause::NoShardOwner), 1_000);
+    assert_eq!(after_ms(RetryCause::LogUnusable), 1_000);
+    assert_eq!(after_ms(RetryCause::PlatformUnavailable), 5_000);
+    assert_eq!(RetryCause::PlatformUnavailable.retry_after_ms(), 5_000);
 }
--- a/crates/daemon/src/coordinator/forward.rs
+++ b/crates/daemon/src/coordinator/forward.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::{NodeId, ShardId};
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_protocol::internal::{CoordinatorRequest, CoordinatorResponse};
 use tokio::time::Instant;
 
@@ -24,9 +25,6 @@
 /// Pause before the owner is looked up again. Chosen, not measured: well below the time in which the
 /// membership notices a change; shorter asks nodes that can't answer yet.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// When a caller should come back where no owner was found, in milliseconds. Chosen, not measured: the caller
-/// has waited for [`OWNER_SEARCH_TIMEOUT`] already.
-const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 /// The member that should own a shard, as this node sees it.
 pub(super) fn owner(context: &Context, shard: &ShardId) -> Option<Member> {
@@ -96,6 +94,6 @@
         kind: "no_owner".to_owned(),
         message: format!("no node answers for shard {shard} now"),
         remedy: "ask again: repeating the request does no harm".to_owned(),
-        retry_after_ms: NO_OWNER_RETRY_AFTER_MS,
+        retry_after_ms: RetryCause::NoShardOwner.retry_after_ms(),
     }
 }
--- a/crates/daemon/src/coordinator/http.rs
+++ b/crates/daemon/src/coordinator/http.rs
@@ -4,6 +4,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use lichenpulley_core::configuration::schema::{ROLLOUTS_ENABLED, STALENESS_BOUND};
 use lichenpulley_core::identity::{JobId, PoolName};
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_protocol::caller::{JobSpecification, PublishWeights, PullRequest};
 use lichenpulley_protocol::error::ErrorBody;
 use lichenpulley_protocol::internal::{CoordinatorRequest, CoordinatorResponse};
@@ -111,7 +112,10 @@
         CoordinatorResponse::RoleChanged | CoordinatorResponse::Owned => {
             response::empty(StatusCode::NO_CONTENT)
         }
-        CoordinatorResponse::NotOwner(_) => refusal("no_owner", "no owner answered", "ask again", 1_000),
+        CoordinatorResponse::NotOwner(_) => {
+            let retry_after_ms = RetryCause::NoShardOwner.retry_after_ms();
+            refusal("no_owner", "no owner answered", "ask again", retry_after_ms)
+        }
         CoordinatorResponse::Refused { kind, message, remedy, retry_after_ms } => {
             refusal(&kind, &message, &remedy, retry_after_ms)
         }
--- a/crates/daemon/src/coordinator/shard.rs
+++ b/crates/daemon/src/coordinator/shard.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::internal::{CoordinatorRequest, CoordinatorResponse};
 use tokio::sync::{mpsc, oneshot};
@@ -9,10 +10,6 @@
 
 use crate::store::shard_log::ShardLogError;
 
-/// When a caller should come back after the shard's log could not be used, in milliseconds. Chosen, not
-/// measured: about the time of a takeover; shorter, and callers repeat requests that nobody can answer yet.
-const LOG_RETRY_AFTER_MS: u64 = 1_000;
-
 /// A request to a shard's owner, and where its answer goes.
 pub(super) struct ShardCommand {
     pub(super) request: CoordinatorRequest,
@@ -74,7 +71,7 @@
         kind: kind.to_owned(),
         message: error.to_string(),
         remedy: "ask again: repeating the request does no harm".to_owned(),
-        retry_after_ms: LOG_RETRY_AFTER_MS,
+        retry_after_ms: RetryCause::LogUnusable.retry_after_ms(),
     }
 }
 
--- a/crates/daemon/src/operators/config.rs
+++ b/crates/daemon/src/operators/config.rs
@@ -7,6 +7,7 @@
 use lichenpulley_core::configuration::path::LevelPath;
 use lichenpulley_core::configuration::register::{Change, ChangeRefused};
 use lichenpulley_core::configuration::schema::SchemaError;
+use lichenpulley_core::retry::retry_after::RetryCause;
 use lichenpulley_protocol::error::{ErrorBody, Execution};
 use lichenpulley_protocol::operator::{
     ChangeConfiguration, ConfigurationChanged, ConfigurationDocument, EffectiveSetting, SettingValue,
@@ -19,9 +20,6 @@
 
 /// Longest body of a change, in bytes. Chosen, not measured: a change sets one value, and values are short.
 const CHANGE_LIMIT_BYTES: usize = 64 * 1024;
-/// When an operator may try again after the object API gave no answer, in milliseconds. Chosen, not measured: shorter
-/// repeats changes against a platform that is away, longer keeps operators waiting after its return.
-const API_AWAY_RETRY_AFTER_MS: u64 = 5_000;
 
 /// Every value that is set.
 pub(super) fn whole(context: &Context) -> Response<Body> {
@@ -96,7 +94,7 @@
         ChangeError::Refused(_) | ChangeError::Unavailable | ChangeError::NoObjectApi => Execution::NotRun,
     });
     if matches!(error, ChangeError::Unavailable) {
-        body.retry_after_ms = Some(API_AWAY_RETRY_AFTER_MS);
+        body.retry_after_ms = Some(RetryCause::PlatformUnavailable.retry_after_ms());
     }
     body
 }
