--- a/crates/lab/src/arguments.rs
+++ b/crates/lab/src/arguments.rs
@@ -1,6 +1,5 @@
 //! The command line that the stand-ins share.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -53,13 +52,13 @@
         })
     }
 
-    /// Writes the addresses that were bound, if a file was asked for.
+    /// Writes the addresses that were bound, by name, if a file was asked for.
     ///
     /// # Errors
     /// When the file can't be written.
-    pub fn announce(&self, http: SocketAddr, faults: SocketAddr) -> Result<(), LabError> {
+    pub fn announce(&self, bound: &[(&str, SocketAddr)]) -> Result<(), LabError> {
         let Some(path) = &self.addresses_file else { return Ok(()) };
-        let addresses = BTreeMap::from([("http".to_owned(), http), ("faults".to_owned(), faults)]);
+        let addresses = bound.iter().map(|(name, address)| ((*name).to_owned(), *address)).collect();
         write_addresses_file(path, &addresses)
     }
 }
--- a/crates/lab/src/demo/system.rs
+++ b/crates/lab/src/demo/system.rs
@@ -15,7 +15,7 @@
 use crate::machine_list::{self, MachineListServer};
 use crate::object_api::{self, ObjectApi};
 use crate::scorer::{self, Scorer};
-use crate::weight_store::{self, WeightStore, WeightStoreOptions};
+use crate::weight_store::{self, WeightStore};
 
 /// How long the nodes may take to find each other and the engines.
 const READY_LIMIT: Duration = Duration::from_secs(20);
@@ -72,8 +72,8 @@
         })?;
         let object_api = object_api::start(object_api::ObjectApiOptions::loopback()).await?;
         let machine_list = machine_list::start(machine_list::MachineListOptions::loopback()).await?;
-        let weight_store = weight_store::start(WeightStoreOptions::default()).await?;
-        let scorer = scorer::start(any_port, any_port).await?;
+        let weight_store = weight_store::start(any_port).await?;
+        let scorer = scorer::start(any_port).await?;
         let platform = PlatformAddresses {
             metadata_store: None,
             object_api: Some(object_api.address),
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -137,7 +137,7 @@
         return Ok(());
     };
     let engine = start(options).await?;
-    stand_in.announce(engine.address(), engine.faults_address())?;
+    stand_in.announce(&[("http", engine.address()), ("faults", engine.faults_address())])?;
     arguments::stop_signal().await
 }
 
--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -128,7 +128,7 @@
         faults: MachineListFaults { down: false, lag_ms: value_or(&matches, "lag-ms", "0")? },
     };
     let machine_list = start(options).await?;
-    arguments.announce(machine_list.address, machine_list.faults_address)?;
+    arguments.announce(&[("http", machine_list.address), ("faults", machine_list.faults_address)])?;
     stop_signal().await
 }
 
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -107,7 +107,7 @@
         faults: ObjectApiFaults::default(),
     };
     let object_api = start(options).await?;
-    arguments.announce(object_api.address, object_api.faults_address)?;
+    arguments.announce(&[("http", object_api.address), ("faults", object_api.faults_address)])?;
     stop_signal().await
 }
 
--- a/crates/lab/src/trainer/mod.rs
+++ b/crates/lab/src/trainer/mod.rs
@@ -150,7 +150,7 @@
         return Ok(());
     };
     let trainer = start(options).await?;
-    stand_in.announce(trainer.address(), trainer.faults_address())?;
+    stand_in.announce(&[("http", trainer.address()), ("faults", trainer.faults_address())])?;
     tokio::select! {
         () = trainer.finished() => print_report(&trainer.report()),
         stopped = arguments::stop_signal() => return stopped,
--- a/crates/lab/tests/trainer.rs
+++ b/crates/lab/tests/trainer.rs
@@ -11,7 +11,7 @@
 use lichenpulley_lab::trainer::{
     CrashPoint, StateFile, Trainer, TrainerFault, TrainerOptions, TrainerReport, start,
 };
-use lichenpulley_lab::weight_store::{self, WeightStoreOptions};
+use lichenpulley_lab::weight_store;
 use lichenpulley_protocol::caller::{PublishWeights, PullRequest, PullResponse, Sample, Slot, VersionSpan};
 
 const DEADLINE: Duration = Duration::from_secs(30);
@@ -150,7 +150,9 @@
 
 #[tokio::test]
 async fn weights_are_read_at_the_stores_rate_once_they_exist() {
-    let store = weight_store::start(WeightStoreOptions::default()).await.expect("loopback ports are free");
+    let store = weight_store::start("127.0.0.1:0".parse().expect("an address"))
+        .await
+        .expect("loopback ports are free");
     let client = HttpClient::new(DEADLINE);
     assert!(client.get_bytes(store.address(), "/weights/pool/2", DEADLINE).await.is_err());
     let stored: Result<u64, _> = client.put_json(store.address(), "/weights/pool/2", &2, DEADLINE).await;
