--- a/crates/lab/src/arguments.rs
+++ b/crates/lab/src/arguments.rs
@@ -8,14 +8,12 @@
 
 use crate::addresses::write_addresses_file;
 use crate::error::LabError;
+use crate::http::ANY_PORT;
 
-const LOOPBACK_EPHEMERAL: &str = "127.0.0.1:0";
-
-/// Options of a stand-in: its own, and `--address`, `--faults-address`, `--addresses-file` and `--help`.
+/// Options of a stand-in: its own, and `--address`, `--addresses-file` and `--help`.
 pub fn stand_in_options() -> Options {
     let mut options = Options::new();
     options.optopt("", "address", "listen here; port 0 takes a free one (default 127.0.0.1:0)", "IP:PORT");
-    options.optopt("", "faults-address", "take fault orders here (default 127.0.0.1:0)", "IP:PORT");
     options.optopt("", "addresses-file", "write the bound addresses here as JSON", "FILE");
     options.optflag("h", "help", "print this help and end");
     options
@@ -33,8 +31,6 @@
 pub struct StandInArguments {
     /// Where it serves.
     pub address: SocketAddr,
-    /// Where it takes fault orders.
-    pub faults_address: SocketAddr,
     /// Where it writes its bound addresses.
     pub addresses_file: Option<PathBuf>,
 }
@@ -46,8 +42,7 @@
     /// [`LabError::Usage`] where an address is not an IP number and a port.
     pub fn from_matches(matches: &Matches) -> Result<Self, LabError> {
         Ok(Self {
-            address: value_or(matches, "address", LOOPBACK_EPHEMERAL)?,
-            faults_address: value_or(matches, "faults-address", LOOPBACK_EPHEMERAL)?,
+            address: address_of(matches, "address")?,
             addresses_file: matches.opt_str("addresses-file").map(PathBuf::from),
         })
     }
@@ -63,6 +58,14 @@
     }
 }
 
+/// An address that is given, or any free port of the loopback address.
+///
+/// # Errors
+/// [`LabError::Usage`] where it is not an IP number and a port.
+pub fn address_of(matches: &Matches, name: &str) -> Result<SocketAddr, LabError> {
+    Ok(optional(matches, name)?.unwrap_or(ANY_PORT))
+}
+
 /// Parses a command line. `Ok(None)` says that help was asked for and printed.
 ///
 /// # Errors
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -15,6 +15,7 @@
 
 use crate::arguments;
 use crate::error::LabError;
+use crate::http::ANY_PORT;
 use crate::trainer::{self, StateFile, TrainerOptions};
 use decision_tally::DecisionTally;
 use live::LiveLoad;
@@ -135,11 +136,9 @@
 }
 
 fn trainer_options(system: &System, specification: &JobSpecification) -> TrainerOptions {
-    let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let samples_per_step = job::samples_per_step(specification);
     TrainerOptions {
-        address: any_port,
-        faults_address: any_port,
+        address: ANY_PORT,
         gateways: system.gateways(),
         weight_store: Some(system.weight_store.address()),
         job: specification.job.clone(),
--- a/crates/lab/src/demo/system.rs
+++ b/crates/lab/src/demo/system.rs
@@ -12,6 +12,7 @@
 
 use crate::engine::{self, Engine, EngineOptions};
 use crate::error::LabError;
+use crate::http::ANY_PORT;
 use crate::machine_list::{self, MachineListServer};
 use crate::object_api::{self, ObjectApi};
 use crate::scorer::{self, Scorer};
@@ -64,16 +65,15 @@
     /// # Errors
     /// When a part does not start, or the nodes do not come together in time.
     pub async fn start(plan: &SystemPlan) -> Result<Self, LabError> {
-        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let data_folder = tempfile::tempdir().map_err(|source| LabError::Io {
             action: "make a folder for the nodes' data".to_owned(),
             remedy: "set TMPDIR to a folder that can be written",
             source,
         })?;
-        let object_api = object_api::start(object_api::ObjectApiOptions::loopback()).await?;
-        let machine_list = machine_list::start(machine_list::MachineListOptions::loopback()).await?;
-        let weight_store = weight_store::start(any_port).await?;
-        let scorer = scorer::start(any_port).await?;
+        let object_api = object_api::start(ANY_PORT).await?;
+        let machine_list = machine_list::start(ANY_PORT, Vec::new()).await?;
+        let weight_store = weight_store::start(ANY_PORT).await?;
+        let scorer = scorer::start(ANY_PORT).await?;
         let platform = PlatformAddresses {
             metadata_store: None,
             object_api: Some(object_api.address),
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -28,7 +28,7 @@
 use self::service::{Shared, SharedEngine};
 use crate::arguments::{self, StandInArguments};
 use crate::error::LabError;
-use crate::http::{self, Server};
+use crate::http::{self, ANY_PORT, Server};
 
 pub use self::cache::{CacheConfig, CacheLookup};
 pub use self::stream::{End, Slice, TokenRun};
@@ -57,14 +57,13 @@
 impl EngineOptions {
     /// A replica of a pool in a zone on ephemeral loopback ports, with weights 1, which registers nowhere.
     pub fn new(replica: impl Into<String>, pool: PoolName, zone: ZoneName) -> Self {
-        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
             model: EngineConfig::new(ReplicaId::new(replica)),
             pool,
             zone,
             weight_version: WeightVersion(1),
-            address: any_port,
-            faults_address: any_port,
+            address: ANY_PORT,
+            faults_address: ANY_PORT,
             weight_store: None,
             machine_list: None,
         }
@@ -143,6 +142,7 @@
 
 fn parse(arguments: &[String]) -> Result<Option<(EngineOptions, StandInArguments)>, LabError> {
     let mut flags = arguments::stand_in_options();
+    flags.optopt("", "faults-address", "take fault orders here (default 127.0.0.1:0)", "IP:PORT");
     flags.optopt("", "replica", "the replica's id", "ID");
     flags.optopt("", "pool", "its model pool", "NAME");
     flags.optopt("", "zone", "its zone", "NAME");
@@ -167,7 +167,7 @@
     options.weight_store = arguments::optional(&matches, "weight-store")?;
     options.machine_list = arguments::optional(&matches, "machine-list")?;
     options.address = stand_in.address;
-    options.faults_address = stand_in.faults_address;
+    options.faults_address = arguments::address_of(&matches, "faults-address")?;
     Ok(Some((options, stand_in)))
 }
 
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,7 +1,7 @@
 //! The small HTTP server that every stand-in is built on.
 
 use std::future::Future;
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
 use bytes::Bytes;
@@ -23,6 +23,9 @@
 /// Bodies longer than this are refused.
 const MAXIMUM_BODY_BYTES: usize = 64 * 1024 * 1024;
 
+/// Any free port of the loopback address.
+pub const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
 /// A response's body: whole or streamed. An error breaks the connection in the middle of the body.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the platform's machine list: it lags by a set time, and faults are switched on by request.
+//! Stand-in for the platform's machine list: it lags by a set time, and fails on request.
 //!
 //! The interface is described in [`lichenpulley_protocol::platform`]; `DELETE /machines/{id}` takes a machine out.
-//! The faults' port answers `GET /faults` and `PUT /faults` with [`MachineListFaults`].
+//! [`MachineListServer::set_faults`] orders faults.
 
 mod register;
 
@@ -14,19 +14,17 @@
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_daemon::http::request::percent_decode;
 use lichenpulley_protocol::platform::Machine;
-use serde::{Deserialize, Serialize};
 
 pub use register::MachineRegister;
 
-use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal, value_or};
+use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
 use crate::http::{self, Body, Reply, Server};
 
 const MACHINES: &str = "/machines/";
 
-/// The body of `PUT /faults`.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
+/// How it fails.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachineListFaults {
     /// Every connection is closed without an answer.
     pub down: bool,
@@ -34,36 +32,13 @@
     pub lag_ms: u64,
 }
 
-/// How the stand-in starts.
-#[derive(Clone, Debug)]
-pub struct MachineListOptions {
-    /// Where it serves; port 0 takes a free one.
-    pub address: SocketAddr,
-    /// Where it takes fault orders; port 0 takes a free one.
-    pub faults_address: SocketAddr,
-    /// The machines at the start.
-    pub machines: Vec<Machine>,
-    /// The lag and faults at the start.
-    pub faults: MachineListFaults,
-}
-
-impl MachineListOptions {
-    /// Empty, healthy and without lag, on free ports of the loopback address.
-    pub fn loopback() -> Self {
-        let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        Self { address, faults_address: address, machines: Vec::new(), faults: MachineListFaults::default() }
-    }
-}
-
-/// A running machine list. Dropping it closes its ports.
+/// A running machine list. Dropping it closes its port.
 #[derive(Debug)]
 pub struct MachineListServer {
     /// Where it serves.
     pub address: SocketAddr,
-    /// Where it takes fault orders.
-    pub faults_address: SocketAddr,
     state: Arc<State>,
-    _servers: [Server; 2],
+    _server: Server,
 }
 
 impl MachineListServer {
@@ -79,74 +54,44 @@
         self.state.lock().register.remove(id, now)
     }
 
-    /// Replaces the faults, as `PUT /faults` does.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: MachineListFaults) {
         self.state.lock().faults = faults;
     }
 }
 
-/// Starts the stand-in on the current runtime.
+/// Starts the stand-in on the current runtime, with the machines that are there at the start.
 ///
 /// # Errors
-/// When an address can't be bound.
-pub async fn start(options: MachineListOptions) -> Result<MachineListServer, LabError> {
-    let state = Arc::new(State::new(options.machines, options.faults));
+/// When the address can't be bound.
+pub async fn start(address: SocketAddr, machines: Vec<Machine>) -> Result<MachineListServer, LabError> {
+    let state = Arc::new(State::new(machines));
     let serving = Arc::clone(&state);
-    let server = http::serve(options.address, move |request| {
-        let state = Arc::clone(&serving);
-        async move { answer(&state, request).await }
-    });
-    let server = server.await?;
-    let ordered = Arc::clone(&state);
-    let faults = http::serve(options.faults_address, move |request| {
-        let state = Arc::clone(&ordered);
-        async move { answer_fault_order(&state, request).await.into() }
-    });
-    let faults = faults.await?;
-    let (address, faults_address) = (server.address, faults.address);
-    Ok(MachineListServer { address, faults_address, state, _servers: [server, faults] })
+    let server = http::serve(address, move |request| answer(Arc::clone(&serving), request)).await?;
+    Ok(MachineListServer { address: server.address, state, _server: server })
 }
 
 /// `lichenpulley-lab machine-list`.
 ///
 /// # Errors
-/// When the command line is wrong, the machines' file can't be read, or an address can't be bound.
+/// When the command line is wrong or the address can't be bound.
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
-    let mut options = stand_in_options();
-    options.optopt("", "machines", "start with the machines of this JSON file (a list)", "FILE");
-    options.optopt("", "lag-ms", "milliseconds until a change shows (default 0)", "MS");
-    let Some(matches) = parse("machine-list", &options, arguments)? else { return Ok(()) };
+    let Some(matches) = parse("machine-list", &stand_in_options(), arguments)? else { return Ok(()) };
     let arguments = StandInArguments::from_matches(&matches)?;
-    let machines = match matches.opt_str("machines") {
-        Some(path) => read_machines(&path)?,
-        None => Vec::new(),
-    };
-    let options = MachineListOptions {
-        address: arguments.address,
-        faults_address: arguments.faults_address,
-        machines,
-        faults: MachineListFaults { down: false, lag_ms: value_or(&matches, "lag-ms", "0")? },
-    };
-    let machine_list = start(options).await?;
-    arguments.announce(&[("http", machine_list.address), ("faults", machine_list.faults_address)])?;
+    let machine_list = start(arguments.address, Vec::new()).await?;
+    arguments.announce(&[("http", machine_list.address)])?;
     stop_signal().await
 }
 
-fn read_machines(path: &str) -> Result<Vec<Machine>, LabError> {
-    let text = std::fs::read_to_string(path)
-        .map_err(|error| LabError::Usage(format!("--machines {path}: {error}")))?;
-    serde_json::from_str(&text).map_err(|error| LabError::Usage(format!("--machines {path}: {error}")))
-}
-
-async fn answer(state: &State, request: Request<Incoming>) -> Reply {
+async fn answer(state: Arc<State>, request: Request<Incoming>) -> Reply {
     if state.lock().faults.down {
         return Reply::Hang;
     }
     let path = request.uri().path().to_owned();
     let response = match (request.method().clone(), path.strip_prefix(MACHINES)) {
         (Method::GET, None) if path == "/machines" => http::json(StatusCode::OK, &state.visible()),
-        (Method::PUT, Some(id)) => put(state, &percent_decode(id), request).await,
-        (Method::DELETE, Some(id)) => delete(state, &percent_decode(id)),
+        (Method::PUT, Some(id)) => put(&state, &percent_decode(id), request).await,
+        (Method::DELETE, Some(id)) => delete(&state, &percent_decode(id)),
         _ => http::not_found(&path),
     };
     response.into()
@@ -171,21 +116,7 @@
     if removed { http::empty(StatusCode::NO_CONTENT) } else { http::not_found(id) }
 }
 
-async fn answer_fault_order(state: &State, request: Request<Incoming>) -> Response<Body> {
-    match (request.method(), request.uri().path()) {
-        (&Method::GET, "/faults") => http::json(StatusCode::OK, &state.lock().faults),
-        (&Method::PUT, "/faults") => match http::read_json::<MachineListFaults>(request).await {
-            Ok(faults) => {
-                state.lock().faults = faults.clone();
-                http::json(StatusCode::OK, &faults)
-            }
-            Err(response) => response,
-        },
-        (_, path) => http::not_found(path),
-    }
-}
-
-/// What requests and fault orders share.
+/// What requests and the handle share.
 #[derive(Debug)]
 struct State {
     started: Instant,
@@ -199,8 +130,8 @@
 }
 
 impl State {
-    fn new(machines: Vec<Machine>, faults: MachineListFaults) -> Self {
-        let inner = Inner { register: MachineRegister::new(machines), faults };
+    fn new(machines: Vec<Machine>) -> Self {
+        let inner = Inner { register: MachineRegister::new(machines), faults: MachineListFaults::default() };
         Self { started: Instant::now(), inner: Mutex::new(inner) }
     }
 
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -1,7 +1,6 @@
 //! Stand-in for the platform's object API: versions, watches, and faults on request.
 //!
-//! The interface is described in [`lichenpulley_protocol::platform`]. The faults' port answers `GET /faults`,
-//! `PUT /faults` with [`ObjectApiFaults`], and `GET /faults/counters` with [`ObjectApiCounters`].
+//! The interface is described in [`lichenpulley_protocol::platform`]; [`ObjectApi::set_faults`] orders faults.
 
 mod faults;
 mod requests;
@@ -10,8 +9,6 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use hyper::body::Incoming;
-use hyper::{Method, Request, StatusCode};
 use tokio::sync::watch;
 
 pub use faults::{FaultState, ObjectApiCounters, ObjectApiFaults};
@@ -19,40 +16,19 @@
 
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
-use crate::http::{self, Reply, Server};
+use crate::http::{self, Server};
 
-/// How the stand-in starts.
-#[derive(Clone, Debug)]
-pub struct ObjectApiOptions {
-    /// Where it serves; port 0 takes a free one.
-    pub address: SocketAddr,
-    /// Where it takes fault orders; port 0 takes a free one.
-    pub faults_address: SocketAddr,
-    /// The faults at the start.
-    pub faults: ObjectApiFaults,
-}
-
-impl ObjectApiOptions {
-    /// Healthy, on free ports of the loopback address.
-    pub fn loopback() -> Self {
-        let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        Self { address, faults_address: address, faults: ObjectApiFaults::default() }
-    }
-}
-
-/// A running object API. Dropping it closes its ports; its objects are lost.
+/// A running object API. Dropping it closes its port; its objects are lost.
 #[derive(Debug)]
 pub struct ObjectApi {
     /// Where it serves.
     pub address: SocketAddr,
-    /// Where it takes fault orders.
-    pub faults_address: SocketAddr,
     state: Arc<State>,
-    _servers: [Server; 2],
+    _server: Server,
 }
 
 impl ObjectApi {
-    /// Replaces the faults, as `PUT /faults` does.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: ObjectApiFaults) {
         self.state.set_faults(faults);
     }
@@ -71,63 +47,27 @@
 /// Starts the stand-in on the current runtime.
 ///
 /// # Errors
-/// When an address can't be bound.
-pub async fn start(options: ObjectApiOptions) -> Result<ObjectApi, LabError> {
-    let state = Arc::new(State::new(options.faults));
+/// When the address can't be bound.
+pub async fn start(address: SocketAddr) -> Result<ObjectApi, LabError> {
+    let state = Arc::new(State::new());
     let serving = Arc::clone(&state);
-    let server = http::serve(options.address, move |request| {
-        let state = Arc::clone(&serving);
-        async move { requests::answer(state, request).await }
-    });
-    let server = server.await?;
-    let ordered = Arc::clone(&state);
-    let faults = http::serve(options.faults_address, move |request| {
-        let state = Arc::clone(&ordered);
-        async move { answer_fault_order(&state, request).await }
-    });
-    let faults = faults.await?;
-    Ok(ObjectApi {
-        address: server.address,
-        faults_address: faults.address,
-        state,
-        _servers: [server, faults],
-    })
+    let server = http::serve(address, move |request| requests::answer(Arc::clone(&serving), request)).await?;
+    Ok(ObjectApi { address: server.address, state, _server: server })
 }
 
 /// `lichenpulley-lab object-api`.
 ///
 /// # Errors
-/// When the command line is wrong or an address can't be bound.
+/// When the command line is wrong or the address can't be bound.
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
     let Some(matches) = parse("object-api", &stand_in_options(), arguments)? else { return Ok(()) };
     let arguments = StandInArguments::from_matches(&matches)?;
-    let options = ObjectApiOptions {
-        address: arguments.address,
-        faults_address: arguments.faults_address,
-        faults: ObjectApiFaults::default(),
-    };
-    let object_api = start(options).await?;
-    arguments.announce(&[("http", object_api.address), ("faults", object_api.faults_address)])?;
+    let object_api = start(arguments.address).await?;
+    arguments.announce(&[("http", object_api.address)])?;
     stop_signal().await
 }
 
-async fn answer_fault_order(state: &State, request: Request<Incoming>) -> Reply {
-    let response = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/faults") => http::json(StatusCode::OK, state.lock().faults.faults()),
-        (&Method::GET, "/faults/counters") => http::json(StatusCode::OK, &state.lock().counters),
-        (&Method::PUT, "/faults") => match http::read_json::<ObjectApiFaults>(request).await {
-            Ok(faults) => {
-                state.set_faults(faults.clone());
-                http::json(StatusCode::OK, &faults)
-            }
-            Err(response) => response,
-        },
-        (_, path) => http::not_found(path),
-    };
-    response.into()
-}
-
-/// What requests and fault orders share.
+/// What requests and the handle share.
 #[derive(Debug)]
 struct State {
     inner: Mutex<Inner>,
@@ -143,10 +83,10 @@
 }
 
 impl State {
-    fn new(faults: ObjectApiFaults) -> Self {
+    fn new() -> Self {
         let inner = Inner {
             store: ObjectStore::default(),
-            faults: FaultState::new(faults),
+            faults: FaultState::new(ObjectApiFaults::default()),
             counters: ObjectApiCounters::default(),
         };
         Self { inner: Mutex::new(inner), changed: watch::Sender::new(()) }
--- a/crates/lab/src/trainer/faults.rs
+++ b/crates/lab/src/trainer/faults.rs
@@ -1,21 +1,16 @@
 //! Faults of the trainer.
 
-use serde::{Deserialize, Serialize};
-
 /// One crash, at the next time the trainer comes to that point. What it had not saved is lost.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrainerFault {
     /// Where it crashes.
     pub crash: CrashPoint,
     /// How long it is away, in milliseconds.
-    #[serde(default)]
     pub down_ms: u64,
 }
 
 /// Where a trainer crashes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
     /// Samples were pulled; neither they nor the cursor were saved.
     BeforeSavingCursor,
--- a/crates/lab/src/trainer/mod.rs
+++ b/crates/lab/src/trainer/mod.rs
@@ -1,6 +1,6 @@
 //! The stand-in trainer: pulls samples by cursor, trains a simulated time for each step, and publishes new weights.
 //!
-//! `GET /report` gives its [`TrainerReport`]; `PUT /faults` on the second port takes a [`TrainerFault`].
+//! `GET /report` gives its [`TrainerReport`]; [`Trainer::inject`] takes a [`TrainerFault`].
 
 mod faults;
 mod report;
@@ -20,7 +20,7 @@
 use self::training::Training;
 use crate::arguments::{self, StandInArguments};
 use crate::error::LabError;
-use crate::http::{self, Reply, Server, json, not_found, read_json};
+use crate::http::{self, Reply, Server, json, not_found};
 
 pub use self::faults::{CrashPoint, TrainerFault};
 pub use self::report::TrainerReport;
@@ -31,8 +31,6 @@
 pub struct TrainerOptions {
     /// Where it serves its report.
     pub address: SocketAddr,
-    /// Where it takes faults.
-    pub faults_address: SocketAddr,
     /// Gateways; it goes on to the next when one does not answer.
     pub gateways: Vec<SocketAddr>,
     /// Where it stores weights; `None` stores them nowhere.
@@ -59,7 +57,6 @@
 pub struct Trainer {
     training: Arc<Training>,
     server: Server,
-    faults: Server,
     finished: CancellationToken,
     _stop: DropGuard,
 }
@@ -70,11 +67,6 @@
         self.server.address
     }
 
-    /// Where it takes faults.
-    pub const fn faults_address(&self) -> SocketAddr {
-        self.faults.address
-    }
-
     /// What it has seen so far.
     pub fn report(&self) -> TrainerReport {
         self.training.report()
@@ -94,7 +86,7 @@
 /// Starts a trainer on the current runtime.
 ///
 /// # Errors
-/// When no gateway is given, an address can't be bound, or the saved state can't be read.
+/// When no gateway is given, the address can't be bound, or the saved state can't be read.
 pub async fn start(options: TrainerOptions) -> Result<Trainer, LabError> {
     if options.gateways.is_empty() {
         return Err(LabError::Usage("trainer: no gateway is given".to_owned()));
@@ -102,16 +94,12 @@
     let training = Arc::new(Training::new(options.clone())?);
     let serving = Arc::clone(&training);
     let server = http::serve(options.address, move |request| answer(Arc::clone(&serving), request)).await?;
-    let serving = Arc::clone(&training);
-    let faults =
-        http::serve(options.faults_address, move |request| answer_faults(Arc::clone(&serving), request))
-            .await?;
     let finished = CancellationToken::new();
     let stop = CancellationToken::new();
     let work = run_until_finished(Arc::clone(&training), finished.clone());
     let stopped = stop.clone();
     tokio::spawn(async move { stopped.run_until_cancelled(work).await });
-    Ok(Trainer { training, server, faults, finished, _stop: stop.drop_guard() })
+    Ok(Trainer { training, server, finished, _stop: stop.drop_guard() })
 }
 
 async fn run_until_finished(training: Arc<Training>, finished: CancellationToken) {
@@ -128,29 +116,16 @@
     }
 }
 
-async fn answer_faults(training: Arc<Training>, request: Request<Incoming>) -> Reply {
-    match (request.method(), request.uri().path()) {
-        (&Method::PUT, "/faults") => match read_json(request).await {
-            Ok(fault) => {
-                training.inject(fault);
-                json(StatusCode::OK, &fault).into()
-            }
-            Err(response) => response.into(),
-        },
-        (_, path) => not_found(path).into(),
-    }
-}
-
 /// `lichenpulley-lab trainer`: prints its report once the job has given everything, and serves it until it is stopped.
 ///
 /// # Errors
-/// When the command line is wrong, an address can't be bound, or the state can't be read.
+/// When the command line is wrong, the address can't be bound, or the state can't be read.
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
     let Some((options, stand_in)) = parse(arguments)? else {
         return Ok(());
     };
     let trainer = start(options).await?;
-    stand_in.announce(&[("http", trainer.address()), ("faults", trainer.faults_address())])?;
+    stand_in.announce(&[("http", trainer.address())])?;
     tokio::select! {
         () = trainer.finished() => print_report(&trainer.report()),
         stopped = arguments::stop_signal() => return stopped,
@@ -184,7 +159,6 @@
     let state_file: Option<PathBuf> = arguments::optional(&matches, "state-file")?;
     let options = TrainerOptions {
         address: stand_in.address,
-        faults_address: stand_in.faults_address,
         gateways: arguments::each(&matches, "gateway")?,
         weight_store: arguments::optional(&matches, "weight-store")?,
         job: JobId::new(job),
--- a/crates/lab/tests/configuration_cluster.rs
+++ b/crates/lab/tests/configuration_cluster.rs
@@ -8,6 +8,7 @@
 use lichenpulley_daemon::http::client::HttpClient;
 use lichenpulley_daemon::node::Node;
 use lichenpulley_daemon::settings::Settings;
+use lichenpulley_lab::http::ANY_PORT;
 use lichenpulley_lab::object_api::{self, ObjectApi, ObjectApiFaults};
 use lichenpulley_protocol::error::ErrorBody;
 use lichenpulley_protocol::operator::{ChangeConfiguration, ConfigurationChanged};
@@ -26,7 +27,7 @@
 }
 
 async fn platform() -> ObjectApi {
-    object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("starts")
+    object_api::start(ANY_PORT).await.expect("starts")
 }
 
 async fn start(name: &str, zone: &str, object_api: &ObjectApi, seeds: &[SocketAddr]) -> Node {
--- a/crates/lab/tests/configuration_node.rs
+++ b/crates/lab/tests/configuration_node.rs
@@ -10,6 +10,7 @@
 use lichenpulley_daemon::http::client::{ClientError, HttpClient};
 use lichenpulley_daemon::node::Node;
 use lichenpulley_daemon::settings::Settings;
+use lichenpulley_lab::http::ANY_PORT;
 use lichenpulley_lab::machine_list::{self, MachineListServer};
 use lichenpulley_lab::object_api::{self, ObjectApi, ObjectApiFaults};
 use lichenpulley_protocol::error::ErrorBody;
@@ -30,9 +31,8 @@
 
 impl System {
     async fn start() -> Self {
-        let object_api = object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("starts");
-        let machine_list =
-            machine_list::start(machine_list::MachineListOptions::loopback()).await.expect("starts");
+        let object_api = object_api::start(ANY_PORT).await.expect("starts");
+        let machine_list = machine_list::start(ANY_PORT, Vec::new()).await.expect("starts");
         Self { object_api, machine_list, http: HttpClient::new(Duration::from_secs(5)) }
     }
 
--- a/crates/lab/tests/machine_list.rs
+++ b/crates/lab/tests/machine_list.rs
@@ -6,7 +6,8 @@
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_daemon::configuration::platform::MachineListClient;
 use lichenpulley_daemon::settings::Settings;
-use lichenpulley_lab::machine_list::{self, MachineListFaults, MachineListOptions, MachineRegister};
+use lichenpulley_lab::http::ANY_PORT;
+use lichenpulley_lab::machine_list::{self, MachineListFaults, MachineRegister};
 use lichenpulley_protocol::platform::{Machine, MachineKind, MachineState};
 
 fn machine(id: &str) -> Machine {
@@ -38,8 +39,7 @@
 
 #[tokio::test]
 async fn the_daemons_client_reads_the_list_unless_it_is_down() {
-    let options = MachineListOptions { machines: vec![machine("a")], ..MachineListOptions::loopback() };
-    let server = machine_list::start(options).await.expect("starts");
+    let server = machine_list::start(ANY_PORT, vec![machine("a")]).await.expect("starts");
     let mut settings = Settings::on_loopback("node", "zone");
     settings.platform.machine_list = Some(server.address);
     let client = MachineListClient::from_settings(&settings).expect("an address is set");
--- a/crates/lab/tests/object_api.rs
+++ b/crates/lab/tests/object_api.rs
@@ -3,11 +3,12 @@
 use lichenpulley_core::identity::Revision;
 use lichenpulley_daemon::configuration::platform::{ObjectClient, WriteError};
 use lichenpulley_daemon::settings::Settings;
-use lichenpulley_lab::object_api::{self, ObjectApi, ObjectApiFaults, ObjectApiOptions};
+use lichenpulley_lab::http::ANY_PORT;
+use lichenpulley_lab::object_api::{self, ObjectApi, ObjectApiFaults};
 use serde_json::json;
 
 async fn start() -> (ObjectApi, ObjectClient) {
-    let object_api = object_api::start(ObjectApiOptions::loopback()).await.expect("starts");
+    let object_api = object_api::start(ANY_PORT).await.expect("starts");
     let mut settings = Settings::on_loopback("node", "zone");
     settings.platform.object_api = Some(object_api.address);
     let client = ObjectClient::from_settings(&settings).expect("an address is set");
--- a/crates/lab/tests/planned_stop.rs
+++ b/crates/lab/tests/planned_stop.rs
@@ -12,6 +12,7 @@
 use lichenpulley_lab::engine::answer::{Answer, is_whole_answer};
 use lichenpulley_lab::engine::faults::EngineFault;
 use lichenpulley_lab::engine::{Engine, EngineOptions, start};
+use lichenpulley_lab::http::ANY_PORT;
 use lichenpulley_lab::machine_list::{self, MachineListServer};
 use lichenpulley_lab::object_api::{self, ObjectApi};
 use lichenpulley_protocol::caller::{CompletionChunk, CompletionRequest, Priority};
@@ -38,10 +39,8 @@
 impl Rig {
     /// A node that serves, with one engine and its own platform.
     async fn start(notice: Duration) -> Self {
-        let machines =
-            machine_list::start(machine_list::MachineListOptions::loopback()).await.expect("a machine list");
-        let objects =
-            object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("an object API");
+        let machines = machine_list::start(ANY_PORT, Vec::new()).await.expect("a machine list");
+        let objects = object_api::start(ANY_PORT).await.expect("an object API");
         let mut options = EngineOptions::new("replica-0", PoolName::new(POOL), ZoneName::new(ZONE));
         options.model.step_time = STEP_TIME;
         options.machine_list = Some(machines.address);
--- a/crates/lab/tests/replication.rs
+++ b/crates/lab/tests/replication.rs
@@ -17,6 +17,7 @@
 use lichenpulley_daemon::store::reconfiguration::{self, ReconfigurationError};
 use lichenpulley_daemon::store::replica_sets::{self, ReplicaSetError};
 use lichenpulley_daemon::store::shard_log::{ShardLog, ShardLogError};
+use lichenpulley_lab::http::ANY_PORT;
 use lichenpulley_lab::object_api::{self, ObjectApi};
 use tempfile::TempDir;
 
@@ -40,7 +41,7 @@
     }
 
     async fn start_tolerating(size: usize, set_size: ToleranceTarget) -> Self {
-        let api = object_api::start(object_api::ObjectApiOptions::loopback()).await.expect("an object API");
+        let api = object_api::start(ANY_PORT).await.expect("an object API");
         let mut cluster = Self { nodes: Vec::new(), settings: Vec::new(), folders: Vec::new(), api: None };
         for number in 0..size {
             let folder = TempDir::new().expect("a folder");
--- a/crates/lab/tests/trainer.rs
+++ b/crates/lab/tests/trainer.rs
@@ -7,6 +7,7 @@
 use hyper::{Method, Request, StatusCode};
 use lichenpulley_core::identity::{JobId, PoolName, WeightVersion};
 use lichenpulley_daemon::http::client::HttpClient;
+use lichenpulley_lab::http::ANY_PORT;
 use lichenpulley_lab::http::{self, Reply, Server, json, not_found, read_json};
 use lichenpulley_lab::trainer::{
     CrashPoint, StateFile, Trainer, TrainerFault, TrainerOptions, TrainerReport, start,
@@ -67,15 +68,14 @@
 async fn start_gateway(samples: Vec<Sample>) -> (Arc<Gateway>, Server) {
     let gateway = Arc::new(Gateway { samples, published: Mutex::default() });
     let serving = Arc::clone(&gateway);
-    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let any_port = ANY_PORT;
     let server = http::serve(any_port, move |request| answer(Arc::clone(&serving), request)).await;
     (gateway, server.expect("loopback ports are free"))
 }
 
 fn options(gateway: &Server, state: StateFile) -> TrainerOptions {
     TrainerOptions {
-        address: "127.0.0.1:0".parse().expect("an address"),
-        faults_address: "127.0.0.1:0".parse().expect("an address"),
+        address: ANY_PORT,
         gateways: vec![gateway.address],
         weight_store: None,
         job: JobId::new("job"),
@@ -150,9 +150,7 @@
 
 #[tokio::test]
 async fn weights_are_read_at_the_stores_rate_once_they_exist() {
-    let store = weight_store::start("127.0.0.1:0".parse().expect("an address"))
-        .await
-        .expect("loopback ports are free");
+    let store = weight_store::start(ANY_PORT).await.expect("loopback ports are free");
     let client = HttpClient::new(DEADLINE);
     assert!(client.get_bytes(store.address(), "/weights/pool/2", DEADLINE).await.is_err());
     let stored: Result<u64, _> = client.put_json(store.address(), "/weights/pool/2", &2, DEADLINE).await;
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -13,7 +13,6 @@
 //! `DELETE /machines/{id}` takes it out.
 //! Weight store: `GET /weights/{pool}/{version}` gives the bytes at its rate.
 //! Scorer: `POST /score` with [`ScoreRequest`] gives [`ScoreResponse`].
-//! Each stand-in has a second port for faults: `PUT /faults` with its own fault body, `GET /faults`.
 
 use lichenpulley_core::identity::{PoolName, Revision, ZoneName};
 use serde::{Deserialize, Serialize};
