--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -11,7 +11,7 @@
 
 use tokio::sync::watch;
 
-pub use faults::{FaultState, ObjectApiCounters, ObjectApiFaults};
+pub use faults::{ObjectApiCounters, ObjectApiFaults};
 pub use store::ObjectStore;
 
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
@@ -75,21 +75,16 @@
     changed: watch::Sender<()>,
 }
 
-#[derive(Debug)]
+#[derive(Debug, Default)]
 struct Inner {
     store: ObjectStore,
-    faults: FaultState,
+    faults: ObjectApiFaults,
     counters: ObjectApiCounters,
 }
 
 impl State {
     fn new() -> Self {
-        let inner = Inner {
-            store: ObjectStore::default(),
-            faults: FaultState::new(ObjectApiFaults::default()),
-            counters: ObjectApiCounters::default(),
-        };
-        Self { inner: Mutex::new(inner), changed: watch::Sender::new(()) }
+        Self { inner: Mutex::default(), changed: watch::Sender::new(()) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -98,7 +93,7 @@
     }
 
     fn set_faults(&self, faults: ObjectApiFaults) {
-        self.lock().faults = FaultState::new(faults);
+        self.lock().faults = faults;
         self.changed.send_replace(());
     }
 }
--- a/crates/lab/src/object_api/requests.rs
+++ b/crates/lab/src/object_api/requests.rs
@@ -21,12 +21,7 @@
 
 /// Answers one request, or closes its connection where a fault asks for that.
 pub(super) async fn answer(state: Arc<State>, request: Request<Incoming>) -> Reply {
-    let slow = Duration::from_millis(state.lock().faults.faults().slow_ms);
-    if !slow.is_zero() {
-        tokio::time::sleep(slow).await;
-    }
     if is_down(&state) {
-        state.lock().counters.refused_down += 1;
         return Reply::Hang;
     }
     let path = request.uri().path().to_owned();
@@ -40,13 +35,11 @@
 }
 
 fn is_down(state: &State) -> bool {
-    state.lock().faults.faults().down
+    state.lock().faults.down
 }
 
 fn read(state: &State, key: &str) -> Response<Body> {
-    let mut inner = state.lock();
-    inner.counters.reads += 1;
-    match inner.store.get(key) {
+    match state.lock().store.get(key) {
         Some(object) => http::json(StatusCode::OK, object),
         None => {
             let message = format!("there is no object {key}");
@@ -71,18 +64,13 @@
             state.changed.send_replace(());
             if lost { Reply::Hang } else { http::json(StatusCode::OK, &object).into() }
         }
-        Err(conflict) => {
-            inner.counters.conflicts += 1;
-            http::json(StatusCode::CONFLICT, &conflict).into()
-        }
+        Err(conflict) => http::json(StatusCode::CONFLICT, &conflict).into(),
     }
 }
 
 fn list(state: &State, request: &Request<Incoming>) -> Response<Body> {
     let prefix = query_parameter(request, "prefix").unwrap_or_default();
-    let mut inner = state.lock();
-    inner.counters.lists += 1;
-    http::json(StatusCode::OK, &inner.store.list(&prefix))
+    http::json(StatusCode::OK, &state.lock().store.list(&prefix))
 }
 
 async fn watch(state: &State, request: &Request<Incoming>) -> Reply {
@@ -120,7 +108,6 @@
     fn begin(state: &'state State) -> Self {
         let mut inner = state.lock();
         let counters = &mut inner.counters;
-        counters.watches += 1;
         counters.open_watches += 1;
         counters.peak_open_watches = counters.peak_open_watches.max(counters.open_watches);
         drop(inner);
