--- a/crates/lab/src/demo/decision_tally.rs
+++ b/crates/lab/src/demo/decision_tally.rs
@@ -1,7 +1,7 @@
 //! Counts the decisions of a system's nodes and keeps one example of each kind.
 
 use std::collections::BTreeMap;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_daemon::node::Node;
@@ -11,6 +11,8 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio::task::JoinSet;
 
+use crate::locked::lock;
+
 /// What was done and why; decisions that agree in these are counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct DecisionKind {
@@ -81,8 +83,3 @@
         counts.entry(kind.clone()).or_insert_with(|| DecisionCount { kind, count: 0, example: decision });
     entry.count += 1;
 }
-
-fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
-    // A count is whole after every step, so a panic elsewhere does not spoil it.
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/lab/src/engine/service.rs
+++ b/crates/lab/src/engine/service.rs
@@ -1,6 +1,6 @@
 //! Timers round the engine model: steps, weight fetches, freezes and crashes.
 
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use lichenpulley_core::identity::{AttemptId, ReplicaId, WeightVersion};
@@ -17,6 +17,8 @@
 use super::model::{EngineModel, Submission, SubmitError};
 use super::stream::Slice;
 
+use crate::locked::lock;
+
 /// How long the engine waits before it asks the weight store again.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -262,7 +264,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod error;
 pub mod http;
 pub mod load;
+mod locked;
 pub mod machine_list;
 pub mod metadata_store;
 pub mod object_api;
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,12 +1,12 @@
-//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by callers that wait for one another
-//! (closed loop), each answer verified whole.
+//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by
+//! callers that wait for one another (closed loop), each answer verified whole.
 
 mod call;
 mod report;
 mod workload;
 
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use lichenpulley_daemon::http::client::HttpClient;
@@ -18,6 +18,7 @@
 use self::report::Recorder;
 pub use self::report::{LoadReport, Quantiles};
 pub use self::workload::{Prompt, Workload, WorkloadConfig};
+use crate::locked::lock;
 
 /// How long a connection may take to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -122,7 +123,3 @@
         lock(&self.recorder).record(called);
     }
 }
-
-fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -6,7 +6,7 @@
 mod register;
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use hyper::body::Incoming;
@@ -20,6 +20,7 @@
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
 use crate::http::{self, Body, Reply, Server};
+use crate::locked::lock;
 
 const MACHINES: &str = "/machines/";
 
@@ -146,7 +147,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // The state is whole after every step, so a panic elsewhere does not spoil it.
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.inner)
     }
 }
--- a/crates/lab/src/metadata_store/mod.rs
+++ b/crates/lab/src/metadata_store/mod.rs
@@ -4,7 +4,7 @@
 mod objects;
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
 use hyper::body::Incoming;
@@ -15,6 +15,7 @@
 
 use crate::error::LabError;
 use crate::http::{self, Body, Reply, Server};
+use crate::locked::lock;
 use objects::{Objects, WriteRefusal};
 
 /// The path under which all objects lie.
@@ -37,19 +38,25 @@
     Busy,
 }
 
-struct Shared {
-    objects: Mutex<Objects>,
-    condition: Mutex<Condition>,
+#[derive(Default)]
+struct State {
+    objects: Objects,
+    condition: Condition,
     /// A kind of which it says nothing.
-    silent_kind: Mutex<Option<String>>,
+    silent_kind: Option<String>,
     /// A kind whose watches hear nothing.
-    deaf_kind: Mutex<Option<String>>,
+    deaf_kind: Option<String>,
     /// What stands in place of each [`UNREADABLE`] in answers.
-    unreadable: Mutex<Vec<u8>>,
+    unreadable: Vec<u8>,
     /// The kinds that were listed, each time.
-    listed: Mutex<Vec<String>>,
+    listed: Vec<String>,
     /// The kinds of the watches that wait.
-    waiting: Mutex<Vec<String>>,
+    waiting: Vec<String>,
+}
+
+#[derive(Default)]
+struct Shared {
+    state: Mutex<State>,
     changed: Notify,
 }
 
@@ -66,16 +73,7 @@
 /// # Errors
 /// When no port can be had.
 pub async fn start() -> Result<MetadataStore, LabError> {
-    let shared = Arc::new(Shared {
-        objects: Mutex::default(),
-        condition: Mutex::default(),
-        silent_kind: Mutex::default(),
-        deaf_kind: Mutex::default(),
-        unreadable: Mutex::default(),
-        listed: Mutex::default(),
-        waiting: Mutex::default(),
-        changed: Notify::new(),
-    });
+    let shared = Arc::new(Shared::default());
     let answering = Arc::clone(&shared);
     let handler = move |request| answer(Arc::clone(&answering), request);
     let server = http::serve(SocketAddr::from(([127, 0, 0, 1], 0)), handler).await?;
@@ -85,64 +83,60 @@
 impl MetadataStore {
     /// Writes an object's `spec`, as the operator, a replica or a trainer does.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
-        self.shared.objects().put(kind, name, spec);
+        self.shared.lock().objects.put(kind, name, spec);
         self.shared.changed.notify_waiters();
     }
 
     /// Answers with these bytes wherever [`UNREADABLE`] stands as a text, as where a writer put them there.
     pub fn set_unreadable(&self, bytes: &[u8]) {
-        *self.shared.unreadable.lock().unwrap_or_else(PoisonError::into_inner) = bytes.to_vec();
+        self.shared.lock().unreadable = bytes.to_vec();
     }
 
     /// Removes an object.
     pub fn remove(&self, kind: &str, name: &str) {
-        self.shared.objects().remove(kind, name);
+        self.shared.lock().objects.remove(kind, name);
         self.shared.changed.notify_waiters();
     }
 
     /// An object as it stands.
     pub fn get(&self, kind: &str, name: &str) -> Option<Object> {
-        self.shared.objects().get(kind, name)
+        self.shared.lock().objects.get(kind, name)
     }
 
     /// All objects of a kind.
     pub fn list(&self, kind: &str) -> Vec<Object> {
-        self.shared.objects().list(kind)
+        self.shared.lock().objects.list(kind)
     }
 
     /// Drops the history: watches that begin before now get 410.
     pub fn compact(&self) {
-        self.shared.objects().compact();
+        self.shared.lock().objects.compact();
         self.shared.changed.notify_waiters();
     }
 
     /// How many watches of a kind wait for a change.
     pub fn waiting_watches(&self, kind: &str) -> usize {
-        let waiting = self.shared.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.iter().filter(|waiting| *waiting == kind).count()
+        self.shared.lock().waiting.iter().filter(|waiting| *waiting == kind).count()
     }
 
     /// How often a kind was listed.
     pub fn lists(&self, kind: &str) -> usize {
-        let listed = self.shared.listed.lock().unwrap_or_else(PoisonError::into_inner);
-        listed.iter().filter(|listed| *listed == kind).count()
+        self.shared.lock().listed.iter().filter(|listed| *listed == kind).count()
     }
 
     /// Says nothing of this kind from now on; all else is answered.
     pub fn set_silent_kind(&self, kind: Option<&str>) {
-        let mut silent = self.shared.silent_kind.lock().unwrap_or_else(PoisonError::into_inner);
-        *silent = kind.map(str::to_owned);
+        self.shared.lock().silent_kind = kind.map(str::to_owned);
     }
 
     /// Watches of this kind hear nothing from now on, as on connections that fell silent; lists are answered.
     pub fn set_deaf_kind(&self, kind: Option<&str>) {
-        let mut deaf = self.shared.deaf_kind.lock().unwrap_or_else(PoisonError::into_inner);
-        *deaf = kind.map(str::to_owned);
+        self.shared.lock().deaf_kind = kind.map(str::to_owned);
     }
 
     /// Answers in another way from now on.
     pub fn set_condition(&self, condition: Condition) {
-        *self.shared.condition.lock().unwrap_or_else(PoisonError::into_inner) = condition;
+        self.shared.lock().condition = condition;
     }
 }
 
@@ -154,14 +148,14 @@
 
 impl<'a> WaitingWatch<'a> {
     fn begin(shared: &'a Shared, kind: &'a str) -> Self {
-        shared.waiting.lock().unwrap_or_else(PoisonError::into_inner).push(kind.to_owned());
+        shared.lock().waiting.push(kind.to_owned());
         Self { shared, kind }
     }
 }
 
 impl Drop for WaitingWatch<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.shared.waiting.lock().unwrap_or_else(PoisonError::into_inner);
+        let waiting = &mut self.shared.lock().waiting;
         if let Some(position) = waiting.iter().position(|waiting| waiting == self.kind) {
             waiting.swap_remove(position);
         }
@@ -169,41 +163,37 @@
 }
 
 impl Shared {
-    fn objects(&self) -> std::sync::MutexGuard<'_, Objects> {
-        self.objects.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        lock(&self.state)
     }
+}
 
+impl State {
     fn is_silent(&self, kind: &str) -> bool {
-        let silent = self.silent_kind.lock().unwrap_or_else(PoisonError::into_inner);
-        silent.as_deref() == Some(kind)
+        self.silent_kind.as_deref() == Some(kind)
     }
 
     fn is_deaf(&self, kind: &str) -> bool {
-        let deaf = self.deaf_kind.lock().unwrap_or_else(PoisonError::into_inner);
-        deaf.as_deref() == Some(kind)
+        self.deaf_kind.as_deref() == Some(kind)
     }
 
     /// JSON with the unreadable bytes in their places.
     fn raw_json(&self, value: &impl serde::Serialize) -> Response<Body> {
         let text = serde_json::to_string(value).unwrap_or_default();
-        let unreadable = self.unreadable.lock().unwrap_or_else(PoisonError::into_inner);
         let placeholder = format!("\"{UNREADABLE}\"");
         let mut parts = text.split(&placeholder);
         let mut body = parts.next().unwrap_or_default().as_bytes().to_vec();
         for part in parts {
-            body.extend_from_slice(&unreadable);
+            body.extend_from_slice(&self.unreadable);
             body.extend_from_slice(part.as_bytes());
         }
         http::raw_json(StatusCode::OK, body)
     }
-
-    fn condition(&self) -> Condition {
-        *self.condition.lock().unwrap_or_else(PoisonError::into_inner)
-    }
 }
 
 async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Reply {
-    match shared.condition() {
+    let condition = shared.lock().condition;
+    match condition {
         Condition::Well => {}
         Condition::Silent => return std::future::pending().await,
         Condition::Resets => return Reply::Hang,
@@ -212,19 +202,19 @@
     let path = request.uri().path().to_owned();
     let Some(rest) = path.strip_prefix(PREFIX) else { return http::not_found(&path).into() };
     let parts: Vec<&str> = rest.split('/').collect();
-    if parts.first().is_some_and(|kind| shared.is_silent(kind)) {
+    if parts.first().is_some_and(|kind| shared.lock().is_silent(kind)) {
         return std::future::pending().await;
     }
     let answered = match (request.method().clone(), parts.as_slice()) {
         (Method::GET, [kind]) => read_kind(&shared, kind, &request).await,
-        (Method::GET, [kind, name]) => match shared.objects().get(kind, name) {
+        (Method::GET, [kind, name]) => match shared.lock().objects.get(kind, name) {
             Some(object) => http::json(StatusCode::OK, &object),
             None => http::empty(StatusCode::NOT_FOUND),
         },
         (Method::POST, [kind]) => write(&shared, kind, None, false, request).await,
         (Method::PUT, [kind, name]) => write(&shared, kind, Some(name), false, request).await,
         (Method::PUT, [kind, name, "status"]) => write(&shared, kind, Some(name), true, request).await,
-        (Method::DELETE, [kind, name]) => match shared.objects().remove(kind, name) {
+        (Method::DELETE, [kind, name]) => match shared.lock().objects.remove(kind, name) {
             true => {
                 shared.changed.notify_waiters();
                 http::json(StatusCode::OK, &Value::Null)
@@ -244,10 +234,10 @@
 async fn read_kind(shared: &Shared, kind: &str, request: &Request<Incoming>) -> Response<Body> {
     let after: Option<u64> = parameter(request, "watch").and_then(|revision| revision.parse().ok());
     let Some(after) = after else {
-        shared.listed.lock().unwrap_or_else(PoisonError::into_inner).push(kind.to_owned());
-        let objects = shared.objects();
-        let list = List { items: objects.list(kind), has_more: false, at: objects.revision() };
-        return shared.raw_json(&list);
+        let mut state = shared.lock();
+        state.listed.push(kind.to_owned());
+        let list = List { items: state.objects.list(kind), has_more: false, at: state.objects.revision() };
+        return state.raw_json(&list);
     };
     let _waiting = WaitingWatch::begin(shared, kind);
     let wait_ms = parameter(request, "wait_ms").and_then(|wait| wait.parse().ok()).unwrap_or(0);
@@ -256,17 +246,17 @@
         let changed = shared.changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
-        if shared.is_deaf(kind) {
+        if shared.lock().is_deaf(kind) {
             return std::future::pending().await;
         }
         {
-            let objects = shared.objects();
-            let Some(events) = objects.events_after(kind, after) else {
+            let state = shared.lock();
+            let Some(events) = state.objects.events_after(kind, after) else {
                 return http::empty(StatusCode::GONE);
             };
             if !events.is_empty() || tokio::time::Instant::now() >= deadline {
                 let events: Vec<Event> = events;
-                return shared.raw_json(&Events { events, at: objects.revision() });
+                return state.raw_json(&Events { events, at: state.objects.revision() });
             }
         }
         // Whether it was woken or the time is over, the loop checks again.
@@ -286,8 +276,8 @@
         Err(refusal) => return refusal,
     };
     let written = match name {
-        None => shared.objects().create(kind, object),
-        Some(name) => shared.objects().replace(kind, name, object, is_status),
+        None => shared.lock().objects.create(kind, object),
+        Some(name) => shared.lock().objects.replace(kind, name, object, is_status),
     };
     shared.changed.notify_waiters();
     match written {
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -7,7 +7,7 @@
 mod store;
 
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 use tokio::sync::watch;
 
@@ -17,6 +17,7 @@
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
 use crate::http::{self, Server};
+use crate::locked::lock;
 
 /// A running object API. Dropping it closes its port; its objects are lost.
 #[derive(Debug)]
@@ -88,8 +89,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // The state is whole after every step, so a panic elsewhere does not spoil it.
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.inner)
     }
 
     fn set_faults(&self, faults: ObjectApiFaults) {
--- a/crates/lab/src/platform_duties.rs
+++ b/crates/lab/src/platform_duties.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
@@ -12,6 +12,7 @@
 
 use crate::error::LabError;
 use crate::http::{self, Reply, Server};
+use crate::locked::lock;
 
 /// How the stand-in answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -78,10 +79,6 @@
     }
 }
 
-fn lock(taken: &Mutex<Taken>) -> MutexGuard<'_, Taken> {
-    taken.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 async fn answer(taken: Arc<Mutex<Taken>>, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
     let field =
--- a/crates/lab/src/platform_replica/answers.rs
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -12,8 +12,9 @@
 use lichenpulley_platform::replica::{LoadOrder, ORDER_PATH, REPORT_PATH, ReplicaReport};
 
 use super::event_stream::{StreamGuard, events};
-use super::{Behaviour, SeenRequest, State, crash, lock, models};
+use super::{Behaviour, SeenRequest, State, crash, models};
 use crate::http::{self, Body, Reply};
+use crate::locked::lock;
 
 pub(super) async fn answer(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Reply {
     match (request.method(), request.uri().path()) {
--- a/crates/lab/src/platform_replica/event_stream.rs
+++ b/crates/lab/src/platform_replica/event_stream.rs
@@ -11,8 +11,9 @@
 use lichenpulley_platform::headers;
 
 use super::answers::signed;
-use super::{Behaviour, ReplicaPlan, SeenRequest, State, crash, lock};
+use super::{Behaviour, ReplicaPlan, SeenRequest, State, crash};
 use crate::http::Body;
+use crate::locked::lock;
 
 /// Counts a stream that is dropped before its end.
 pub(super) struct StreamGuard {
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
@@ -20,6 +20,7 @@
 
 use crate::error::LabError;
 use crate::http::{self, Server};
+use crate::locked::lock;
 use cold::ColdStretch;
 
 /// How a replica treats requests.
@@ -124,10 +125,6 @@
     Ok(Replica { address, state })
 }
 
-fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Replica {
     /// Behaves otherwise from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
--- a/crates/lab/src/trainer/state.rs
+++ b/crates/lab/src/trainer/state.rs
@@ -2,13 +2,14 @@
 //! all.
 
 use std::path::PathBuf;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 
 use lichenpulley_core::identity::WeightVersion;
 use lichenpulley_protocol::caller::{Sample, Slot};
 use serde::{Deserialize, Serialize};
 
 use crate::error::LabError;
+use crate::locked::lock;
 
 /// A sample that the trainer holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -90,7 +91,7 @@
     /// When the file can't be read or is damaged.
     pub fn load(&self) -> Result<Option<TrainerState>, LabError> {
         match self {
-            Self::Memory(state) => Ok(state.lock().unwrap_or_else(PoisonError::into_inner).clone()),
+            Self::Memory(state) => Ok(lock(state).clone()),
             Self::File(path) if !path.exists() => Ok(None),
             Self::File(path) => {
                 let bytes = std::fs::read(path).map_err(|source| self.failed("read", source))?;
@@ -107,7 +108,7 @@
     pub fn save(&self, new: &TrainerState) -> Result<(), LabError> {
         match self {
             Self::Memory(state) => {
-                *state.lock().unwrap_or_else(PoisonError::into_inner) = Some(new.clone());
+                *lock(state) = Some(new.clone());
                 Ok(())
             }
             Self::File(path) => {
--- a/crates/lab/src/trainer/training.rs
+++ b/crates/lab/src/trainer/training.rs
@@ -1,8 +1,8 @@
 //! The trainer's loop.
 
 use std::net::SocketAddr;
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use lichenpulley_core::identity::WeightVersion;
@@ -16,6 +16,7 @@
 use super::report::{Clock, TrainerReport, report};
 use super::state::{TakenSample, TrainedStep, TrainerState};
 use crate::error::LabError;
+use crate::locked::lock;
 
 /// The longest that one call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -229,7 +230,3 @@
         gateways[self.gateway.load(Ordering::Relaxed) % gateways.len()]
     }
 }
-
-fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/lab/src/weight_store.rs
+++ b/crates/lab/src/weight_store.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 use bytes::Bytes;
 use futures::stream;
@@ -18,6 +18,7 @@
 use crate::arguments::{self, StandInArguments};
 use crate::error::LabError;
 use crate::http::{self, Reply, Server, bad_request, json, not_found};
+use crate::locked::lock;
 
 /// Bytes that are sent at once, and the unit in which the rate is kept.
 const CHUNK_BYTES: u32 = 64 * 1024;
@@ -66,7 +67,7 @@
 
 impl Store {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 
     /// Waits until the rate allows the next chunk.
