--- a/crates/lab/src/demo/summary.rs
+++ b/crates/lab/src/demo/summary.rs
@@ -117,16 +117,14 @@
 
     fn write_trainer(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let trainer = &self.trainer;
-        let waits: Vec<String> = trainer.idle_ms_by_step.iter().map(u64::to_string).collect();
         writeln!(formatter, "Trainer")?;
         writeln!(
             formatter,
-            "  idle {} ms, training {} ms: idle {:.0} % of the time",
+            "  idle {} ms, training {} ms: idle {:.0} % of the time\n",
             trainer.idle_ms,
             trainer.training_ms,
             trainer.idle_share() * 100.0
-        )?;
-        writeln!(formatter, "  waited for each step, in ms   {}\n", waits.join(", "))
+        )
     }
 
     fn write_live(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/lab/src/engine/faults.rs
+++ b/crates/lab/src/engine/faults.rs
@@ -62,8 +62,6 @@
     pub streams_admitted: u64,
     /// Requests refused before admission.
     pub refused: u64,
-    /// Tokens generated.
-    pub tokens_generated: u64,
     /// Streams admitted by attempt: more than one only where a crash lay between.
     pub by_attempt: BTreeMap<AttemptId, u64>,
     /// Streams admitted by prompt.
--- a/crates/lab/src/engine/service.rs
+++ b/crates/lab/src/engine/service.rs
@@ -160,10 +160,7 @@
 
     /// What the engine has done so far.
     pub fn counters(&self) -> EngineCounters {
-        let state = self.lock();
-        let mut counters = state.counters.clone();
-        counters.tokens_generated += state.model.as_ref().map_or(0, EngineModel::tokens_generated);
-        counters
+        self.lock().counters.clone()
     }
 
     /// Brings a fault about.
@@ -276,9 +273,7 @@
     }
 
     fn end_incarnation(&mut self) {
-        if let Some(model) = self.model.take() {
-            self.counters.tokens_generated += model.tokens_generated();
-        }
+        self.model = None;
         self.incarnation.cancel();
     }
 
--- a/crates/lab/src/trainer/report.rs
+++ b/crates/lab/src/trainer/report.rs
@@ -33,8 +33,6 @@
     pub idle_ms: u64,
     /// Milliseconds of training.
     pub training_ms: u64,
-    /// Milliseconds in which each step waited for its samples.
-    pub idle_ms_by_step: Vec<u64>,
     /// How often it crashed.
     pub crashes: u64,
 }
@@ -52,7 +50,6 @@
 pub(super) struct Clock {
     pub idle: Duration,
     pub training: Duration,
-    pub idle_by_step: Vec<Duration>,
     pub crashes: u64,
     pub finished: bool,
 }
@@ -69,7 +66,6 @@
         steps: state.trained.len() as u64,
         idle_ms: clock.idle.as_millis() as u64,
         training_ms: clock.training.as_millis() as u64,
-        idle_ms_by_step: clock.idle_by_step.iter().map(|idle| idle.as_millis() as u64).collect(),
         crashes: clock.crashes,
         ..TrainerReport::default()
     };
--- a/crates/lab/src/trainer/training.rs
+++ b/crates/lab/src/trainer/training.rs
@@ -126,10 +126,7 @@
     async fn take_step(&self, state: &mut TrainerState) -> Result<bool, Interruption> {
         let begin = Instant::now();
         let finished = self.take_samples(state).await;
-        let idle = begin.elapsed();
-        let mut clock = lock(&self.clock);
-        clock.idle += idle;
-        clock.idle_by_step.push(idle);
+        lock(&self.clock).idle += begin.elapsed();
         finished
     }
 
