--- a/crates/lab/src/demo/live.rs
+++ b/crates/lab/src/demo/live.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::LabError;
-use crate::load::{self, CallOptions, LoadOptions, LoadReport, Pacing, Target, WorkloadConfig};
+use crate::load::{self, CallOptions, LoadOptions, LoadReport, Pacing, Target};
 
 const REQUESTS_PER_SECOND: f64 = 50.0;
 const MAX_TOKENS: u32 = 32;
@@ -46,7 +46,6 @@
             },
             pacing: Pacing::Open { per_second: REQUESTS_PER_SECOND },
             duration: longest,
-            workload: WorkloadConfig::default(),
         };
         let stop = CancellationToken::new();
         let stopped = stop.clone();
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -17,7 +17,7 @@
 pub use self::call::{CallOptions, CallOutcome, Target};
 use self::report::Recorder;
 pub use self::report::{LoadReport, Quantiles};
-pub use self::workload::{Prompt, Workload, WorkloadConfig};
+pub use self::workload::{Prompt, Workload};
 use crate::locked::lock;
 
 /// How long a connection may take to be made.
@@ -49,8 +49,6 @@
     pub pacing: Pacing,
     /// How long they are sent; those running at the end are waited for.
     pub duration: Duration,
-    /// The prompts.
-    pub workload: WorkloadConfig,
 }
 
 struct Run {
@@ -66,7 +64,7 @@
     let begin = Instant::now();
     let run = Arc::new(Run {
         client: HttpClient::new(CONNECT_TIMEOUT),
-        workload: Mutex::new(Workload::new(options.workload)),
+        workload: Mutex::new(Workload::default()),
         recorder: Mutex::default(),
         sent: AtomicU64::new(0),
         options,
--- a/crates/lab/src/load/workload.rs
+++ b/crates/lab/src/load/workload.rs
@@ -8,22 +8,15 @@
 /// Words that prefixes are made of.
 const WORDS: [&str; 8] = ["screen", "battery", "market", "permit", "stall", "ticket", "price", "repair"];
 
-/// How prompts are drawn.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkloadConfig {
-    /// Groups that share a prefix; the n-th is drawn in proportion to 1/n.
-    pub prefix_groups: u32,
-    /// Bytes of each prefix.
-    pub prefix_bytes: usize,
-    /// The seed of the draws.
-    pub seed: u64,
-}
+/// Groups that share a prefix; the n-th is drawn in proportion to 1/n. Chosen, not measured: enough for a few popular
+/// ones and many rare ones.
+const PREFIX_GROUPS: u32 = 32;
 
-impl Default for WorkloadConfig {
-    fn default() -> Self {
-        Self { prefix_groups: 32, prefix_bytes: 512, seed: 1 }
-    }
-}
+/// Bytes of each prefix. Chosen, not measured: eight blocks of the stand-in engine's prefix cache.
+const PREFIX_BYTES: usize = 512;
+
+/// The seed of the draws: every run draws the same prompts.
+const SEED: u64 = 1;
 
 /// One prompt, and the seed under which it is sampled.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,26 +34,25 @@
     prefixes: Vec<String>,
     cumulative_weights: Vec<f64>,
     drawn: u64,
-    seed: u64,
 }
 
-impl Workload {
-    /// A workload; the same configuration draws the same prompts.
-    pub fn new(config: WorkloadConfig) -> Self {
-        let groups = config.prefix_groups.max(1);
-        let weights = (1..=groups).scan(0.0, |sum, rank| {
+impl Default for Workload {
+    /// A workload; each draws the same prompts.
+    fn default() -> Self {
+        let weights = (1..=PREFIX_GROUPS).scan(0.0, |sum, rank| {
             *sum += 1.0 / f64::from(rank);
             Some(*sum)
         });
         Self {
-            random: Pcg64Mcg::seed_from_u64(config.seed),
-            prefixes: (0..groups).map(|group| prefix(group, config.prefix_bytes)).collect(),
+            random: Pcg64Mcg::seed_from_u64(SEED),
+            prefixes: (0..PREFIX_GROUPS).map(|group| prefix(group, PREFIX_BYTES)).collect(),
             cumulative_weights: weights.collect(),
             drawn: 0,
-            seed: config.seed,
         }
     }
+}
 
+impl Workload {
     /// The next prompt; no two are alike.
     pub fn draw(&mut self) -> Prompt {
         let whole = self.cumulative_weights.last().copied().unwrap_or(1.0);
@@ -68,7 +60,7 @@
         let group = self.cumulative_weights.partition_point(|weight| *weight <= point);
         self.drawn += 1;
         let prefix = &self.prefixes[group.min(self.prefixes.len() - 1)];
-        Prompt { text: format!("{prefix}question {}-{}", self.seed, self.drawn), seed: self.random.random() }
+        Prompt { text: format!("{prefix}question {}-{}", SEED, self.drawn), seed: self.random.random() }
     }
 
     /// The time to the next arrival of a Poisson process with this rate, in seconds.
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -6,7 +6,7 @@
 use lichenpulley_lab::engine::faults::{EngineFault, WireFaults};
 use lichenpulley_lab::engine::{Engine, EngineOptions, start};
 use lichenpulley_lab::load::{
-    CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, Workload, WorkloadConfig, generate,
+    CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, Workload, generate,
 };
 use lichenpulley_protocol::caller::Priority;
 use tokio_util::sync::CancellationToken;
@@ -31,7 +31,6 @@
         },
         pacing: Pacing::Closed { callers: CALLERS },
         duration: Duration::from_millis(100),
-        workload: WorkloadConfig::default(),
     };
     generate(options, &CancellationToken::new()).await
 }
@@ -66,7 +65,7 @@
 #[test]
 fn the_same_seed_draws_the_same_prompts() {
     let draw = || {
-        let mut workload = Workload::new(WorkloadConfig::default());
+        let mut workload = Workload::default();
         (0..100).map(|_| workload.draw()).collect::<Vec<_>>()
     };
     assert_eq!(draw(), draw());
--- a/crates/lab/tests/rolling_restart.rs
+++ b/crates/lab/tests/rolling_restart.rs
@@ -8,9 +8,7 @@
 use lichenpulley_daemon::http::client::HttpClient;
 use lichenpulley_daemon::node::Node;
 use lichenpulley_lab::demo::system::{PoolPlan, System, SystemPlan};
-use lichenpulley_lab::load::{
-    CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, WorkloadConfig, generate,
-};
+use lichenpulley_lab::load::{CallOptions, CallOutcome, LoadOptions, LoadReport, Pacing, Target, generate};
 use lichenpulley_protocol::caller::{JobSpecification, JobStatus, Priority, PullRequest, PullResponse, Slot};
 use tokio_util::sync::CancellationToken;
 
@@ -40,7 +38,6 @@
         },
         pacing: Pacing::Closed { callers: CALLERS },
         duration: PATIENCE,
-        workload: WorkloadConfig::default(),
     }
 }
 
