--- a/crates/lab/src/engine/cache.rs
+++ b/crates/lab/src/engine/cache.rs
@@ -12,23 +12,12 @@
 /// Events kept for readers.
 const EVENT_BACKLOG: usize = 1_024;
 
-/// How the cache behaves.
-#[derive(Clone, Debug)]
-pub struct CacheConfig {
-    /// Prompt blocks that fit.
-    pub blocks: NonZeroUsize,
-    /// How late events are published.
-    pub event_lag: Duration,
-    /// Every so many events one is lost; zero loses none.
-    pub lose_every: u64,
-}
-
-impl Default for CacheConfig {
-    fn default() -> Self {
-        let blocks = NonZeroUsize::new(1_024).unwrap_or(NonZeroUsize::MIN);
-        Self { blocks, event_lag: Duration::from_millis(500), lose_every: 17 }
-    }
-}
+/// Prompt blocks that fit. Chosen, not measured: small enough that blocks are evicted under load.
+const BLOCKS: NonZeroUsize = NonZeroUsize::new(1_024).unwrap();
+/// How late events are published. Chosen, not measured: a router's view of the cache is never that of now.
+const EVENT_LAG: Duration = Duration::from_millis(500);
+/// Every so many events one is lost. Chosen, not measured: a reader has to live with gaps.
+const LOSE_EVERY: u64 = 17;
 
 /// Blocks of one prompt as the cache saw them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -42,19 +31,19 @@
 /// A prefix cache.
 #[derive(Debug)]
 pub struct PrefixCache {
-    config: CacheConfig,
     blocks: LruCache<u64, ()>,
     events: VecDeque<(Timestamp, CacheEvent)>,
     next_sequence: u64,
 }
 
-impl PrefixCache {
+impl Default for PrefixCache {
     /// An empty cache.
-    pub fn new(config: CacheConfig) -> Self {
-        let blocks = LruCache::new(config.blocks);
-        Self { config, blocks, events: VecDeque::new(), next_sequence: 1 }
+    fn default() -> Self {
+        Self { blocks: LruCache::new(BLOCKS), events: VecDeque::new(), next_sequence: 1 }
     }
+}
 
+impl PrefixCache {
     /// Looks the prompt's blocks up and then caches all of them.
     pub fn admit(&mut self, now: Timestamp, prompt: &str) -> CacheLookup {
         let mut lookup = CacheLookup::default();
@@ -90,7 +79,7 @@
 
     /// Events after `after` that are old enough to be published.
     pub fn events(&self, now: Timestamp, after: u64) -> CacheEvents {
-        let published = |at: Timestamp| at + self.config.event_lag <= now;
+        let published = |at: Timestamp| at + EVENT_LAG <= now;
         let chosen = self.events.iter().filter(|(at, event)| published(*at) && event.sequence > after);
         CacheEvents { events: chosen.map(|(_, event)| event.clone()).collect() }
     }
@@ -98,8 +87,7 @@
     fn record(&mut self, now: Timestamp, prefix: u64, cached: bool) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let lost = self.config.lose_every != 0 && sequence.is_multiple_of(self.config.lose_every);
-        if lost {
+        if sequence.is_multiple_of(LOSE_EVERY) {
             return;
         }
         if self.events.len() == EVENT_BACKLOG {
--- a/crates/lab/src/engine/event_source.rs
+++ b/crates/lab/src/engine/event_source.rs
@@ -104,7 +104,7 @@
             encode(&StreamEvent::Admitted { replica: self.shared.replica().clone(), load }, &mut bytes);
         }
         let Some(slice) = self.shared.read(&self.attempt, self.next_token) else {
-            // Cancelled, or so far behind that the replay ring has lost its place.
+            // Cancelled, or ended so long ago that it is forgotten.
             let reason = "the stream was cancelled, or its tokens are no longer kept".to_owned();
             encode(&StreamEvent::Failed { reason }, &mut bytes);
             self.ended = true;
--- a/crates/lab/src/engine/load.rs
+++ b/crates/lab/src/engine/load.rs
@@ -9,6 +9,9 @@
 /// The window in which tokens are counted for the reported rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
+/// How old load reports are. Chosen, not measured: a router must not take a report for the present.
+const LOAD_LAG: Duration = Duration::from_millis(200);
+
 #[derive(Clone, Copy, Debug)]
 struct Counts {
     at: Timestamp,
@@ -17,20 +20,14 @@
 }
 
 /// Counts over the last moments, so that a report can lag.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub struct LoadHistory {
-    lag: Duration,
     counts: VecDeque<Counts>,
     tokens: VecDeque<(Timestamp, u32)>,
     tokens_in_window: u32,
 }
 
 impl LoadHistory {
-    /// An empty history whose reports are `lag` old.
-    pub const fn new(lag: Duration) -> Self {
-        Self { lag, counts: VecDeque::new(), tokens: VecDeque::new(), tokens_in_window: 0 }
-    }
-
     /// Records the counts from `now` on.
     pub fn record(&mut self, now: Timestamp, running: u32, queued: u32) {
         let counts = Counts { at: now, running, queued };
@@ -38,7 +35,7 @@
             Some(last) if last.at == now => *last = counts,
             _ => self.counts.push_back(counts),
         }
-        while self.counts.get(1).is_some_and(|second| second.at + self.lag <= now) {
+        while self.counts.get(1).is_some_and(|second| second.at + LOAD_LAG <= now) {
             self.counts.pop_front();
         }
     }
@@ -63,9 +60,9 @@
 
     /// `present` with the running and queued counts that held one lag ago.
     pub fn lagging(&self, now: Timestamp, present: LoadReport) -> LoadReport {
-        let then = self.counts.iter().rev().find(|counts| counts.at + self.lag <= now);
+        let then = self.counts.iter().rev().find(|counts| counts.at + LOAD_LAG <= now);
         let (running, queued) = then.map_or((0, 0), |counts| (counts.running, counts.queued));
-        let age_ms = self.lag.as_millis() as u64;
+        let age_ms = LOAD_LAG.as_millis() as u64;
         LoadReport { running, queued, age_ms, ..present }
     }
 }
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -30,7 +30,7 @@
 use crate::error::LabError;
 use crate::http::{self, ANY_PORT, Server};
 
-pub use self::cache::{CacheConfig, CacheLookup};
+pub use self::cache::CacheLookup;
 pub use self::stream::{End, Slice, TokenRun};
 
 /// How an engine is started.
--- a/crates/lab/src/engine/model.rs
+++ b/crates/lab/src/engine/model.rs
@@ -16,7 +16,7 @@
 
 use super::answer::Answer;
 use super::batch::Batch;
-use super::cache::{CacheConfig, CacheLookup, PrefixCache};
+use super::cache::{CacheLookup, PrefixCache};
 use super::load::LoadHistory;
 use super::stream::{Slice, Stage, Stream};
 use super::weights::{Fences, Weights};
@@ -24,6 +24,12 @@
 /// Tokens of a known answer that count as one block of prefill.
 const PRIOR_TOKENS_PER_BLOCK: u32 = 16;
 
+/// Uncached prompt blocks that a stream prefills in one step. Chosen, not measured: a long prompt costs some steps.
+const PREFILL_BLOCKS_PER_STEP: u64 = 4;
+
+/// How long a stream that has ended can still be read. Chosen, not measured: longer than any test's reconnection.
+const RETENTION: Duration = Duration::from_secs(30);
+
 /// How an engine behaves.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
@@ -35,18 +41,8 @@
     pub queue_limit: u32,
     /// Time of a step with an empty batch.
     pub step_time: Duration,
-    /// Uncached prompt blocks that a stream prefills in one step.
-    pub prefill_blocks_per_step: u32,
-    /// How old load reports are.
-    pub load_lag: Duration,
     /// Time of a weight swap, during which nothing is generated.
     pub swap_time: Duration,
-    /// Tokens kept of each stream for replay.
-    pub replay_tokens: u32,
-    /// How long a stream that has ended can still be read.
-    pub retention: Duration,
-    /// The prefix cache.
-    pub cache: CacheConfig,
 }
 
 impl EngineConfig {
@@ -57,12 +53,7 @@
             capacity: 16,
             queue_limit: 256,
             step_time: Duration::from_millis(5),
-            prefill_blocks_per_step: 4,
-            load_lag: Duration::from_millis(200),
             swap_time: Duration::from_millis(200),
-            replay_tokens: 8_192,
-            retention: Duration::from_secs(30),
-            cache: CacheConfig::default(),
         }
     }
 }
@@ -118,10 +109,10 @@
             streams: HashMap::new(),
             ended: VecDeque::new(),
             batch: Batch::new(config.capacity as usize),
-            cache: PrefixCache::new(config.cache.clone()),
+            cache: PrefixCache::default(),
             weights: Weights::new(weight_version),
             fences: Fences::default(),
-            load: LoadHistory::new(config.load_lag),
+            load: LoadHistory::default(),
             step_due: None,
             changed: Vec::new(),
             slow_percent: 100,
@@ -146,7 +137,7 @@
         if !answer.starts_with(&request.prior_tokens) {
             return Err(SubmitError::WrongPriorTokens(request.attempt.clone()));
         }
-        let mut stream = Stream::new(request, answer, self.config.replay_tokens);
+        let mut stream = Stream::new(request, answer);
         let lookup = self.cache.admit(now, &request.prompt);
         stream.stage = Stage::Queued { prefill_steps: self.prefill_steps(lookup, stream.next_token()) };
         self.streams.insert(request.attempt.clone(), Some(stream));
@@ -270,7 +261,7 @@
     fn prefill_steps(&self, lookup: CacheLookup, prior_tokens: u32) -> u32 {
         let prior_blocks = prior_tokens.div_ceil(PRIOR_TOKENS_PER_BLOCK);
         let missing = lookup.blocks - lookup.cached + u64::from(prior_blocks);
-        let steps = missing.div_ceil(u64::from(self.config.prefill_blocks_per_step.max(1)));
+        let steps = missing.div_ceil(PREFILL_BLOCKS_PER_STEP);
         u32::try_from(steps).unwrap_or(u32::MAX)
     }
 
@@ -343,9 +334,8 @@
 
     /// Drops streams that ended long ago. Their ids stay for as long again, so that a late repeat starts nothing.
     fn forget_ended(&mut self, now: Timestamp) {
-        let retention = self.config.retention;
         while let Some((at, _)) = self.ended.front()
-            && *at + retention <= now
+            && *at + RETENTION <= now
         {
             if let Some((_, attempt)) = self.ended.pop_front() {
                 self.forget(now, attempt);
--- a/crates/lab/src/engine/stream.rs
+++ b/crates/lab/src/engine/stream.rs
@@ -1,6 +1,4 @@
-//! One stream of the engine: numbered tokens, each with the weights that produced it, kept in a replay ring.
-
-use std::collections::VecDeque;
+//! One stream of the engine: numbered tokens, each with the weights that produced it, kept for replay.
 
 use lichenpulley_core::identity::WeightVersion;
 use lichenpulley_protocol::caller::{FinishReason, VersionSpan};
@@ -64,13 +62,12 @@
     pub end: Option<End>,
     max_tokens: u32,
     next_token: u32,
-    spans: VecDeque<VersionSpan>,
-    replay_tokens: u32,
+    spans: Vec<VersionSpan>,
 }
 
 impl Stream {
-    /// A queued stream that goes on after the request's prior tokens and keeps the last `replay_tokens` tokens.
-    pub fn new(request: &StreamRequest, answer: Answer, replay_tokens: u32) -> Self {
+    /// A queued stream that goes on after the request's prior tokens.
+    pub fn new(request: &StreamRequest, answer: Answer) -> Self {
         let next_token = u32::try_from(request.prior_tokens.len()).unwrap_or(u32::MAX);
         Self {
             answer,
@@ -78,8 +75,7 @@
             end: None,
             max_tokens: request.max_tokens,
             next_token,
-            spans: VecDeque::new(),
-            replay_tokens: replay_tokens.max(1),
+            spans: Vec::new(),
         }
     }
 
@@ -128,7 +124,7 @@
 
     /// Tokens from number `from` on; `None` where the ring no longer has them or they are of the future.
     pub fn read(&self, from: u32) -> Option<Slice> {
-        let first_kept = self.spans.front().map_or(self.next_token, |span| span.first_token);
+        let first_kept = self.spans.first().map_or(self.next_token, |span| span.first_token);
         if from < first_kept || from > self.next_token {
             return None;
         }
@@ -147,31 +143,12 @@
     }
 
     fn append(&mut self, weight_version: WeightVersion) {
-        match self.spans.back_mut() {
+        match self.spans.last_mut() {
             Some(span) if span.weight_version == weight_version => span.token_count += 1,
-            _ => self.spans.push_back(VersionSpan {
-                weight_version,
-                first_token: self.next_token,
-                token_count: 1,
-            }),
-        }
-        self.next_token += 1;
-        self.trim();
-    }
-
-    /// Drops what lies before the replay ring.
-    fn trim(&mut self) {
-        let first_kept = self.next_token.saturating_sub(self.replay_tokens);
-        while let Some(span) = self.spans.front_mut() {
-            let end = span.first_token + span.token_count;
-            if end <= first_kept {
-                self.spans.pop_front();
-                continue;
+            _ => {
+                self.spans.push(VersionSpan { weight_version, first_token: self.next_token, token_count: 1 })
             }
-            let dropped = first_kept.saturating_sub(span.first_token);
-            span.first_token += dropped;
-            span.token_count -= dropped;
-            return;
         }
+        self.next_token += 1;
     }
 }
