--- a/crates/lab/src/engine/stream.rs
+++ b/crates/lab/src/engine/stream.rs
@@ -122,7 +122,7 @@
         self.next_token >= self.answer.token_count(self.max_tokens)
     }
 
-    /// Tokens from number `from` on; `None` where the ring no longer has them or they are of the future.
+    /// Tokens from number `from` on; `None` where they came with the request or are of the future.
     pub fn read(&self, from: u32) -> Option<Slice> {
         let first_kept = self.spans.first().map_or(self.next_token, |span| span.first_token);
         if from < first_kept || from > self.next_token {
--- a/crates/lab/src/platform_replica/answers.rs
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -12,7 +12,7 @@
 use lichenpulley_platform::replica::{LoadOrder, ORDER_PATH, REPORT_PATH, ReplicaReport};
 
 use super::event_stream::{StreamGuard, events};
-use super::{Behaviour, SeenRequest, State, crash, models};
+use super::{ReplicaBehaviour, SeenRequest, State, crash, models};
 use crate::http::{self, Body, Reply};
 use crate::locked::lock;
 
@@ -74,7 +74,7 @@
     if !stands {
         return Reply::Hang;
     }
-    if behaviour == Behaviour::Rejects {
+    if behaviour == ReplicaBehaviour::Rejects {
         return signed(StatusCode::SERVICE_UNAVAILABLE, &seen.id, &[(headers::NOT_RUN, "1")]).into();
     }
     lock(state).seen.push(seen.clone());
@@ -86,9 +86,9 @@
         return Reply::Hang;
     }
     match behaviour {
-        Behaviour::LosesAnswers => Reply::Hang,
-        Behaviour::Fails => signed(StatusCode::INTERNAL_SERVER_ERROR, &seen.id, &[]).into(),
-        Behaviour::AnswersForAnother => signed(StatusCode::OK, "another", &[]).into(),
+        ReplicaBehaviour::LosesAnswers => Reply::Hang,
+        ReplicaBehaviour::Fails => signed(StatusCode::INTERNAL_SERVER_ERROR, &seen.id, &[]).into(),
+        ReplicaBehaviour::AnswersForAnother => signed(StatusCode::OK, "another", &[]).into(),
         _ if is_stream => {
             let guard = StreamGuard { state: Arc::clone(state), is_whole: false, ends };
             events(&plan, behaviour, &seen, guard).into()
--- a/crates/lab/src/platform_replica/event_stream.rs
+++ b/crates/lab/src/platform_replica/event_stream.rs
@@ -11,7 +11,7 @@
 use lichenpulley_platform::headers;
 
 use super::answers::signed;
-use super::{Behaviour, ReplicaPlan, SeenRequest, State, crash};
+use super::{ReplicaBehaviour, ReplicaPlan, SeenRequest, State, crash};
 use crate::http::Body;
 use crate::locked::lock;
 
@@ -44,14 +44,14 @@
 /// A stream of numbered events after the one that the reader has.
 pub(super) fn events(
     plan: &ReplicaPlan,
-    behaviour: Behaviour,
+    behaviour: ReplicaBehaviour,
     seen: &SeenRequest,
     guard: StreamGuard,
 ) -> Response<Body> {
     let last = seen.headers.get(headers::LAST_EVENT_ID).and_then(|number| number.parse::<u64>().ok());
     let first = last.map_or(0, |number| number + 1);
     let broken_at = match behaviour {
-        Behaviour::BreaksAfter(events) => first + events,
+        ReplicaBehaviour::BreaksAfter(events) => first + events,
         _ if guard.ends => first + EVENTS_BEFORE_END,
         _ => u64::MAX,
     };
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -25,7 +25,7 @@
 
 /// How a replica treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Behaviour {
+pub enum ReplicaBehaviour {
     /// As it should.
     #[default]
     Well,
@@ -73,7 +73,7 @@
 
 struct State {
     plan: ReplicaPlan,
-    behaviour: Behaviour,
+    behaviour: ReplicaBehaviour,
     seen: Vec<SeenRequest>,
     orders: Vec<LoadOrder>,
     /// When it started, in milliseconds since the Unix epoch.
@@ -105,7 +105,7 @@
 /// # Errors
 /// When the address can't be had.
 pub async fn start_at(address: SocketAddr, plan: ReplicaPlan) -> Result<Replica, LabError> {
-    let behaviour = Behaviour::Well;
+    let behaviour = ReplicaBehaviour::Well;
     let state = State {
         plan,
         behaviour,
@@ -127,7 +127,7 @@
 
 impl Replica {
     /// Behaves otherwise from now on.
-    pub fn set_behaviour(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
--- a/crates/lab/src/simulations/configuration/mod.rs
+++ b/crates/lab/src/simulations/configuration/mod.rs
@@ -8,13 +8,13 @@
 mod changes;
 pub mod checks;
 pub mod history;
-pub mod machine;
 pub mod membership;
 pub mod node;
 pub mod operator;
 pub mod options;
 pub mod packet;
 pub mod platform;
+pub mod process;
 mod report;
 pub mod world;
 
--- a/crates/lab/src/simulations/configuration/machine.rs
+++ b/crates/lab/src/simulations/configuration/process.rs
@@ -10,7 +10,7 @@
 process_kinds! {
     /// A process.
     #[derive(Debug)]
-    pub enum Machine(Packet) {
+    pub enum WorldProcess(Packet) {
         /// The object API.
         Platform(Platform),
         /// One of our nodes.
--- a/crates/lab/src/simulations/configuration/world/mod.rs
+++ b/crates/lab/src/simulations/configuration/world/mod.rs
@@ -16,13 +16,13 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::checks::{self, Violation};
-use super::machine::Machine;
 use super::membership::{Reachability, Views};
 use super::node::Node;
 use super::operator::{ChangeEnd, ChangeRecord, Operator};
 use super::options::{SwitchedOff, WorldOptions};
 use super::packet::{PLATFORM, node_process};
 use super::platform::{Platform, PlatformFaults};
+use super::process::WorldProcess;
 use super::report::RunReport;
 
 /// Time between two observations of the world.
@@ -43,7 +43,7 @@
 pub struct World {
     seed: u64,
     options: WorldOptions,
-    simulation: Simulation<Machine>,
+    simulation: Simulation<WorldProcess>,
     views: Views,
     reachability: Reachability,
     /// Since when each node has been running and connected.
@@ -179,7 +179,7 @@
             }
             Fault::Restart(_) | Fault::Kill(_) | Fault::Freeze(..) => {}
         }
-        self.simulation.apply(fault, Machine::restarted);
+        self.simulation.apply(fault, WorldProcess::restarted);
     }
 
     fn set_platform(&mut self, faults: PlatformFaults) {
--- a/crates/lab/src/simulations/requests/checks.rs
+++ b/crates/lab/src/simulations/requests/checks.rs
@@ -61,7 +61,7 @@
 
 /// What schedules did, so that a run without violations can be seen to have tried something.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OutcomeTally {
     /// Requests submitted.
     pub submitted: u64,
     /// Answered whole.
@@ -80,7 +80,7 @@
     pub faults: u64,
 }
 
-impl Tally {
+impl OutcomeTally {
     /// Adds the figures of another schedule.
     pub fn add(&mut self, other: &Self) {
         self.submitted += other.submitted;
--- a/crates/lab/src/simulations/requests/mod.rs
+++ b/crates/lab/src/simulations/requests/mod.rs
@@ -15,15 +15,15 @@
 mod schedule;
 mod submission;
 
-pub use checks::{Tally, Violation};
+pub use checks::{OutcomeTally, Violation};
 pub use mechanisms::Mechanisms;
-pub use schedule::{RunReport, Schedule};
+pub use schedule::{RequestSchedule, RunReport};
 
 use crate::simulations::ScheduleReport;
 
 /// Runs the schedule of a seed with every mechanism on.
 pub(crate) fn run_schedule(seed: u64) -> ScheduleReport {
-    let RunReport { violations, tally } = Schedule::draw(seed).run(Mechanisms::ON);
+    let RunReport { violations, tally } = RequestSchedule::draw(seed).run(Mechanisms::ON);
     ScheduleReport {
         violations: violations.iter().map(ToString::to_string).collect(),
         counts: tally.counts(),
--- a/crates/lab/src/simulations/requests/process.rs
+++ b/crates/lab/src/simulations/requests/process.rs
@@ -9,7 +9,7 @@
 
 process_kinds! {
     /// A gateway, an engine or a claim replica.
-    pub enum Role(Message) {
+    pub enum WorldProcess(Message) {
         /// A gateway.
         Gateway(GatewayProcess),
         /// An engine.
--- a/crates/lab/src/simulations/requests/schedule.rs
+++ b/crates/lab/src/simulations/requests/schedule.rs
@@ -11,12 +11,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::checks::{self, Absence, Tally, Violation};
+use super::checks::{self, Absence, OutcomeTally, Violation};
 use super::claims::ClaimProcess;
 use super::engine::{Admission, EngineProcess};
 use super::gateway::GatewayProcess;
 use super::mechanisms::Mechanisms;
-use super::process::Role;
+use super::process::WorldProcess;
 use super::submission::Submission;
 use crate::engine::model::EngineConfig;
 
@@ -48,7 +48,7 @@
 
 /// A schedule.
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub struct RequestSchedule {
     seed: u64,
     link: LinkQuality,
     acts: Vec<(Timestamp, Act)>,
@@ -61,10 +61,10 @@
     /// Broken promises.
     pub violations: Vec<Violation>,
     /// What was done.
-    pub tally: Tally,
+    pub tally: OutcomeTally,
 }
 
-impl Schedule {
+impl RequestSchedule {
     /// Draws a schedule.
     pub fn draw(seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -208,16 +208,16 @@
 }
 
 struct World {
-    simulation: Simulation<Role>,
+    simulation: Simulation<WorldProcess>,
     engines: Vec<ProcessId>,
     gateways: Vec<ProcessId>,
     absences: Vec<Absence>,
     epoch: Epoch,
-    tally: Tally,
+    tally: OutcomeTally,
 }
 
 impl World {
-    fn new(schedule: &Schedule, mechanisms: Mechanisms) -> Self {
+    fn new(schedule: &RequestSchedule, mechanisms: Mechanisms) -> Self {
         let mut simulation = Simulation::new(schedule.seed, schedule.link);
         let engines: Vec<ProcessId> = (0..ENGINES)
             .map(|number| {
@@ -247,7 +247,7 @@
                 simulation.add(gateway.into())
             })
             .collect();
-        let tally = Tally::default();
+        let tally = OutcomeTally::default();
         Self { simulation, engines, gateways, absences: Vec::new(), epoch: Epoch(0), tally }
     }
 
@@ -299,9 +299,9 @@
             && !self.simulation.is_alive(*id)
         {
             let id = *id;
-            return self.simulation.restart(id, Role::restarted);
+            return self.simulation.restart(id, WorldProcess::restarted);
         }
-        self.simulation.apply(fault, Role::restarted);
+        self.simulation.apply(fault, WorldProcess::restarted);
     }
 
     fn change_role(&mut self, engine: usize, role: EngineRole) {
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -7,7 +7,7 @@
 
 use super::proxy::ProxyMode;
 use crate::metadata_store::Condition;
-use crate::platform_replica::Behaviour;
+use crate::platform_replica::ReplicaBehaviour;
 
 /// One fault, for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// A replica is not reached as it should be.
     ReplicaCut(usize, ProxyMode),
     /// A replica misbehaves.
-    Replica(usize, Behaviour),
+    Replica(usize, ReplicaBehaviour),
 }
 
 /// A fault and its length.
@@ -120,10 +120,10 @@
         let conditions = [Condition::Silent, Condition::Resets, Condition::Busy];
         let condition = conditions[random.random_range(0..conditions.len())];
         let behaviours = [
-            Behaviour::Rejects,
-            Behaviour::LosesAnswers,
-            Behaviour::BreaksAfter(2),
-            Behaviour::AnswersForAnother,
+            ReplicaBehaviour::Rejects,
+            ReplicaBehaviour::LosesAnswers,
+            ReplicaBehaviour::BreaksAfter(2),
+            ReplicaBehaviour::AnswersForAnother,
         ];
         let behaviour = behaviours[random.random_range(0..behaviours.len())];
         let fault = match random.random_range(0..10) {
--- a/crates/lab/src/soak/system.rs
+++ b/crates/lab/src/soak/system.rs
@@ -18,7 +18,7 @@
 use super::proxy::LoopbackProxy;
 use crate::error::LabError;
 use crate::metadata_store::{self, MetadataStore};
-use crate::platform_replica::{self, Behaviour, Replica, ReplicaPlan, SeenRequest};
+use crate::platform_replica::{self, Replica, ReplicaBehaviour, ReplicaPlan, SeenRequest};
 pub(super) use storm::WATCHED_FOR;
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
@@ -209,7 +209,7 @@
             let id = format!("spared-{number}");
             let replica = platform_replica::start(replica_plan(&id)).await?;
             if service == "lossy" {
-                replica.set_behaviour(Behaviour::LosesAnswers);
+                replica.set_behaviour(ReplicaBehaviour::LosesAnswers);
             }
             self.platform.put(objects::REPLICAS, &id, replica.record(service, ZONES[number]));
             self.spared.push(replica);
--- a/crates/lab/src/soak/system/storm.rs
+++ b/crates/lab/src/soak/system/storm.rs
@@ -7,7 +7,7 @@
 use super::{STOP_LIMIT, SoakSystem};
 use crate::error::LabError;
 use crate::metadata_store::Condition;
-use crate::platform_replica::Behaviour;
+use crate::platform_replica::ReplicaBehaviour;
 use crate::soak::fault::{Fault, PlannedFault};
 use crate::soak::node::{NodeProcess, data_folder};
 use crate::soak::proxy::ProxyMode;
@@ -67,7 +67,7 @@
             Fault::Platform(_) => self.platform.set_condition(Condition::Well),
             Fault::PlatformCut(number, _) => self.platform_proxies[number].set_mode(ProxyMode::Open),
             Fault::ReplicaCut(number, _) => self.replica_proxies[number].set_mode(ProxyMode::Open),
-            Fault::Replica(number, _) => self.replicas[number].set_behaviour(Behaviour::Well),
+            Fault::Replica(number, _) => self.replicas[number].set_behaviour(ReplicaBehaviour::Well),
         }
         Ok(())
     }
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -20,7 +20,7 @@
 use hyper::{Method, StatusCode};
 use lichenpulley_daemon::node::Node;
 use lichenpulley_lab::metadata_store::Condition;
-use lichenpulley_lab::platform_replica::{Behaviour, Replica};
+use lichenpulley_lab::platform_replica::{Replica, ReplicaBehaviour};
 use lichenpulley_platform::objects;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -80,7 +80,7 @@
     let system = System::start(2, 3).await;
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
     for replica in &system.replicas {
-        replica.set_behaviour(Behaviour::LosesAnswers);
+        replica.set_behaviour(ReplicaBehaviour::LosesAnswers);
     }
     let lost = system.call(0, Method::POST, "/write/x", &[("attempt-id", "w-1")], "x").await;
     assert_eq!(lost.status, StatusCode::BAD_GATEWAY, "it may have run: no promise is made");
@@ -90,12 +90,12 @@
     assert_eq!(repeated.status, StatusCode::BAD_GATEWAY);
     assert_eq!(runs("r-1"), 2, "one that may run twice is tried at each replica");
     for replica in &system.replicas {
-        replica.set_behaviour(Behaviour::Rejects);
+        replica.set_behaviour(ReplicaBehaviour::Rejects);
     }
     let refused = system.call(0, Method::POST, "/write/x", &[("attempt-id", "w-2")], "x").await;
     assert_eq!((refused.status, runs("w-2")), (StatusCode::SERVICE_UNAVAILABLE, 0));
     assert!(refused.headers.contains_key("retry-after"), "it says when to come back");
-    system.replicas[1].set_behaviour(Behaviour::Well);
+    system.replicas[1].set_behaviour(ReplicaBehaviour::Well);
     let served = system.call(0, Method::POST, "/write/x", &[("attempt-id", "w-3")], "x").await;
     assert_eq!((served.status, runs("w-3")), (StatusCode::OK, 1));
 }
@@ -105,7 +105,7 @@
     let system = System::start(2, 3).await;
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
     for replica in &system.replicas {
-        replica.set_behaviour(Behaviour::AnswersForAnother);
+        replica.set_behaviour(ReplicaBehaviour::AnswersForAnother);
     }
     let answer = system.call(0, Method::POST, "/read/x", &[("attempt-id", "r-1")], "x").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
@@ -115,8 +115,8 @@
 async fn a_stream_that_breaks_is_continued_at_another_replica_within_the_same_answer() {
     let system = System::start(2, 20).await;
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
-    system.replicas[0].set_behaviour(Behaviour::BreaksAfter(7));
-    system.replicas[1].set_behaviour(Behaviour::BreaksAfter(15));
+    system.replicas[0].set_behaviour(ReplicaBehaviour::BreaksAfter(7));
+    system.replicas[1].set_behaviour(ReplicaBehaviour::BreaksAfter(15));
     let answer = system.call(0, Method::POST, "/stream/x", &[("attempt-id", "s-1")], "x").await;
     assert_eq!(answer.status, StatusCode::OK);
     let text = String::from_utf8(answer.body.to_vec()).expect("text");
@@ -150,13 +150,13 @@
 #[tokio::test]
 async fn each_result_carries_the_seal_of_its_own_scorer_although_scorers_fail_and_the_owner_is_killed() {
     let mut system = System::start(3, 5).await;
-    system.replicas[0].set_behaviour(Behaviour::AnswersForAnother);
+    system.replicas[0].set_behaviour(ReplicaBehaviour::AnswersForAnother);
     system.submit_scored(0, "job", 12).await;
-    system.replicas[1].set_behaviour(Behaviour::Rejects);
+    system.replicas[1].set_behaviour(ReplicaBehaviour::Rejects);
     let owner = system.owner();
     system.gateways[owner].take().expect("the owner").kill();
     let reader = 1 - owner;
-    system.replicas[1].set_behaviour(Behaviour::Well);
+    system.replicas[1].set_behaviour(ReplicaBehaviour::Well);
     let results = system.results(reader, "job").await;
     assert_eq!(results.len(), 12);
     let seen: Vec<_> = system.replicas.iter().flat_map(Replica::seen).collect();
--- a/crates/lab/tests/platform_regions/mod.rs
+++ b/crates/lab/tests/platform_regions/mod.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, StatusCode};
 use lichenpulley_core::identity::RegionName;
 use lichenpulley_core::ingress::places::ZoneMap;
-use lichenpulley_lab::platform_replica::{Behaviour, Replica};
+use lichenpulley_lab::platform_replica::{Replica, ReplicaBehaviour};
 use lichenpulley_platform::objects;
 use lichenpulley_protocol::operator::{BatchShardStatus, RegionRefusals, RegionsDocument};
 use serde_json::{Value, json};
@@ -89,7 +89,7 @@
         system.call_until(StatusCode::OK, gateway, "/read/x").await;
     }
     for replica in &system.replicas[..2] {
-        replica.set_behaviour(Behaviour::BreaksAfter(1));
+        replica.set_behaviour(ReplicaBehaviour::BreaksAfter(1));
     }
     for number in 0..12 {
         let (read, chat) = (format!("read-{number}"), format!("chat-{number}"));
--- a/crates/lab/tests/requests.rs
+++ b/crates/lab/tests/requests.rs
@@ -1,16 +1,16 @@
 //! Requests under faults on a virtual clock: with every mechanism on no schedule breaks a promise; with one switched
 //! off the same schedules do.
 
-use lichenpulley_lab::simulations::requests::{Mechanisms, Schedule, Tally, Violation};
+use lichenpulley_lab::simulations::requests::{Mechanisms, OutcomeTally, RequestSchedule, Violation};
 
 /// Seeds of the schedules that run in every test run. A longer run: `lichenpulley-lab simulate requests`.
 const SEEDS: std::ops::Range<u64> = 1..31;
 
-fn violations(mechanisms: Mechanisms) -> (Vec<Violation>, Tally) {
+fn violations(mechanisms: Mechanisms) -> (Vec<Violation>, OutcomeTally) {
     let mut all = Vec::new();
-    let mut tally = Tally::default();
+    let mut tally = OutcomeTally::default();
     for seed in SEEDS {
-        let report = Schedule::draw(seed).run(mechanisms);
+        let report = RequestSchedule::draw(seed).run(mechanisms);
         tally.add(&report.tally);
         all.extend(report.violations);
     }
@@ -53,7 +53,7 @@
 #[test]
 fn draining_engines_finish_every_stream_that_they_admitted() {
     for seed in SEEDS {
-        let report = Schedule::draw_drains(seed).run(Mechanisms::ON);
+        let report = RequestSchedule::draw_drains(seed).run(Mechanisms::ON);
         assert_eq!(report.violations, []);
         assert!(report.tally.admissions > 0);
         assert_eq!(report.tally.admissions, report.tally.completed, "no stream was cut off or begun anew");
