--- a/crates/lab/src/simulations/requests/schedule.rs
+++ b/crates/lab/src/simulations/requests/schedule.rs
@@ -295,12 +295,6 @@
             Fault::Restart(id) => self.note_return(*id, now),
             _ => {}
         }
-        if let Fault::Restart(id) = fault
-            && !self.simulation.is_alive(*id)
-        {
-            let id = *id;
-            return self.simulation.restart(id, WorldProcess::restarted);
-        }
         self.simulation.apply(fault, WorldProcess::restarted);
     }
 
--- a/crates/lab/src/simulations/rollout/world.rs
+++ b/crates/lab/src/simulations/rollout/world.rs
@@ -104,12 +104,7 @@
     let mut world = build(seed, mechanisms, &specification);
     let targets: Vec<ProcessId> = world.ids().collect();
     let plan = FaultPlan::draw(seed, &targets, FAULTY, FAULT_RATES);
-    for (at, fault) in plan.faults() {
-        world.run_until(*at);
-        world.apply(fault, WorldProcess::restarted);
-    }
-    world.heal();
-    world.set_link(LinkQuality::GOOD);
+    world.play(&plan, WorldProcess::restarted);
     settle(&mut world);
     let deadline = world.now() + RECOVERY;
     world.run_until_condition(deadline, |world| trainer(world).is_some_and(Trainer::is_finished));
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::faults::Fault;
+use crate::faults::{Fault, FaultPlan};
 use crate::link::LinkQuality;
 
 /// A process of a simulation; given out by [`Simulation::add`] in order from 0.
@@ -279,6 +279,16 @@
         }
     }
 
+    /// Runs through a plan and applies each fault at its time, then heals the network for good.
+    pub fn play(&mut self, plan: &FaultPlan, rebuild: impl Fn(&P) -> P) {
+        for (at, fault) in plan.faults() {
+            self.run_until(*at);
+            self.apply(fault, &rebuild);
+        }
+        self.heal();
+        self.set_link(LinkQuality::GOOD);
+    }
+
     /// Runs all events up to a time, and sets the clock to it.
     pub fn run_until(&mut self, deadline: Timestamp) {
         while self.next_event_at().is_some_and(|at| at <= deadline) {
