--- a/crates/lab/src/engine/service.rs
+++ b/crates/lab/src/engine/service.rs
@@ -1,6 +1,6 @@
 //! Timers round the engine model: steps, weight fetches, freezes and crashes.
 
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use lichenpulley_core::identity::{AttemptId, ReplicaId, WeightVersion};
@@ -17,6 +17,8 @@
 use super::model::{EngineModel, Submission, SubmitError};
 use super::stream::Slice;
 
+use crate::locked::lock;
+
 /// How long the engine waits before it asks the weight store again.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -158,10 +160,7 @@
 
     /// What the engine has done so far.
     pub fn counters(&self) -> EngineCounters {
-        let state = self.lock();
-        let mut counters = state.counters.clone();
-        counters.tokens_generated += state.model.as_ref().map_or(0, EngineModel::tokens_generated);
-        counters
+        self.lock().counters.clone()
     }
 
     /// Brings a fault about.
@@ -262,7 +261,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
 
@@ -274,9 +273,7 @@
     }
 
     fn end_incarnation(&mut self) {
-        if let Some(model) = self.model.take() {
-            self.counters.tokens_generated += model.tokens_generated();
-        }
+        self.model = None;
         self.incarnation.cancel();
     }
 
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,12 +1,12 @@
-//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by callers that wait for one another
-//! (closed loop), each answer verified whole.
+//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by
+//! callers that wait for one another (closed loop), each answer verified whole.
 
 mod call;
 mod report;
 mod workload;
 
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use lichenpulley_daemon::http::client::HttpClient;
@@ -17,7 +17,8 @@
 pub use self::call::{CallOptions, CallOutcome, Target};
 use self::report::Recorder;
 pub use self::report::{LoadReport, Quantiles};
-pub use self::workload::{Prompt, Workload, WorkloadConfig};
+pub use self::workload::{Prompt, Workload};
+use crate::locked::lock;
 
 /// How long a connection may take to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -48,8 +49,6 @@
     pub pacing: Pacing,
     /// How long they are sent; those running at the end are waited for.
     pub duration: Duration,
-    /// The prompts.
-    pub workload: WorkloadConfig,
 }
 
 struct Run {
@@ -65,7 +64,7 @@
     let begin = Instant::now();
     let run = Arc::new(Run {
         client: HttpClient::new(CONNECT_TIMEOUT),
-        workload: Mutex::new(Workload::new(options.workload)),
+        workload: Mutex::new(Workload::default()),
         recorder: Mutex::default(),
         sent: AtomicU64::new(0),
         options,
@@ -122,7 +121,3 @@
         lock(&self.recorder).record(called);
     }
 }
-
-fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
@@ -20,11 +20,12 @@
 
 use crate::error::LabError;
 use crate::http::{self, Server};
+use crate::locked::lock;
 use cold::ColdStretch;
 
 /// How a replica treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Behaviour {
+pub enum ReplicaBehaviour {
     /// As it should.
     #[default]
     Well,
@@ -72,7 +73,7 @@
 
 struct State {
     plan: ReplicaPlan,
-    behaviour: Behaviour,
+    behaviour: ReplicaBehaviour,
     seen: Vec<SeenRequest>,
     orders: Vec<LoadOrder>,
     /// When it started, in milliseconds since the Unix epoch.
@@ -104,7 +105,7 @@
 /// # Errors
 /// When the address can't be had.
 pub async fn start_at(address: SocketAddr, plan: ReplicaPlan) -> Result<Replica, LabError> {
-    let behaviour = Behaviour::Well;
+    let behaviour = ReplicaBehaviour::Well;
     let state = State {
         plan,
         behaviour,
@@ -124,13 +125,9 @@
     Ok(Replica { address, state })
 }
 
-fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Replica {
     /// Behaves otherwise from now on.
-    pub fn set_behaviour(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
