--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -2,7 +2,7 @@
 //! takes over.
 //!
 //! Owns the polling, the takeover of the log and the hand-over to the next candidate. When to take over is
-//! decided in `core::batch::election`, who comes first in [`super::owner_order`]; what follows a takeover is
+//! decided in `core::batch::election`, who comes first in [`crate::ownership::order`]; what follows a takeover is
 //! the [`Owner`]'s.
 
 use std::sync::Arc;
@@ -32,12 +32,10 @@
 use super::follower::LogFollower;
 use super::outline::{self, MissingTexts};
 use super::owner::{Owner, OwnerEnd, Takeover};
-use super::owner_order::rank;
-pub(super) use super::owner_order::{best_other, is_next};
-pub(crate) use super::owner_order::{first_coordinators, is_candidate, rank_among};
-use super::scope::Scope;
 use crate::cluster::Member;
 use crate::ingress::pool::ReplicaPool;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 use crate::store::replica_sets;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
@@ -144,7 +142,7 @@
 
     /// Whether to take over now, and how long the owner before has been silent.
     async fn poll(&mut self, reason: PollReason) -> Option<Duration> {
-        let rank = rank(&self.scope);
+        let rank = order::rank(&self.scope);
         self.polls += 1;
         if reason == PollReason::Due && !election::polls_now(rank, self.polls) {
             return None;
@@ -267,7 +265,7 @@
     /// Asks the next candidate to take over from this node. Without a candidate, or where it gives no answer,
     /// the others notice by themselves that nobody appends.
     async fn hand_over(&self, offer: Option<ProgressOffer>) {
-        let Some(successor) = best_other(&self.scope) else { return };
+        let Some(successor) = order::best_other(&self.scope) else { return };
         let request = BatchRequest::TakeOver(offer);
         let answered = self.scope.ask_peer(successor.peer_address, request, HAND_OVER_TIMEOUT).await;
         if let Err(error) = answered {
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -16,9 +16,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::candidate;
 use super::outline::nearest;
-use super::scope::Scope;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
 /// Time between two readings once all that is decided was read. A takeover goes on from what was read: 16 ms
@@ -134,7 +134,7 @@
         if self.shared.is_owning.load(Ordering::Relaxed) {
             return FollowDuty::Wait;
         }
-        if !candidate::is_next(&self.scope, &node) {
+        if !order::is_next(&self.scope, &node) {
             return FollowDuty::Drop;
         }
         if self.owner.as_ref().is_none_or(|seen| seen.node != *node) {
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::scope::Scope;
 use super::{Command, candidate};
 use crate::ingress::pool::ReplicaPool;
+use crate::ownership::scope::Scope;
 
 /// Requests that wait for the owner before senders have to wait. Chosen, not measured: greater costs memory
 /// while the owner stands still; smaller makes peers wait in a burst.
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -19,8 +19,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::scope::Scope;
 use crate::metadata::retirements::Retirements;
+use crate::ownership::scope::Scope;
 use crate::store::log_writer::Replacement;
 use crate::store::{exchange, placement, replica_sets};
 
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -13,10 +13,8 @@
 mod load;
 mod outline;
 mod owner;
-mod owner_order;
 mod regional_jobs;
 mod run;
-pub(crate) mod scope;
 mod score;
 
 use std::sync::Arc;
@@ -31,10 +29,10 @@
 
 use crate::context::Context;
 use crate::ingress::pool::ReplicaPool;
+use crate::ownership::scope::Scope;
 pub(crate) use end_holder::EndHolder;
 pub(crate) use job_shard::JobShard;
 use regional_jobs::RegionalJobs;
-use scope::Scope;
 
 /// A request to the owner, and where its answer goes.
 pub(super) struct Command {
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::scope::Scope;
 use crate::context::Context;
+use crate::ownership::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
 /// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -38,12 +38,12 @@
 use super::Command;
 use super::load::LoadEnded;
 use super::outline::{self, MissingTexts};
-use super::scope::Scope;
 use super::score::ScoreEnded;
 use crate::context::Context;
 use crate::duties::{self, DutyEnded};
 use crate::ingress::pool::ReplicaPool;
 use crate::metrics::Latency;
+use crate::ownership::scope::Scope;
 use crate::store::log_writer::AppendOutcome;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::Owner;
-use crate::batch::candidate;
+use crate::ownership::order;
 
 /// How long an owner that leaves waits for the stores to keep its progress. Chosen, not measured: shorter,
 /// and runs begin again further back; longer, and nobody works meanwhile.
@@ -33,8 +33,7 @@
     /// Whether a machine that is much more capable has been there for long enough to own in this one's place.
     pub(super) fn should_leave(&mut self) -> bool {
         let own = self.context.settings.machine.capacity();
-        let better =
-            candidate::best_other(&self.scope).filter(|other| own.is_worth_leaving_for(other.capacity));
+        let better = order::best_other(&self.scope).filter(|other| own.is_worth_leaving_for(other.capacity));
         let node = better.as_ref().map(|better| &better.node);
         let is_due = self.leave_watch.poll(node, self.stores.is_confirmed(), self.now());
         if let Some(better) = better.filter(|_| is_due) {
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -13,8 +13,8 @@
 
 use crate::batch::candidate;
 use crate::batch::keeper::StoreKeeper;
-use crate::batch::scope::Scope;
 use crate::boot_clock::{BootClock, BootInstant};
+use crate::ownership::scope::Scope;
 use crate::store::log_writer::{LogWriter, RecordFormat};
 use crate::store::shard_log::ShardLog;
 
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -15,9 +15,9 @@
 use tokio::runtime::Handle;
 
 use super::job_shard::JobShard;
-use super::scope::Scope;
 use crate::context::Context;
 use crate::ingress::pool::ReplicaPool;
+use crate::ownership::scope::Scope;
 
 /// Jobs whose shard is remembered; of others every shard is asked.
 const REMEMBERED_JOBS: usize = 1_024;
--- a/crates/daemon/src/configuration/mod.rs
+++ b/crates/daemon/src/configuration/mod.rs
@@ -5,10 +5,10 @@
 
 pub mod change;
 mod document_task;
-mod handle;
+pub(crate) mod handle;
 pub mod platform;
 mod source;
-mod view;
+pub(crate) mod view;
 
 use lichenpulley_protocol::internal::configuration::DocumentName;
 use lichenpulley_protocol::internal::{ConfigurationRequest, ConfigurationResponse};
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,10 @@
 //!   `logging`, `metrics`, `settings`, and the files of the handles that this file imports;
 //! - above the context: the tasks of the parts. A task reaches another part through that part's handle in the context, or is
 //!   given the handle when it is started (`node::control`);
+//! - between the two: `ownership`, which reads the context for the tasks of `batch` and of `metadata` and imports neither;
 //! - above all parts: `node`, which starts them, and `operators`, which shows them.
+//!
+//! `tests/module_imports.rs` reads the sources and fails where a file that this one imports leads back here.
 
 use std::sync::Arc;
 
@@ -20,15 +23,16 @@
 
 use crate::boot_clock::BootClock;
 use crate::cluster::ClusterView;
-use crate::configuration::{ConfigurationHandle, ConfigurationView};
+use crate::configuration::handle::ConfigurationHandle;
+use crate::configuration::view::ConfigurationView;
 use crate::decisions::DecisionLog;
 use crate::directory::ReplicaDirectory;
-use crate::duties::NodeUsage;
-use crate::membership::MembershipHandle;
-use crate::metadata::MetadataHandle;
+use crate::duties::node_usage::NodeUsage;
+use crate::membership::handle::MembershipHandle;
+use crate::metadata::handle::MetadataHandle;
 use crate::metrics::Metrics;
 use crate::peers::PeerClients;
-use crate::quarantine::QuarantineHandle;
+use crate::quarantine::handle::QuarantineHandle;
 use crate::settings::Settings;
 use crate::store::replica_set_cache::ReplicaSetCache;
 
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -3,6 +3,7 @@
 //! This is the half that makes calls. What a duty is stands in `core::duties`, when one is due in
 //! `core::batch::controller`.
 
+pub(crate) mod node_usage;
 mod usage;
 
 use std::time::Duration;
@@ -17,7 +18,7 @@
 
 use crate::context::Context;
 use crate::http::client::{self, HttpClient};
-pub use usage::{NodeUsage, RunCount};
+pub use usage::RunCount;
 pub(crate) use usage::{hand_over, wall_time};
 
 /// A call without an answer within this time is made again. The platform answers calm calls within some
--- /dev/null
+++ b/crates/daemon/src/duties/node_usage.rs
@@ -0,0 +1,48 @@
+//! What this node counts of requests that began to run, until a holder of the duty has taken it.
+//!
+//! Owns the meter. Usable from any thread; the counts are handed over by [`super::usage`].
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use lichenpulley_core::identity::TenantName;
+use lichenpulley_core::time::Timestamp;
+use lichenpulley_core::usage::meter::UsageMeter;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Counts requests that began to run on this node. Usable from any thread; the lock is held for a moment
+/// only.
+#[derive(Debug)]
+pub struct NodeUsage {
+    meter: Mutex<UsageMeter>,
+    pub(super) counted: Notify,
+    pub(super) origin: Instant,
+    /// This incarnation of this node.
+    pub(super) source: String,
+    pub(super) is_wanted: bool,
+}
+
+impl NodeUsage {
+    /// Nothing is counted yet. Where usage `is_wanted` by nobody nothing ever is.
+    pub fn new(node: &str, is_wanted: bool) -> Self {
+        let life: u32 = rand::random();
+        Self {
+            meter: Mutex::default(),
+            counted: Notify::new(),
+            origin: Instant::now(),
+            source: format!("{node}/{life:x}"),
+            is_wanted,
+        }
+    }
+
+    /// A request of a tenant began to run at `at`.
+    pub(super) fn count(&self, at: Instant, tenant: TenantName) {
+        let at = Timestamp::ORIGIN + at.saturating_duration_since(self.origin);
+        self.meter().count(at, tenant);
+        self.counted.notify_one();
+    }
+
+    pub(super) fn meter(&self) -> MutexGuard<'_, UsageMeter> {
+        self.meter.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -1,14 +1,14 @@
-//! What this node counts, and how it reaches the holder of the duty.
+//! Which requests count, and how the counts reach the holder of the duty.
+//!
+//! Owns the hand-over; what was counted and not yet taken is [`super::node_usage`]'s. Relies on the batch jobs for the
+//! way to the holder.
 
-use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lichenpulley_core::identity::TenantName;
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_core::usage::meter::UsageMeter;
 use lichenpulley_core::usage::window::WallTime;
 use lichenpulley_protocol::internal::{BatchRequest, BatchResponse};
-use tokio::sync::Notify;
 use tokio::time::Instant;
 
 use crate::batch::BatchJobs;
@@ -21,43 +21,6 @@
 /// loses more counts with the node.
 const REPORT_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Counts requests that began to run on this node. Usable from any thread; the lock is held for a moment
-/// only.
-#[derive(Debug)]
-pub struct NodeUsage {
-    meter: Mutex<UsageMeter>,
-    counted: Notify,
-    origin: Instant,
-    /// This incarnation of this node.
-    source: String,
-    is_wanted: bool,
-}
-
-impl NodeUsage {
-    /// Nothing is counted yet. Where usage `is_wanted` by nobody nothing ever is.
-    pub fn new(node: &str, is_wanted: bool) -> Self {
-        let life: u32 = rand::random();
-        Self {
-            meter: Mutex::default(),
-            counted: Notify::new(),
-            origin: Instant::now(),
-            source: format!("{node}/{life:x}"),
-            is_wanted,
-        }
-    }
-
-    /// A request of a tenant began to run at `at`.
-    fn count(&self, at: Instant, tenant: TenantName) {
-        let at = Timestamp::ORIGIN + at.saturating_duration_since(self.origin);
-        self.meter().count(at, tenant);
-        self.counted.notify_one();
-    }
-
-    fn meter(&self) -> MutexGuard<'_, UsageMeter> {
-        self.meter.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
 /// A request that was sent to a replica. It counts as begun when this is dropped, unless it is known not to
 /// have run: a request whose caller left, or whose answer was lost, has run.
 pub struct RunCount {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -22,6 +22,7 @@
 mod metrics;
 pub mod node;
 mod operators;
+mod ownership;
 pub mod peers;
 mod quarantine;
 pub mod settings;
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -4,7 +4,7 @@
 //! that every node holds ride on its messages, so that a node which is behind learns from whom to pull.
 
 mod driver;
-mod handle;
+pub(crate) mod handle;
 mod meter;
 mod report;
 
--- a/crates/daemon/src/metadata/copy.rs
+++ b/crates/daemon/src/metadata/copy.rs
@@ -12,8 +12,8 @@
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataKind};
 use serde_json::Value;
 
-use super::MetadataHandle;
-use crate::quarantine::QuarantineRecords;
+use super::handle::MetadataHandle;
+use crate::quarantine::records::QuarantineRecords;
 
 /// Replicas whose records did not change keep what was read of them: with thousands of replicas, one changes
 /// at a time.
--- a/crates/daemon/src/metadata/freshness.rs
+++ b/crates/daemon/src/metadata/freshness.rs
@@ -7,7 +7,7 @@
 
 use lichenpulley_protocol::internal::MetadataKind;
 
-use super::kind_index;
+use super::kind_index::kind_index;
 use crate::boot_clock::{BootClock, BootInstant};
 
 /// The age of a copy that was never confirmed.
--- a/crates/daemon/src/metadata/handle.rs
+++ b/crates/daemon/src/metadata/handle.rs
@@ -14,11 +14,13 @@
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataKind};
 use tokio::sync::watch;
 
+use super::copy;
+use super::evacuations::EvacuationTimes;
 use super::freshness::Freshness;
 use super::history::CopyHistory;
-use super::{copy, zones};
+use super::kind_index::kind_index;
 use crate::boot_clock::BootClock;
-use crate::quarantine::QuarantineRecords;
+use crate::quarantine::records::QuarantineRecords;
 
 /// What this node knows of the platform's metadata. Traffic threads read it without a lock.
 #[derive(Debug)]
@@ -33,7 +35,7 @@
     pub evacuated: ArcSwap<EvacuatedZones>,
     /// What nodes told of requests under which replicas ended.
     pub(crate) quarantine: ArcSwap<QuarantineRecords>,
-    pub(super) evacuation_news: zones::EvacuationNews,
+    pub(super) evacuation_times: EvacuationTimes,
     copies: [ArcSwapOption<CopyHistory>; MetadataKind::ALL.len()],
     pub(super) freshness: Freshness,
     changes: watch::Sender<u64>,
@@ -49,7 +51,7 @@
             versions: ArcSwap::default(),
             evacuated: ArcSwap::default(),
             quarantine: ArcSwap::default(),
-            evacuation_news: zones::EvacuationNews::default(),
+            evacuation_times: EvacuationTimes::default(),
             copies: Default::default(),
             freshness: Freshness::new(clock),
             changes: watch::Sender::new(0),
@@ -131,13 +133,3 @@
         !is_same
     }
 }
-
-pub(super) const fn kind_index(kind: MetadataKind) -> usize {
-    match kind {
-        MetadataKind::Configuration => 0,
-        MetadataKind::Replicas => 1,
-        MetadataKind::Versions => 2,
-        MetadataKind::Evacuations => 3,
-        MetadataKind::Quarantine => 4,
-    }
-}
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -9,9 +9,11 @@
 mod announcements;
 pub mod client;
 mod copy;
+mod evacuations;
 mod freshness;
-mod handle;
+pub(crate) mod handle;
 pub mod history;
+mod kind_index;
 pub(crate) mod peers;
 mod reachability;
 mod relay;
@@ -26,7 +28,6 @@
 use tokio::time::Instant;
 
 pub use self::handle::MetadataHandle;
-use self::handle::kind_index;
 use crate::context::Context;
 use crate::quarantine;
 
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -9,10 +9,10 @@
 use lichenpulley_protocol::internal::{MetadataKind, MetadataRequest, MetadataUpdate};
 use rand::seq::IndexedRandom;
 
-use crate::batch::candidate;
-use crate::batch::scope::Scope;
 use crate::cluster::Member;
 use crate::context::Context;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 
 /// How long a peer may take to hand over its copy. Chosen, not measured: shorter gives up peers that are
 /// only slow, longer delays asking the next one.
@@ -87,7 +87,7 @@
 /// Another node that reads the platform for itself.
 fn reader(context: &Context) -> Option<Member> {
     let count = context.settings.configuration.readers;
-    let mut readers = candidate::first_coordinators(&Scope::main(context), count);
+    let mut readers = order::first_coordinators(&Scope::main(context), count);
     readers.retain(|member| member.node != context.node);
     readers.choose(&mut rand::rng()).cloned()
 }
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -11,10 +11,10 @@
 use tokio::time::Instant;
 
 use super::client::MetadataClient;
-use crate::batch::candidate;
-use crate::batch::scope::Scope;
 use crate::cluster::Member;
 use crate::context::Context;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 
 /// How long a reader may wait for a change before it answers. Chosen, not measured: shorter costs calls
 /// between nodes; longer delays finding out that a reader is silent.
@@ -48,8 +48,8 @@
 
     /// From where to read next.
     pub(super) fn source(&self) -> ReadSource {
-        let (rank, nodes) = candidate::rank_among(&Scope::main(&self.context));
-        if candidate::is_candidate(&Scope::main(&self.context)) {
+        let (rank, nodes) = order::rank_among(&Scope::main(&self.context));
+        if order::is_candidate(&Scope::main(&self.context)) {
             return ReadSource::Platform;
         }
         self.choice.source(self.now(), rank, nodes)
@@ -97,9 +97,9 @@
 
     /// The reader whose turn it is. Followers begin with different ones.
     fn reader(&self) -> Option<Member> {
-        let mut readers = candidate::first_coordinators(&Scope::main(&self.context), self.config.readers);
+        let mut readers = order::first_coordinators(&Scope::main(&self.context), self.config.readers);
         readers.retain(|member| member.node != self.context.node);
-        let (rank, _) = candidate::rank_among(&Scope::main(&self.context));
+        let (rank, _) = order::rank_among(&Scope::main(&self.context));
         let position = (rank + self.turn).checked_rem(readers.len())?;
         Some(readers.swap_remove(position))
     }
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -23,16 +23,16 @@
 
 use super::client::{MetadataClient, Watched};
 use super::freshness::Reading;
-use super::kind_index;
+use super::kind_index::kind_index;
 use super::peers::Given;
 use super::reachability::{Reachability, StoreReach};
 use super::relay::Follower;
 use super::{announcements, peers, zones};
-use crate::batch::candidate;
-use crate::batch::scope::Scope;
 use crate::cluster::Member;
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 
 /// The least pause between two watches, so that a burst of changes costs few calls. Chosen, not measured:
 /// longer delays a change by as much, shorter costs priced calls.
@@ -112,7 +112,7 @@
         self.settle().await;
         loop {
             let began = Instant::now();
-            if self.kind == MetadataKind::Versions && !candidate::is_candidate(&Scope::main(&self.context)) {
+            if self.kind == MetadataKind::Versions && !order::is_candidate(&Scope::main(&self.context)) {
                 // Only the owner of the batch jobs has versions loaded.
                 self.context.metadata.freshness.set_reading(self.kind, Reading::Followed);
                 tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -1,9 +1,8 @@
 //! Zones that are evacuated, as this node knows them, and the operator's way to change that.
 //!
-//! Owns since when and through whom each evacuation is known, for the operators' list.
+//! Relies on the node's metadata for the evacuations in force, and on the platform's client for changes.
 
 use std::collections::BTreeMap;
-use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::ingress::admission::EvacuatedZones;
@@ -16,32 +15,20 @@
 use crate::configuration::platform::{PlatformError, WriteError};
 use crate::context::Context;
 
-/// When this node learnt of each evacuation that stands, and through whom.
-#[derive(Debug, Default)]
-pub(super) struct EvacuationNews {
-    learnt: Mutex<BTreeMap<String, (Instant, String)>>,
-}
-
-impl EvacuationNews {
-    fn learnt(&self) -> MutexGuard<'_, BTreeMap<String, (Instant, String)>> {
-        self.learnt.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
 /// Shows which zones are evacuated or given back, once that is in force on this node.
 pub(super) fn record_changes(context: &Context, before: &EvacuatedZones, revision: u64, through: &str) {
     let after = context.metadata.evacuated.load();
     context.metrics.set_evacuated_zones(after.zones.len());
-    let news = &context.metadata.evacuation_news;
+    let times = &context.metadata.evacuation_times;
     for zone in after.zones.difference(&before.zones) {
-        news.learnt().insert(zone.clone(), (Instant::now(), through.to_owned()));
+        times.learnt().insert(zone.clone(), (Instant::now(), through.to_owned()));
         record(context, "zone_evacuated", zone, revision, through);
         if !is_known(context, zone) {
             log::warn!(target: "metadata", "Zone {zone} is to be evacuated, but neither a replica nor a node stands there: check its name.");
         }
     }
     for zone in before.zones.difference(&after.zones) {
-        news.learnt().remove(zone);
+        times.learnt().remove(zone);
         record(context, "zone_returned", zone, revision, through);
     }
 }
@@ -74,9 +61,9 @@
     names.extend(replicas.records.values().map(|record| record.zone.clone()));
     names.extend(context.cluster.load().members.iter().map(|member| member.zone.to_string()));
     let age = u64::try_from(metadata.age(MetadataKind::Evacuations).as_millis()).ok();
-    let learnt = metadata.evacuation_news.learnt();
+    let learnt = metadata.evacuation_times.learnt();
     for name in names {
-        let news = learnt.get(&name);
+        let since = learnt.get(&name);
         let state = if !metadata.knows_evacuations() {
             ZoneState::Unknown
         } else if evacuated.zones.contains(&name) {
@@ -87,8 +74,9 @@
         zones.entry(name.clone()).or_insert_with(|| ZoneStatus {
             replicas: replicas.records.values().filter(|record| record.zone == name).count(),
             state,
-            evacuated_for_ms: news.map(|(at, _)| u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX)),
-            through: news.map(|(_, through)| through.clone()),
+            evacuated_for_ms: since
+                .map(|(at, _)| u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX)),
+            through: since.map(|(_, through)| through.clone()),
             age_ms: age,
             zone: name,
         });
--- a/crates/daemon/src/operators/regions.rs
+++ b/crates/daemon/src/operators/regions.rs
@@ -9,9 +9,9 @@
 
 use crate::batch::BatchJobs;
 use crate::batch::candidate;
-use crate::batch::scope::Scope;
 use crate::context::Context;
 use crate::http::{Body, response};
+use crate::ownership::scope::Scope;
 use crate::store::replica_sets;
 
 /// The name under which stands what lies in no known region.
--- a/crates/daemon/src/batch/owner_order.rs
+++ b/crates/daemon/src/ownership/order.rs
@@ -77,7 +77,7 @@
 }
 
 /// This node's place among the coordinators as owners.
-pub(super) fn rank(scope: &Scope) -> usize {
+pub(crate) fn rank(scope: &Scope) -> usize {
     let order = OwnerOrder::new(scope);
     let own = order.own_key();
     scope.coordinators().iter().filter(|member| order.key_of(member) > own).count()
@@ -101,11 +101,11 @@
 }
 
 /// The coordinator that should come after this node, or before it.
-pub(super) fn best_other(scope: &Scope) -> Option<Member> {
+pub(crate) fn best_other(scope: &Scope) -> Option<Member> {
     OwnerOrder::new(scope).first(&scope.context.node)
 }
 
 /// Whether this node is the first coordinator beside the owner.
-pub(super) fn is_next(scope: &Scope, owner: &NodeId) -> bool {
+pub(crate) fn is_next(scope: &Scope, owner: &NodeId) -> bool {
     OwnerOrder::new(scope).first(owner).is_some_and(|next| next.node == scope.context.node)
 }
--- a/crates/daemon/src/quarantine/spread.rs
+++ b/crates/daemon/src/quarantine/spread.rs
@@ -15,7 +15,8 @@
 use lichenpulley_protocol::internal::{KeepReport, KeepResponse, MetadataKind};
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::{OUTBOX_LIMIT, QuarantineRecords, lock};
+use super::handle::{OUTBOX_LIMIT, lock};
+use super::records::QuarantineRecords;
 use crate::configuration::platform::WriteError;
 use crate::context::Context;
 use crate::duties::wall_time;
--- a/crates/daemon/src/quarantine/traced_run.rs
+++ b/crates/daemon/src/quarantine/traced_run.rs
@@ -9,7 +9,7 @@
 use lichenpulley_core::quarantine::{BreakCause, Fingerprint, RunSender, SentRun};
 use tokio::net::TcpStream;
 
-use super::lock;
+use super::handle::lock;
 use crate::context::Context;
 use crate::ingress::pool::SendError;
 
