--- a/crates/cli/src/commands/zones.rs
+++ b/crates/cli/src/commands/zones.rs
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// See [`CliError`].
-pub async fn give_back(client: &Client, zone: &str, output: &mut Output<'_>) -> Result<(), CliError> {
+pub async fn readmit(client: &Client, zone: &str, output: &mut Output<'_>) -> Result<(), CliError> {
     let changed = change(client, zone, "return").await?;
     output.result(&changed, || format!("{zone} takes work again"))
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -44,7 +44,7 @@
         Command::Undrain(replica) => commands::drain::undrain(&operators()?, &replica, output).await,
         Command::Zones => commands::zones::list(&operators()?, output).await,
         Command::Evacuate(zone) => commands::zones::evacuate(&operators()?, &zone, output).await,
-        Command::Return(zone) => commands::zones::give_back(&operators()?, &zone, output).await,
+        Command::Return(zone) => commands::zones::readmit(&operators()?, &zone, output).await,
         Command::Ends => commands::ends::list(&operators()?, output).await,
         Command::Quarantine => commands::quarantine::list(&operators()?, output).await,
         Command::Release(fingerprint) => {
--- a/crates/core/src/batch/controller/config.rs
+++ b/crates/core/src/batch/controller/config.rs
@@ -21,7 +21,7 @@
 const CAPACITY_BYTES: usize = 96 << 20;
 /// Others take over after a second of silence; this leaves four more tries, and confirms the authority three
 /// times within its 600 ms.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const OWNER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Times and limits of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
             progress_interval: PROGRESS_INTERVAL,
             retention: JOB_RETENTION,
             capacity_bytes: CAPACITY_BYTES,
-            heartbeat_interval: HEARTBEAT_INTERVAL,
+            heartbeat_interval: OWNER_HEARTBEAT_INTERVAL,
             duties: DutyConfig::default(),
             zones: ZoneMap::default(),
             regions: AllowedRegions::all(),
--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -14,7 +14,7 @@
 use crate::duties::{DutyCall, DutyEnd, USAGE_SUBJECT};
 use crate::identity::BatchId;
 use crate::ingress::routes::RouteTable;
-use crate::scaling::ServiceSight;
+use crate::scaling::ObservedService;
 use crate::time::Timestamp;
 use crate::usage::meter::UsageReport;
 use crate::usage::window::WallTime;
@@ -54,7 +54,7 @@
         if !self.lease.allows(self.ledger.last_order(USAGE_SUBJECT), clock_ms) {
             return;
         }
-        let Some((window, counts)) = usage.tell_next(self.ledger.usage(), now) else { return };
+        let Some((window, counts)) = usage.next_unreported(self.ledger.usage(), now) else { return };
         let call = DutyCall::Usage { window, counts: counts.clone() };
         self.begin_duty(now, clock_ms, call, Vec::new());
     }
@@ -70,19 +70,19 @@
         for (service, bounds) in
             routes.services.iter().filter_map(|(name, service)| Some((name, service.scaling.as_ref()?)))
         {
-            let Some(sight) = self.sight(&routes, service) else { continue };
+            let Some(observed) = self.observed(&routes, service) else { continue };
             let earlier = |zone: &str| self.ledger.scaled().get(&(service.clone(), zone.to_owned())).copied();
-            for order in plan.next(service, bounds, &sight, earlier, now) {
+            for order in plan.next(service, bounds, &observed, earlier, now) {
                 let (service, zone, desired) = (order.service.clone(), order.zone.clone(), order.desired);
                 let decision = Decision::new(Component::Duty, "replicas_ordered", "demand", &service);
-                let ready = sight.ready.get(&zone).copied().unwrap_or(0);
+                let ready = observed.ready.get(&zone).copied().unwrap_or(0);
                 let decision = decision.with("zone", &zone).with("desired", desired).with("ready", ready);
                 let renewable =
-                    sight.renewable.map_or_else(|| "unknown".to_owned(), |count| count.to_string());
+                    observed.renewable.map_or_else(|| "unknown".to_owned(), |count| count.to_string());
                 self.decide(
                     decision
-                        .with("demand", sight.demand)
-                        .with("slots", sight.slots)
+                        .with("demand", observed.demand)
+                        .with("slots", observed.slots)
                         .with("renewable", renewable),
                 );
                 let call = DutyCall::Scale(order);
@@ -107,7 +107,7 @@
     /// What is seen of a service; `None` while no replica of it is listed where work may be sent. Evacuated
     /// zones count for nothing: what they had is ordered elsewhere as far as it is wanted, and nothing is
     /// ordered there.
-    fn sight(&self, routes: &RouteTable, service: &str) -> Option<ServiceSight> {
+    fn observed(&self, routes: &RouteTable, service: &str) -> Option<ObservedService> {
         let is_open = |state: &&ReplicaState| !self.gate.is_evacuated(&state.record);
         let members = self.replicas.values().filter(|state| state.record.service == service).filter(is_open);
         let mut ready: BTreeMap<String, u32> = BTreeMap::new();
@@ -138,7 +138,7 @@
             .filter(|((batch, _), live)| wants(live) && of_service.get(batch).copied().unwrap_or(false));
         let demand = u32::try_from(demand.count()).unwrap_or(u32::MAX);
         let renewable = self.loads.renewable(service, &self.replicas, &self.gate);
-        Some(ServiceSight { ready, slots, demand, renewable })
+        Some(ObservedService { ready, slots, demand, renewable })
     }
 
     /// A call has ended.
@@ -150,7 +150,7 @@
                 let decision = Decision::new(Component::Duty, "usage_told", end.as_str(), window);
                 self.decide(decision.with("tenants", counts.len()).with("requests", requests));
                 if let Some(usage) = &mut self.duties.usage {
-                    usage.told(*window, is_taken, now);
+                    usage.report_answered(*window, is_taken, now);
                 }
                 if is_taken {
                     self.append(now, vec![Record::UsageDelivered(*window)]);
--- a/crates/core/src/batch/controller/loading.rs
+++ b/crates/core/src/batch/controller/loading.rs
@@ -54,7 +54,7 @@
         if let Some(state) = self.replicas.get_mut(replica) {
             state.loading = None;
             for (model, version) in &end.versions {
-                state.saw_version(model, *version);
+                state.observe_version(model, *version);
             }
         }
         self.work_and_load(now);
--- a/crates/core/src/batch/controller/runs.rs
+++ b/crates/core/src/batch/controller/runs.rs
@@ -35,10 +35,10 @@
         let is_cold = self.gate.is_cold(&replica, now);
         if let Some(state) = self.replicas.get_mut(&replica) {
             if let Some(gap) = gap {
-                state.saw_gap(gap, is_cold, &mut self.slowdown);
+                state.observe_gap(gap, is_cold, &mut self.slowdown);
             }
             if let Some(model) = &model {
-                state.saw_version(model, event.version);
+                state.observe_version(model, event.version);
             }
         }
         if !self.is_version_allowed(&batch, item, event.version) {
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -65,7 +65,7 @@
 
 /// Who leads, as one store knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeaderSeen {
+pub struct ObservedLeader {
     /// The epoch.
     pub epoch: Epoch,
     /// The owner's node.
@@ -80,7 +80,7 @@
     /// The store's node.
     pub store: NodeId,
     /// Who leads there; `None` where nobody has led.
-    pub leader: Option<LeaderSeen>,
+    pub leader: Option<ObservedLeader>,
 }
 
 /// What the stores that answered say of who leads.
@@ -88,7 +88,7 @@
 pub struct LeaderAnswers(pub Vec<LeaderAnswer>);
 
 impl LeaderAnswers {
-    fn leaders(&self) -> impl Iterator<Item = &LeaderSeen> {
+    fn leaders(&self) -> impl Iterator<Item = &ObservedLeader> {
         self.0.iter().filter_map(|answer| answer.leader.as_ref())
     }
 
@@ -110,7 +110,7 @@
 
     /// The answers that count towards a majority of `set`: those of its members, and of stores that know of a
     /// leader, which are members of a set that this node has not met yet. All of them where no set is known.
-    pub fn counted(&self, set: Option<&ReplicaSet>) -> Vec<Option<LeaderSeen>> {
+    pub fn counted(&self, set: Option<&ReplicaSet>) -> Vec<Option<ObservedLeader>> {
         let is_member =
             |set: &ReplicaSet, node: &NodeId| set.members.iter().any(|member| member.node == *node);
         let counts = |answer: &&LeaderAnswer| {
@@ -134,7 +134,7 @@
 pub fn judge(
     node: &NodeId,
     rank: usize,
-    answers: &[Option<LeaderSeen>],
+    answers: &[Option<ObservedLeader>],
     needed: usize,
     takeover_after: Duration,
 ) -> Verdict {
--- a/crates/core/src/batch/schedule.rs
+++ b/crates/core/src/batch/schedule.rs
@@ -117,14 +117,14 @@
         listed.max(seen)
     }
 
-    pub(super) fn saw_version(&mut self, model: &str, version: u64) {
+    pub(super) fn observe_version(&mut self, model: &str, version: u64) {
         let seen = self.seen_versions.entry(model.to_owned()).or_default();
         *seen = version.max(*seen);
     }
 
     /// A run here paused for so long between two events. A cold replica's pauses say nothing of its pace when
     /// it is warm, nor of what load does to others.
-    pub(super) fn saw_gap(&mut self, gap: Duration, is_cold: bool, slowdown: &mut Slowdown) {
+    pub(super) fn observe_gap(&mut self, gap: Duration, is_cold: bool, slowdown: &mut Slowdown) {
         if is_cold && self.empty_gap_ms.is_some() {
             return;
         }
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -39,7 +39,7 @@
     deposit_ratio: 0.2,
     minimum_per_second: 4.0,
     window: Duration::from_secs(10),
-    most_saved: 100.0,
+    max_saved: 100.0,
 };
 
 /// Names one score request at one replica within the time of one owner.
--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -23,7 +23,7 @@
 
 impl Bootstrap {
     /// Takes in what a member holds. Only settled members count: one that is starting too may have forgotten.
-    pub(super) fn heard(&mut self, from: NodeId, revision: Revision) {
+    pub(super) fn note_revision(&mut self, from: NodeId, revision: Revision) {
         let highest = self.answers.entry(from).or_default();
         *highest = revision.max(*highest);
     }
--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -134,7 +134,7 @@
     }
 
     /// A heartbeat says that a revision is in force on a member.
-    pub fn heard(&mut self, revision: Revision, holder: NodeId, now: Timestamp) {
+    pub fn note_announcement(&mut self, revision: Revision, holder: NodeId, now: Timestamp) {
         if self.announced.as_ref().is_some_and(|(highest, _)| *highest > revision) {
             return;
         }
@@ -157,7 +157,7 @@
             Message::Query => self.send_holds(from, now),
             Message::Holds { revision, settled } => self.receive_holds(from, revision, settled),
             Message::Offer { revision } => self.receive_offer(from, revision, now),
-            Message::Announce { revision } => return self.heard(revision, from, now),
+            Message::Announce { revision } => return self.note_announcement(revision, from, now),
             Message::Pull { after, offered } => self.answer_pull(from, after, offered, now),
             Message::Update { update, in_force } => self.receive_update(from, update, in_force, now),
         }
--- a/crates/core/src/configuration/dissemination/gather.rs
+++ b/crates/core/src/configuration/dissemination/gather.rs
@@ -143,7 +143,7 @@
             holders.insert(from.clone());
         }
         if settled && self.in_force.is_none() {
-            self.bootstrap.heard(from, revision);
+            self.bootstrap.note_revision(from, revision);
         }
     }
 
--- a/crates/core/src/configuration/path.rs
+++ b/crates/core/src/configuration/path.rs
@@ -53,7 +53,7 @@
     },
     /// A name is empty, too long, or holds a character that is not allowed.
     #[error(
-        "path `{path}`: `{name}` is no name; use 1 to {LONGEST_NAME} letters, digits, `-`, `_` and `.` between slashes"
+        "path `{path}`: `{name}` is no name; use 1 to {MAX_NAME_LENGTH} letters, digits, `-`, `_` and `.` between slashes"
     )]
     Name {
         /// The text.
@@ -70,7 +70,7 @@
 }
 
 /// Characters in a name at most.
-pub(crate) const LONGEST_NAME: usize = 64;
+pub(crate) const MAX_NAME_LENGTH: usize = 64;
 
 impl LevelPath {
     /// The organisation.
@@ -145,5 +145,5 @@
 
 fn is_name(name: &str) -> bool {
     let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    !name.is_empty() && name.len() <= LONGEST_NAME && name.chars().all(allowed)
+    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(allowed)
 }
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -24,7 +24,7 @@
 pub(crate) const REMEMBERED_CHANGE_IDS: usize = 256;
 
 /// Characters in a change id at most.
-pub(crate) const LONGEST_CHANGE_ID: usize = 128;
+pub(crate) const MAX_CHANGE_ID_LENGTH: usize = 128;
 
 /// A change of one setting, as an operator asks for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
         revision: Revision,
     },
     /// The id is empty or too long.
-    #[error("the change id has {length} characters; choose one of 1 to {LONGEST_CHANGE_ID}")]
+    #[error("the change id has {length} characters; choose one of 1 to {MAX_CHANGE_ID_LENGTH}")]
     ChangeIdLength {
         /// Its length.
         length: usize,
@@ -154,7 +154,7 @@
 
     fn checked_entry(&self) -> Result<EntryChange, ChangeRefused> {
         let length = self.change_id.chars().count();
-        if !(1..=LONGEST_CHANGE_ID).contains(&length) {
+        if !(1..=MAX_CHANGE_ID_LENGTH).contains(&length) {
             return Err(ChangeRefused::ChangeIdLength { length });
         }
         let path = LevelPath::parse(&self.path).map_err(SchemaError::from)?;
--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -120,9 +120,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingBounds {
     /// The fewest in a zone.
-    pub least: u32,
+    pub min: u32,
     /// The most in a zone.
-    pub most: u32,
+    pub max: u32,
     /// How long a new one takes until it serves.
     pub start_time: Duration,
     /// What a second of a replica costs in each zone, in proportion to others.
@@ -137,8 +137,8 @@
     /// # Errors
     /// When they don't.
     pub fn check(self) -> Result<Self, ScalingError> {
-        if self.least > self.most {
-            return Err(ScalingError { least: self.least, most: self.most });
+        if self.min > self.max {
+            return Err(ScalingError { min: self.min, max: self.max });
         }
         Ok(self)
     }
@@ -146,12 +146,12 @@
 
 /// More replicas are asked for at least than at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("at least {least} replicas of a zone are more than at most {most}; lower the one or raise the other")]
+#[error("at least {min} replicas of a zone are more than at most {max}; lower the one or raise the other")]
 pub struct ScalingError {
     /// The fewest in a zone.
-    pub least: u32,
+    pub min: u32,
     /// The most in a zone.
-    pub most: u32,
+    pub max: u32,
 }
 
 /// Bounds on what callers send.
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 /// The longest node id or zone name that fits the protocol's datagrams, in bytes.
-pub(crate) const MAXIMUM_NAME_BYTES: usize = 64;
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 /// The least payload that holds every fixed part of a message and one update, in bytes.
-const MINIMUM_PAYLOAD_BYTES: usize = 512;
+const MIN_PAYLOAD_BYTES: usize = 512;
 
 /// The largest payload that one IPv4 datagram can carry, in bytes.
-const MAXIMUM_PAYLOAD_BYTES: usize = 65_507;
+const MAX_PAYLOAD_BYTES: usize = 65_507;
 
 /// Settings of the membership protocol. All times are the node's own.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
     pub join_retry: Duration,
     /// How long a failed member is remembered, and with it the hope that it comes back.
     pub forget_failed_after: Duration,
-    /// How long a member that left is remembered, so that late news does not bring it back.
+    /// How long a member that left is remembered, so that a late update does not bring it back.
     pub forget_left_after: Duration,
     /// A timer later than this counts as a stall of this node itself.
     pub stall_tolerance: Duration,
@@ -144,7 +144,7 @@
         )?;
         let payload = self.maximum_payload_bytes;
         check(
-            (MINIMUM_PAYLOAD_BYTES..=MAXIMUM_PAYLOAD_BYTES).contains(&payload),
+            (MIN_PAYLOAD_BYTES..=MAX_PAYLOAD_BYTES).contains(&payload),
             "maximum_payload_bytes",
             payload,
             "set 512 to 65507; 1200 passes every common network without fragments",
--- a/crates/core/src/membership/detect.rs
+++ b/crates/core/src/membership/detect.rs
@@ -14,7 +14,7 @@
 use super::event::Cause;
 use super::machine::Membership;
 use super::member::Standing;
-use super::message::{Body, News};
+use super::message::{Body, ClaimedStanding};
 use super::probe::{PendingProbe, Turn, TurnReason};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -102,7 +102,7 @@
         let standing = self.table.get(&probe.target).map(|record| record.claim.standing);
         if standing == Some(Standing::Alive) && probe.is_second {
             self.counters.suspicions_raised += 1;
-            self.declare(now, &probe.target, News::Suspect, Cause::ProbeUnanswered);
+            self.declare(now, &probe.target, ClaimedStanding::Suspect, Cause::ProbeUnanswered);
         }
         if standing.is_some_and(Standing::is_live) {
             self.order.probe_again(&probe.target);
--- a/crates/core/src/membership/documents.rs
+++ b/crates/core/src/membership/documents.rs
@@ -10,18 +10,18 @@
 
 /// Documents that are remembered; more come only from a broken or hostile sender. Five are in use; chosen
 /// above that so that memory stays bounded.
-const MAXIMUM_DOCUMENTS: usize = 8;
+const MAX_DOCUMENTS: usize = 8;
 
 /// The longest document name, in bytes.
-const MAXIMUM_DOCUMENT_NAME_BYTES: usize = 32;
+const MAX_DOCUMENT_NAME_BYTES: usize = 32;
 
-/// What this node holds and what it heard.
+/// What this node holds and what it announced.
 ///
 /// A member announces only what it holds itself, so whoever is named as holder can be pulled from.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Documents {
     held: BTreeMap<String, Revision>,
-    heard: BTreeMap<String, HeardRevision>,
+    announced: BTreeMap<String, HeardRevision>,
 }
 
 impl Documents {
@@ -33,7 +33,7 @@
 
     /// What rides on every message.
     pub(super) fn announcements(&self) -> Vec<DocumentRevision> {
-        let announcements = self.held.iter().take(MAXIMUM_DOCUMENTS);
+        let announcements = self.held.iter().take(MAX_DOCUMENTS);
         announcements
             .map(|(document, revision)| DocumentRevision { document: document.clone(), revision: *revision })
             .collect()
@@ -60,7 +60,7 @@
         revision: Revision,
         is_live: impl Fn(&NodeId) -> bool,
     ) -> bool {
-        let Some(known) = self.heard.get(document) else {
+        let Some(known) = self.announced.get(document) else {
             return self.remember(sender, document, revision);
         };
         let is_news = revision > known.revision || (revision == known.revision && !is_live(&known.holder));
@@ -68,16 +68,16 @@
     }
 
     fn remember(&mut self, sender: &NodeId, document: &str, revision: Revision) -> bool {
-        let is_new = !self.heard.contains_key(document);
-        let has_room = self.heard.len() < MAXIMUM_DOCUMENTS && document.len() <= MAXIMUM_DOCUMENT_NAME_BYTES;
+        let is_new = !self.announced.contains_key(document);
+        let has_room = self.announced.len() < MAX_DOCUMENTS && document.len() <= MAX_DOCUMENT_NAME_BYTES;
         if is_new && !has_room {
             return false;
         }
-        self.heard.insert(document.to_owned(), HeardRevision { revision, holder: sender.clone() });
+        self.announced.insert(document.to_owned(), HeardRevision { revision, holder: sender.clone() });
         true
     }
 
-    pub(super) fn heard(&self) -> &BTreeMap<String, HeardRevision> {
-        &self.heard
+    pub(super) fn announced(&self) -> &BTreeMap<String, HeardRevision> {
+        &self.announced
     }
 }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -56,7 +56,7 @@
     ProbeUnanswered,
     /// It did not refute the suspicion in time.
     SuspicionExpired,
-    /// Another process claims this node's id with a later incarnation: an earlier life with a clock ahead, or a
+    /// Another process claims this node's id with a later incarnation: an earlier run with a clock ahead, or a
     /// second node with the same id.
     OtherLife,
 }
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::config::{Config, ConfigError, MAXIMUM_NAME_BYTES};
+use super::config::{Config, ConfigError, MAX_NAME_BYTES};
 use super::documents::Documents;
 use super::event::{Counters, Event, HeardRevision};
 use super::member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing};
@@ -88,7 +88,7 @@
 impl Membership {
     /// A node that joins through `seeds`, and is alone where there are none.
     ///
-    /// `incarnation` must be above that of the node's earlier lives: the Unix time in milliseconds. `seed` feeds
+    /// `incarnation` must be above that of its earlier runs: the Unix time in milliseconds. `seed` feeds
     /// the node's random choices.
     ///
     /// # Errors
@@ -221,7 +221,7 @@
 
     /// The highest revision of each document that was heard.
     pub fn heard_revisions(&self) -> &BTreeMap<String, HeardRevision> {
-        self.documents.heard()
+        self.documents.announced()
     }
 
     /// Goes up whenever [`Self::heard_revisions`] changes.
@@ -281,7 +281,7 @@
         self.transmits.push_back(Transmit { destination, payload });
     }
 
-    /// News that this node lives, as it stands now.
+    /// An update by which this node is alive, as it stands now.
     pub(super) fn own_update(&self) -> Option<Update> {
         let record = self.table.get(&self.own)?;
         Some(Update::alive(&record.info, record.claim.incarnation))
@@ -348,6 +348,6 @@
 }
 
 fn check_name(what: &'static str, name: &str) -> Result<(), StartError> {
-    let fits = (1..=MAXIMUM_NAME_BYTES).contains(&name.len());
+    let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
     if fits { Ok(()) } else { Err(StartError::Name { what, name: name.to_owned() }) }
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -47,13 +47,13 @@
 /// the member itself raises its incarnation, so nobody else can undo its failure (Das et al. 2002, section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberClaim {
-    /// Which life of the member, and which refutation in it, the claim is about.
+    /// Which run of the member, and which refutation in it, the claim is about.
     pub incarnation: Incarnation,
     /// How it stands.
     pub standing: Standing,
 }
 
-/// Orders the lives of a node and its refutations in one life: starts at the Unix time in milliseconds and is
+/// Orders the runs of a node and its refutations in one run: starts at the Unix time in milliseconds and is
 /// raised past whatever is claimed about the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Incarnation(pub u64);
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -4,7 +4,7 @@
 
 use speedy::{LittleEndian, Readable, Writable};
 
-use super::config::MAXIMUM_NAME_BYTES;
+use super::config::MAX_NAME_BYTES;
 use super::member::{Incarnation, MemberClaim, MemberInfo, Standing, WireAddress};
 use crate::identity::{NodeId, Revision, ZoneName};
 
@@ -21,7 +21,7 @@
     pub sequence: u32,
     /// What it is for.
     pub body: Body,
-    /// News about members.
+    /// Updates about members.
     #[speedy(length_type = u16)]
     pub updates: Vec<Update>,
     /// Revisions that the sender holds.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Body {
-    /// Asks a member whether it lives. Names it, since its address may have passed to another.
+    /// Asks a member whether it is alive. Names it, since its address may have passed to another.
     Ping {
         /// Who should answer.
         target: NodeId,
@@ -83,22 +83,22 @@
     Notice,
 }
 
-/// News about one member.
+/// What is claimed of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Update {
     /// The member.
     pub node: NodeId,
-    /// The incarnation that the news is about.
+    /// The incarnation that the update is about.
     pub incarnation: Incarnation,
     /// How it stands.
-    pub news: News,
+    pub standing: ClaimedStanding,
 }
 
-/// How a member stands, with what is needed to reach it where it lives.
+/// How a member stands, with what is needed to reach it where it is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
-pub enum News {
-    /// It lives.
+pub enum ClaimedStanding {
+    /// It is alive.
     Alive {
         /// Its zone.
         zone: ZoneName,
@@ -159,7 +159,7 @@
         }
         let message = Self::read_from_buffer_with_ctx(LittleEndian::default(), payload)
             .map_err(|_| DecodeError::Malformed)?;
-        if message.sender.as_str().len() > MAXIMUM_NAME_BYTES {
+        if message.sender.as_str().len() > MAX_NAME_BYTES {
             return Err(DecodeError::Malformed);
         }
         Ok(message)
@@ -172,41 +172,41 @@
 }
 
 impl Update {
-    /// News that a member lives.
+    /// An update by which a member is alive.
     pub fn alive(info: &MemberInfo, incarnation: Incarnation) -> Self {
-        let news = News::Alive {
+        let standing = ClaimedStanding::Alive {
             zone: info.zone.clone(),
             address: info.address.into(),
             attributes: info.attributes,
         };
-        Self { node: info.node.clone(), incarnation, news }
+        Self { node: info.node.clone(), incarnation, standing }
     }
 
-    /// The claim about a member as news.
+    /// The claim about a member as an update.
     pub(crate) fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
-        let news = match claim.standing {
+        let standing = match claim.standing {
             Standing::Alive => return Self::alive(info, claim.incarnation),
-            Standing::Suspect => News::Suspect,
-            Standing::Failed => News::Failed,
-            Standing::Left => News::Left,
+            Standing::Suspect => ClaimedStanding::Suspect,
+            Standing::Failed => ClaimedStanding::Failed,
+            Standing::Left => ClaimedStanding::Left,
         };
-        Self { node: info.node.clone(), incarnation: claim.incarnation, news }
+        Self { node: info.node.clone(), incarnation: claim.incarnation, standing }
     }
 
-    /// The claim that the news makes.
+    /// The claim that the update makes.
     pub fn claim(&self) -> MemberClaim {
-        let standing = match self.news {
-            News::Alive { .. } => Standing::Alive,
-            News::Suspect => Standing::Suspect,
-            News::Failed => Standing::Failed,
-            News::Left => Standing::Left,
+        let standing = match self.standing {
+            ClaimedStanding::Alive { .. } => Standing::Alive,
+            ClaimedStanding::Suspect => Standing::Suspect,
+            ClaimedStanding::Failed => Standing::Failed,
+            ClaimedStanding::Left => Standing::Left,
         };
         MemberClaim { incarnation: self.incarnation, standing }
     }
 
-    /// What the member says of itself, where the news carries it.
+    /// What the member says of itself, where the update carries it.
     pub fn info(&self) -> Option<MemberInfo> {
-        let News::Alive { zone, address, attributes } = &self.news else { return None };
+        let ClaimedStanding::Alive { zone, address, attributes } = &self.standing else { return None };
         Some(MemberInfo {
             node: self.node.clone(),
             zone: zone.clone(),
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Each period a node probes one member, round by round in a random order, so a node's load does not grow with
 //! the cluster. A member that answers neither directly nor through others is suspected; unless it refutes by
-//! raising its incarnation it is declared failed. News rides on the probes themselves, each item a bounded number
+//! raising its incarnation it is declared failed. Updates ride on the probes themselves, each a bounded number
 //! of times. Beyond the paper:
 //!
 //! - whole tables are compared now and then, by digests, and failed members are tried again, so that a healed
@@ -36,4 +36,4 @@
 pub use event::{Cause, Counters, Event, EventKind, HeardRevision};
 pub use machine::{Membership, StartError, Transmit};
 pub use member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing, WireAddress};
-pub use message::{Body, DecodeError, DocumentRevision, Message, News, Update};
+pub use message::{Body, ClaimedStanding, DecodeError, DocumentRevision, Message, Update};
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -16,7 +16,7 @@
 
 /// Probes that this node makes for others at a time; more are refused by silence. Chosen, not measured: it
 /// bounds memory; too few refuse indirect probes while many members are in doubt.
-const MAXIMUM_RELAYS: usize = 64;
+const MAX_RELAYS: usize = 64;
 
 /// The probe of this period.
 #[derive(Clone, Debug)]
@@ -128,7 +128,7 @@
         expires_at: Timestamp,
     ) -> bool {
         self.relays.retain(|_, relay| relay.expires_at > now);
-        if self.relays.len() >= MAXIMUM_RELAYS {
+        if self.relays.len() >= MAX_RELAYS {
             return false;
         }
         let (asker, asker_address, asker_sequence) = asker;
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -7,13 +7,13 @@
 use super::event::Cause;
 use super::machine::Membership;
 use super::member::Standing;
-use super::message::{Body, Message, News, Update};
+use super::message::{Body, ClaimedStanding, Message, Update};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
 /// Corrections sent in answer to one message; the rest follows when the doubts are heard again. Chosen, not
 /// measured: it bounds what one datagram can make this node send.
-const MAXIMUM_CORRECTIONS: usize = 8;
+const MAX_CORRECTIONS: usize = 8;
 
 impl Membership {
     /// Takes in a decoded message.
@@ -43,7 +43,7 @@
     /// hear of the refutation.
     fn correction_of(&self, update: &Update) -> Option<Update> {
         let known = self.table.get(&update.node)?;
-        let is_doubt = matches!(update.news, News::Suspect | News::Failed);
+        let is_doubt = matches!(update.standing, ClaimedStanding::Suspect | ClaimedStanding::Failed);
         let is_refuted = known.claim.standing == Standing::Alive && known.claim > update.claim();
         (is_doubt && is_refuted).then(|| Update::from_claim(&known.info, known.claim))
     }
@@ -56,7 +56,7 @@
         corrections: Vec<Update>,
     ) {
         let sequence = self.next_sequence();
-        let corrections = corrections.into_iter().take(MAXIMUM_CORRECTIONS);
+        let corrections = corrections.into_iter().take(MAX_CORRECTIONS);
         self.send(now, to, Some(receiver), sequence, Body::Notice, corrections);
     }
 
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -10,7 +10,7 @@
 use super::event::Cause;
 use super::machine::Membership;
 use super::member::{MemberRecord, Standing};
-use super::message::{Body, News, Update};
+use super::message::{Body, ClaimedStanding, Update};
 use super::table::DIGEST_BUCKETS;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -154,7 +154,7 @@
     }
 
     /// Compares tables with a member that is not known here and probes this node: to all others it is a
-    /// member like any, so that no news of it need ever come again.
+    /// member like any, so that no update about it need ever come again.
     pub(super) fn inquire(&mut self, now: Timestamp, from: SocketAddr) {
         if !self.config.mechanisms.anti_entropy || self.next_inquiry_at > now {
             return;
@@ -293,7 +293,7 @@
     /// holds the other's members for failed.
     fn apply_entry(&mut self, now: Timestamp, entry: &Update) {
         let known = self.table.get(&entry.node).map(|record| record.claim);
-        let claims_failure = entry.news == News::Failed;
+        let claims_failure = entry.standing == ClaimedStanding::Failed;
         if claims_failure && entry.node != self.own {
             let contradicts = known.is_some_and(|known| known.standing.is_live() && entry.claim() > known);
             if contradicts {
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -1,4 +1,4 @@
-//! Taking in news about members, and passing it on.
+//! Taking in updates about members, and passing them on.
 //!
 //! Decides what is believed by the order of claims, and refutes what is claimed of this node.
 
@@ -7,7 +7,7 @@
 use super::event::{Cause, Event, EventKind};
 use super::machine::Membership;
 use super::member::{Incarnation, MemberClaim, Standing};
-use super::message::{News, Update};
+use super::message::{ClaimedStanding, Update};
 use super::table::Applied;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -19,7 +19,7 @@
 }
 
 impl Membership {
-    /// Takes in one piece of news.
+    /// Takes in one update.
     pub(super) fn apply(&mut self, now: Timestamp, update: &Update, cause: Cause) {
         if update.node == self.own {
             return self.hear_about_self(now, update);
@@ -103,7 +103,7 @@
         };
         self.table.insert(own_record);
         self.updates.push(refutation.clone());
-        let is_other_life = matches!(update.news, News::Alive { .. });
+        let is_other_life = matches!(update.standing, ClaimedStanding::Alive { .. });
         let cause = if is_other_life { Cause::OtherLife } else { Cause::Members };
         self.report(&refutation, EventKind::Refuted, cause, None);
     }
@@ -124,15 +124,15 @@
             .collect();
         for node in expired {
             self.suspicions.remove(&node);
-            self.declare(now, &node, News::Failed, Cause::SuspicionExpired);
+            self.declare(now, &node, ClaimedStanding::Failed, Cause::SuspicionExpired);
             self.counters.failures_declared += 1;
         }
     }
 
     /// Makes a claim about a member at the incarnation that is known of it.
-    pub(super) fn declare(&mut self, now: Timestamp, node: &NodeId, news: News, cause: Cause) {
+    pub(super) fn declare(&mut self, now: Timestamp, node: &NodeId, standing: ClaimedStanding, cause: Cause) {
         let Some(record) = self.table.get(node) else { return };
-        let update = Update { node: node.clone(), incarnation: record.claim.incarnation, news };
+        let update = Update { node: node.clone(), incarnation: record.claim.incarnation, standing };
         self.apply(now, &update, cause);
     }
 
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -100,7 +100,7 @@
         Applied::Raised { previous, since, info_changed }
     }
 
-    /// Only news with an address can add a member: a failure of somebody unknown helps nobody.
+    /// Only an update with an address can add a member: a failure of somebody unknown helps nobody.
     fn add(&mut self, now: Timestamp, update: &Update) -> Applied {
         let Some(info) = update.info() else { return Applied::Nothing };
         self.insert(MemberRecord { info, claim: update.claim(), since: now });
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use super::config::Config;
-use super::message::{Message, News, Update};
+use super::message::{ClaimedStanding, Message, Update};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// The bytes of the shortest update: a node id of one letter, an incarnation and a tag.
-const MINIMUM_UPDATE_BYTES: usize = 14;
+const MIN_UPDATE_BYTES: usize = 14;
 
 #[derive(Clone, Debug)]
 struct QueuedUpdate {
@@ -66,7 +66,7 @@
     /// doubts.
     fn most_urgent(&self, room: usize) -> Vec<NodeId> {
         let mut nodes: Vec<_> = self.queued.iter().map(urgency).collect();
-        let wanted = room / MINIMUM_UPDATE_BYTES + 1;
+        let wanted = room / MIN_UPDATE_BYTES + 1;
         if wanted < nodes.len() {
             nodes.select_nth_unstable(wanted);
             nodes.truncate(wanted);
@@ -78,7 +78,7 @@
 
 /// Sorts updates: less comes first.
 fn urgency<'a>((node, queued): (&'a NodeId, &QueuedUpdate)) -> (u32, bool, &'a NodeId) {
-    let is_doubt = !matches!(queued.update.news, News::Alive { .. });
+    let is_doubt = !matches!(queued.update.standing, ClaimedStanding::Alive { .. });
     (queued.transmissions, is_doubt, node)
 }
 
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPolicy {
     /// What a set should tolerate.
-    pub size: ToleranceTarget,
+    pub target: ToleranceTarget,
     /// Which region each zone lies in; where it is empty, all stores stand in one.
     pub places: ZoneMap,
     /// The region in which members are preferred; where none is given, the one with the most stores.
@@ -70,7 +70,7 @@
     /// Where fewer stores answer than the smallest set has members.
     pub fn first_set(&self, shard: &ShardId, candidates: &[SetMember]) -> Result<ReplicaSet, TooFewStores> {
         let members = self.choose(shard, candidates);
-        let needed = self.size.least_members();
+        let needed = self.target.least_members();
         if members.len() < needed {
             return Err(TooFewStores { live: members.len(), needed });
         }
@@ -79,7 +79,7 @@
 
     /// How many members a set has that is made of these stores, be they members now or not.
     pub(crate) fn wanted_members(&self, shard: &ShardId, stores: &[SetMember]) -> usize {
-        self.choose(shard, stores).len().max(self.size.members())
+        self.choose(shard, stores).len().max(self.target.members())
     }
 
     /// What these members tolerate.
@@ -92,7 +92,7 @@
     /// # Errors
     /// Where they tolerate less.
     pub fn check(&self, members: &[SetMember]) -> Result<(), Shortfall> {
-        let (tolerance, wanted) = (self.fault_tolerance(members), self.size);
+        let (tolerance, wanted) = (self.fault_tolerance(members), self.target);
         let shortfall = Shortfall { members: members.len(), tolerance, wanted };
         if tolerance.covers(wanted) { Ok(()) } else { Err(shortfall) }
     }
@@ -152,7 +152,7 @@
     }
 
     fn excess(&self, members: &[SetMember]) -> usize {
-        MemberSpread::of(members, &self.places).excess(self.size)
+        MemberSpread::of(members, &self.places).excess(self.target)
     }
 
     /// The region with the most members; without members, the preferred one, or the one with the most stores.
@@ -183,7 +183,7 @@
         let held: Vec<Vec<SetMember>> =
             regions.into_iter().map(|(_, stores)| in_order_of_choice(shard, &stores)).collect();
         let most: usize = held.iter().map(Vec::len).sum();
-        let first = self.size.members().min(most);
+        let first = self.target.members().min(most);
         let sizes = (first..=most.min(MAX_MEMBERS)).step_by(2);
         let mut best: Option<(usize, Vec<SetMember>)> = None;
         for members in sizes {
@@ -208,8 +208,8 @@
             let chosen: Vec<SetMember> = taken.cloned().collect();
             let spread = MemberSpread::of(&chosen, &self.places);
             let outside = chosen.iter().filter(|member| self.is_away(&member.zone)).count();
-            let cost = (spread.excess(self.size), !spread.has_regional_majority(), outside);
-            (cost, spread.excess(self.size.with_zones(1)), chosen)
+            let cost = (spread.excess(self.target), !spread.has_regional_majority(), outside);
+            (cost, spread.excess(self.target.with_zones(1)), chosen)
         });
         // Among equals the first has the largest share in the region with the most stores.
         let best = sets.min_by_key(|(cost, unasked, _)| (*cost, *unasked));
@@ -225,7 +225,7 @@
 /// The first replica set by the loss of disks alone, where all stores stand in one region. `None` where there
 /// are too few.
 pub fn first_set(shard: &ShardId, candidates: &[SetMember], size: ToleranceTarget) -> Option<ReplicaSet> {
-    let policy = PlacementPolicy { size, ..PlacementPolicy::default() };
+    let policy = PlacementPolicy { target: size, ..PlacementPolicy::default() };
     policy.first_set(shard, candidates).ok()
 }
 
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -23,7 +23,7 @@
 const PAGE_CLAIMS: usize = 4_096;
 /// Copyings of which a member remembers how far they have come. Chosen, not measured: with fewer, copyings
 /// that run side by side push each other out and begin again.
-const MAXIMUM_COPYINGS: usize = 8;
+const MAX_COPYINGS: usize = 8;
 
 /// Stops the replica in its generation, for good.
 pub(super) fn seal<S: ShardStorage>(
@@ -168,7 +168,7 @@
     let known = record.copying.iter().position(|copying| &copying.transfer == transfer);
     let position = known.unwrap_or_else(|| {
         // Several may copy at a time, each all that there is: none undoes what another has brought.
-        if record.copying.len() >= MAXIMUM_COPYINGS {
+        if record.copying.len() >= MAX_COPYINGS {
             record.copying.remove(0);
         }
         record.copying.push(CopyProgress { transfer: transfer.clone(), sources: Vec::new() });
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -19,11 +19,11 @@
     /// How long what was paid in can be used.
     pub window: Duration,
     /// The most retries that can be saved up.
-    pub most_saved: f64,
+    pub max_saved: f64,
 }
 
 /// The tenth of a retry for each request and the one a second were measured (see the head of the module);
-/// `window` and `most_saved` are chosen, not measured: more lets a pool spend the savings of quiet hours at
+/// `window` and `max_saved` are chosen, not measured: more lets a pool spend the savings of quiet hours at
 /// once.
 impl Default for BudgetConfig {
     fn default() -> Self {
@@ -31,14 +31,14 @@
             deposit_ratio: 0.1,
             minimum_per_second: 1.0,
             window: Duration::from_secs(10),
-            most_saved: 100.0,
+            max_saved: 100.0,
         }
     }
 }
 
 /// The retries that a pool has left.
 ///
-/// Invariant: retries over any time `t` are at most `most_saved + deposit_ratio * requests + minimum * t`.
+/// Invariant: retries over any time `t` are at most `max_saved + deposit_ratio * requests + minimum * t`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -74,20 +74,20 @@
 impl RetryBudget {
     /// A budget with what the minimum gives in one window.
     pub fn new(config: BudgetConfig, now: Timestamp) -> Self {
-        let balance = (config.minimum_per_second * config.window.as_secs_f64()).min(config.most_saved);
+        let balance = (config.minimum_per_second * config.window.as_secs_f64()).min(config.max_saved);
         Self { config, balance, refilled_at: now }
     }
 
     /// Changes what is paid in from now on; what is saved stays, up to the new most.
     pub fn reconfigure(&mut self, config: BudgetConfig) {
         self.config = config;
-        self.balance = self.balance.min(config.most_saved);
+        self.balance = self.balance.min(config.max_saved);
     }
 
     /// Pays in for one request, not for its retries.
     pub fn deposit(&mut self, now: Timestamp) {
         self.refill(now);
-        self.balance = (self.balance + self.config.deposit_ratio).min(self.config.most_saved);
+        self.balance = (self.balance + self.config.deposit_ratio).min(self.config.max_saved);
     }
 
     /// Takes out one retry, if there is one.
@@ -113,6 +113,6 @@
         let excess = (self.balance - floor).max(0.0);
         let kept = excess * (-elapsed / self.config.window.as_secs_f64()).exp();
         let base = self.balance.min(floor) + self.config.minimum_per_second * elapsed;
-        self.balance = (base.min(floor) + kept).min(self.config.most_saved);
+        self.balance = (base.min(floor) + kept).min(self.config.max_saved);
     }
 }
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -1,6 +1,6 @@
 //! How many replicas of a service each zone is to have.
 //!
-//! Inputs: what the holder of the duty observes of each service ([`ServiceSight`]), the operator's bounds and
+//! Inputs: what the holder of the duty observes of each service ([`ObservedService`]), the operator's bounds and
 //! prices, the orders of the holder before, and [`ScalingPolicy`]. Orders name absolute numbers, so that one
 //! that comes twice or late does no harm beyond its own number. The greatest demand of a while counts, since
 //! a start takes longer than a step; replicas that can't be kept at the newest weights are not ordered, since
@@ -43,9 +43,9 @@
 /// platform that is away.
 const ORDER_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What is seen of a service.
+/// What the holder of the duty observes of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ServiceSight {
+pub struct ObservedService {
     /// Replicas that take work, by zone. A zone without one stands there with none.
     pub ready: BTreeMap<String, u32>,
     /// Requests that a replica takes at a time.
@@ -139,25 +139,25 @@
         &mut self,
         service: &str,
         bounds: &ScalingBounds,
-        sight: &ServiceSight,
+        observed: &ObservedService,
         earlier: impl Fn(&str) -> Option<u32>,
         now: Timestamp,
     ) -> Vec<ScaleOrder> {
         let began_at = *self.began_at.get_or_insert(now);
         let peak = self.peaks.entry(service.to_owned()).or_default();
-        let peak = peak.see(sight.demand, self.policy.hold, now);
+        let peak = peak.see(observed.demand, self.policy.hold, now);
         let has_seen = now.saturating_since(began_at) >= FOLLOW_AFTER;
-        let wanted = if has_seen { self.wanted(peak, sight) } else { 0 };
-        let shares = shares(wanted, sight, bounds);
+        let wanted = if has_seen { self.wanted(peak, observed) } else { 0 };
+        let shares = shares(wanted, observed, bounds);
         // What the holder before ordered stands until this one has seen as much as that one.
         let is_new = now.saturating_since(began_at) < self.policy.hold;
         let mut orders = Vec::new();
         for (zone, share) in shares {
             let before = earlier(&zone).filter(|_| is_new).unwrap_or(0);
-            let ready = sight.ready.get(&zone).copied().unwrap_or(0);
+            let ready = observed.ready.get(&zone).copied().unwrap_or(0);
             let key = (service.to_owned(), zone.clone());
             let found = *self.found.entry(key.clone()).or_insert(ready);
-            let desired = share.max(before).max(found).clamp(bounds.least, bounds.most);
+            let desired = share.max(before).max(found).clamp(bounds.min, bounds.max);
             let state = self.zones.entry(key).or_default();
             if state.is_due(desired, ready, is_new, now) {
                 state.is_under_way = true;
@@ -168,11 +168,11 @@
     }
 
     /// Replicas that the demand asks for, as far as they can be kept at the newest weights.
-    fn wanted(&self, peak: u32, sight: &ServiceSight) -> u32 {
-        let filled = peak.div_ceil(sight.slots.max(1));
+    fn wanted(&self, peak: u32, observed: &ObservedService) -> u32 {
+        let filled = peak.div_ceil(observed.slots.max(1));
         let wanted = u64::from(filled) * u64::from(self.policy.margin_percent) / 100;
         let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        sight.renewable.map_or(wanted, |renewable| wanted.min(renewable))
+        observed.renewable.map_or(wanted, |renewable| wanted.min(renewable))
     }
 
     /// An order has ended; whether the platform took it.
@@ -207,8 +207,8 @@
 
 /// Divides replicas among the zones as evenly as the bounds allow; what is left over goes to the cheapest
 /// ones.
-fn shares(wanted: u32, sight: &ServiceSight, bounds: &ScalingBounds) -> BTreeMap<String, u32> {
-    let mut zones: Vec<&String> = sight.ready.keys().collect();
+fn shares(wanted: u32, observed: &ObservedService, bounds: &ScalingBounds) -> BTreeMap<String, u32> {
+    let mut zones: Vec<&String> = observed.ready.keys().collect();
     let price = |zone: &String| bounds.zone_prices.get(zone).copied().unwrap_or(1.0);
     zones.sort_by(|left, right| price(left).total_cmp(&price(right)).then_with(|| left.cmp(right)));
     let count = u32::try_from(zones.len()).unwrap_or(u32::MAX).max(1);
--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -45,9 +45,9 @@
     /// The window whose close is on its way into the account.
     closing: Option<WindowNumber>,
     /// The window that is being reported.
-    telling: Option<WindowNumber>,
+    reporting: Option<WindowNumber>,
     /// Windows that the platform took, until the account says so.
-    told: BTreeSet<WindowNumber>,
+    reported: BTreeSet<WindowNumber>,
     /// The window of the last call: after one that was missed the next window has its turn, so that none
     /// keeps the others from being reported in time.
     last: Option<WindowNumber>,
@@ -63,8 +63,8 @@
             time: TrueTime::default(),
             taking: HashMap::new(),
             closing: None,
-            telling: None,
-            told: BTreeSet::new(),
+            reporting: None,
+            reported: BTreeSet::new(),
             last: None,
             failures: 0,
             not_before: Timestamp::ORIGIN,
@@ -73,7 +73,7 @@
 
     /// This node's own clock.
     pub fn hear_own(&mut self, node: &str, wall: WallTime, now: Timestamp) {
-        self.time.heard(node, wall, now);
+        self.time.observe_clock(node, wall, now);
     }
 
     /// Takes a report: what it adds to the account, by window, or `None` where all of it is taken or on its
@@ -84,7 +84,7 @@
         report: &UsageReport,
         now: Timestamp,
     ) -> Option<Vec<WindowCount>> {
-        self.time.heard(&report.source, report.sent_at, now);
+        self.time.observe_clock(&report.source, report.sent_at, now);
         let taking = self.taking.get(&report.source).copied().unwrap_or(0);
         let taken = account.through(&report.source).max(taking);
         if report.through() <= taken {
@@ -120,30 +120,31 @@
     }
 
     /// The closed window to report now, where one waits and none is being reported.
-    pub fn tell_next<'a>(
+    pub fn next_unreported<'a>(
         &mut self,
         account: &'a UsageAccount,
         now: Timestamp,
     ) -> Option<(WindowNumber, &'a TenantCounts)> {
-        if self.telling.is_some() || now < self.not_before {
+        if self.reporting.is_some() || now < self.not_before {
             return None;
         }
-        self.told.retain(|window| account.closed().contains_key(window));
-        let untold = || account.closed().iter().filter(|(window, _)| !self.told.contains(window));
-        let next = untold().find(|(window, _)| Some(**window) > self.last).or_else(|| untold().next());
+        self.reported.retain(|window| account.closed().contains_key(window));
+        let unreported = || account.closed().iter().filter(|(window, _)| !self.reported.contains(window));
+        let next =
+            unreported().find(|(window, _)| Some(**window) > self.last).or_else(|| unreported().next());
         let (window, counts) = next?;
-        self.telling = Some(*window);
+        self.reporting = Some(*window);
         self.last = Some(*window);
         Some((*window, counts))
     }
 
     /// The call that reported a window has ended; whether the platform took it.
-    pub fn told(&mut self, window: WindowNumber, is_taken: bool, now: Timestamp) {
-        if self.telling == Some(window) {
-            self.telling = None;
+    pub fn report_answered(&mut self, window: WindowNumber, is_taken: bool, now: Timestamp) {
+        if self.reporting == Some(window) {
+            self.reporting = None;
         }
         if is_taken {
-            self.told.insert(window);
+            self.reported.insert(window);
             self.failures = 0;
         } else {
             self.failures += 1;
--- a/crates/core/src/usage/true_time.rs
+++ b/crates/core/src/usage/true_time.rs
@@ -31,7 +31,7 @@
 
 impl TrueTime {
     /// A node said what time of day it has.
-    pub fn heard(&mut self, source: &str, wall: WallTime, now: Timestamp) {
+    pub fn observe_clock(&mut self, source: &str, wall: WallTime, now: Timestamp) {
         let offset_ms = as_signed(wall.0) - as_signed(steady_ms(now));
         self.clocks.retain(|_, clock| now.saturating_since(clock.at) < HEARD_FOR);
         self.clocks.insert(source.to_owned(), HeardClock { at: now, offset_ms });
--- a/crates/core/tests/batch_election.rs
+++ b/crates/core/tests/batch_election.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::batch::election::{LeaderSeen, Verdict, judge, polls_now};
+use lichenpulley_core::batch::election::{ObservedLeader, Verdict, judge, polls_now};
 use lichenpulley_core::identity::{Epoch, NodeId};
 
 const AFTER: Duration = Duration::from_millis(1_000);
 
-fn seen(epoch: u64, owner: &str, idle_ms: u64) -> Option<LeaderSeen> {
-    Some(LeaderSeen { epoch: Epoch(epoch), owner: owner.into(), idle: Duration::from_millis(idle_ms) })
+fn seen(epoch: u64, owner: &str, idle_ms: u64) -> Option<ObservedLeader> {
+    Some(ObservedLeader { epoch: Epoch(epoch), owner: owner.into(), idle: Duration::from_millis(idle_ms) })
 }
 
-fn verdict(rank: usize, answers: &[Option<LeaderSeen>]) -> Verdict {
+fn verdict(rank: usize, answers: &[Option<ObservedLeader>]) -> Verdict {
     judge(&NodeId::new("me"), rank, answers, 2, AFTER)
 }
 
--- a/crates/core/tests/cold_replicas.rs
+++ b/crates/core/tests/cold_replicas.rs
@@ -24,7 +24,7 @@
 const COLD_AT_MS: u64 = 6_000;
 const STEP_MS: u64 = 20;
 /// How long a request may wait for its connection.
-const LONGEST_WAIT_MS: u64 = 300;
+const MAX_WAIT_MS: u64 = 300;
 /// An owner that lost the batch jobs may start runs for so long.
 const OLD_OWNER_MS: u64 = 600;
 
@@ -166,7 +166,7 @@
         |(per_second, kinds, gateways, is_cut)| {
             let unseen = prop::collection::vec(prop::collection::vec(0..gateways, 0..3), gateways);
             let changes = (COLD_AT_MS / 200..60, 0..gateways, 0_u64..60);
-            let waits = prop::collection::vec(0..LONGEST_WAIT_MS, 1..50);
+            let waits = prop::collection::vec(0..MAX_WAIT_MS, 1..50);
             (unseen, changes, waits).prop_map(move |(unseen, (change, restarted, restart), waits_ms)| Plan {
                 per_second,
                 callers: kinds.0,
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -10,7 +10,9 @@
     AttemptId, BatchId, Epoch, JobId, NodeId, PoolName, RequestId, Revision, ShardId, TenantName,
     WeightVersion, ZoneName,
 };
-use lichenpulley_core::membership::{Body, DocumentRevision, Incarnation, MemberInfo, Message, News, Update};
+use lichenpulley_core::membership::{
+    Body, ClaimedStanding, DocumentRevision, Incarnation, MemberInfo, Message, Update,
+};
 use lichenpulley_core::replication::ballot::{Ballot, ProposerId};
 use lichenpulley_core::replication::claims::{ClaimRecord, ClaimVote};
 use lichenpulley_core::replication::entry::{Entry, IndexedEntry, LogIndex, Payload};
@@ -232,9 +234,13 @@
         attributes: 5,
     };
     let incarnation = Incarnation(1_700_000_000_002);
-    let about = |news| Update { node: NodeId::new("n2"), incarnation, news };
-    let updates =
-        vec![Update::alive(&info, incarnation), about(News::Suspect), about(News::Failed), about(News::Left)];
+    let about = |standing| Update { node: NodeId::new("n2"), incarnation, standing };
+    let updates = vec![
+        Update::alive(&info, incarnation),
+        about(ClaimedStanding::Suspect),
+        about(ClaimedStanding::Failed),
+        about(ClaimedStanding::Left),
+    ];
     let target = NodeId::new("n2");
     let bodies = vec![
         (Body::Ping { target: target.clone() }, DATAGRAMS[0]),
--- a/crates/core/tests/evacuations.rs
+++ b/crates/core/tests/evacuations.rs
@@ -250,8 +250,8 @@
 fn scaled_routes() -> Arc<RouteTable> {
     let mut table = RouteTable::clone(&routes(false));
     let bounds = ScalingBounds {
-        least: 1,
-        most: 9,
+        min: 1,
+        max: 9,
         start_time: Duration::from_secs(1),
         zone_prices: BTreeMap::new(),
         preemptible_price: None,
--- a/crates/core/tests/replication_placement.rs
+++ b/crates/core/tests/replication_placement.rs
@@ -69,7 +69,7 @@
         assert_eq!(set.members.len(), count.min(5));
         assert_eq!(FaultTolerance::of(&set.members, &ZoneMap::default()).disks, bears);
     }
-    let policy = PlacementPolicy { size, ..PlacementPolicy::default() };
+    let policy = PlacementPolicy { target: size, ..PlacementPolicy::default() };
     let refused = policy.first_set(&ShardId::new("batch/main"), &stores(&[("a", 1), ("b", 1)]));
     assert_eq!(refused, Err(TooFewStores { live: 2, needed: 3 }));
     assert!(members_by_zone(&[], size, "batch/main").is_none());
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_set_grows_one_member_at_a_time_and_then_rests() {
-    let policy = PlacementPolicy { size: ToleranceTarget::tolerating(2), ..PlacementPolicy::default() };
+    let policy = PlacementPolicy { target: ToleranceTarget::tolerating(2), ..PlacementPolicy::default() };
     let all = stores(&[("a", 3), ("b", 3)]);
     let mut set = policy.first_set(&ShardId::new("batch/main"), &all[..3]).expect("a set");
     for members in 4..=5 {
@@ -95,7 +95,7 @@
     let shard = ShardId::new("batch/main");
     let candidates = stores(&layout);
     let home = Some(RegionName::new("s"));
-    let policy = PlacementPolicy { size: ToleranceTarget::tolerating(2), places, home };
+    let policy = PlacementPolicy { target: ToleranceTarget::tolerating(2), places, home };
     let set = policy.first_set(&shard, &candidates).expect("a set");
     assert!(set.members.iter().all(|member| member.zone.as_str().starts_with('s')), "{set:?}");
     assert_eq!(policy.fault_tolerance(&set.members), FaultTolerance { disks: 2, zones: 1, regions: 0 });
@@ -109,8 +109,8 @@
     let mut regions: BTreeMap<String, RegionName> =
         policy.places.zones().map(|(zone, region)| (zone.to_owned(), region.clone())).collect();
     regions.insert("w1".to_owned(), RegionName::new("w"));
-    let size = policy.size.with_regions(1);
-    let policy = PlacementPolicy { size, places: ZoneMap::new(regions), ..policy };
+    let size = policy.target.with_regions(1);
+    let policy = PlacementPolicy { target: size, places: ZoneMap::new(regions), ..policy };
     let set = policy.first_set(&shard, &candidates).expect("a set");
     assert_eq!((set.members.len(), policy.fault_tolerance(&set.members).regions), (5, 1));
 }
@@ -142,7 +142,11 @@
     fn policy(&self, size: ToleranceTarget, home: usize) -> PlacementPolicy {
         let regions = self.0.iter().enumerate();
         let regions = regions.map(|(zone, (_, region))| (format!("z{zone}"), region_name(*region)));
-        PlacementPolicy { size, places: ZoneMap::new(regions.collect()), home: Some(region_name(home)) }
+        PlacementPolicy {
+            target: size,
+            places: ZoneMap::new(regions.collect()),
+            home: Some(region_name(home)),
+        }
     }
 
     /// How many members of a set stand in each zone.
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -132,12 +132,12 @@
     first.take(&report("a/1", 1_000, 0, &[100, 200]), 1_000);
     first.take(&report("a/1", 6_000, 2, &[5_900]), 6_000);
     first.close(500, 9_500);
-    let (told, counts) = first.reporter.tell_next(first.ledger.usage(), at(9_600)).expect("a window");
+    let (told, counts) = first.reporter.next_unreported(first.ledger.usage(), at(9_600)).expect("a window");
     let (told, counts) = (told, counts.clone());
     let bytes = first.ledger.to_snapshot().expect("a snapshot");
     let mut next = Holder::new(Ledger::recover(Some(&bytes), &[]).expect("a ledger"));
     assert_eq!(next.ledger, first.ledger);
-    assert_eq!(next.reporter.tell_next(next.ledger.usage(), at(0)), Some((told, &counts)));
+    assert_eq!(next.reporter.next_unreported(next.ledger.usage(), at(0)), Some((told, &counts)));
     next.take(&report("a/1", 6_000, 2, &[5_900]), 12_000);
     next.close(12_000, 20_000);
     assert_eq!(next.closed(1), Some(1), "what the first holder kept is not counted again");
@@ -148,20 +148,20 @@
     let mut holder = Holder::new(Ledger::default());
     holder.close(100, 15_000);
     let tell = |holder: &mut Holder, now_ms| {
-        holder.reporter.tell_next(holder.ledger.usage(), at(now_ms)).map(|(window, _)| window)
+        holder.reporter.next_unreported(holder.ledger.usage(), at(now_ms)).map(|(window, _)| window)
     };
     assert_eq!(tell(&mut holder, 15_000), Some(window(0)));
     assert_eq!(tell(&mut holder, 15_000), None, "one at a time");
-    holder.reporter.told(window(0), false, at(15_100));
+    holder.reporter.report_answered(window(0), false, at(15_100));
     assert_eq!(tell(&mut holder, 15_100), None, "after a pause");
     assert_eq!(tell(&mut holder, 15_500), Some(window(1)), "one that was missed keeps no other back");
-    holder.reporter.told(window(1), true, at(15_600));
+    holder.reporter.report_answered(window(1), true, at(15_600));
     assert_eq!(
         tell(&mut holder, 15_600),
         Some(window(0)),
         "the other is not told again before its record is kept"
     );
-    holder.reporter.told(window(0), true, at(15_700));
+    holder.reporter.report_answered(window(0), true, at(15_700));
     assert_eq!(tell(&mut holder, 15_700), None);
     holder.ledger.apply(Record::UsageDelivered(window(0)));
     holder.ledger.apply(Record::UsageDelivered(window(1)));
@@ -172,7 +172,7 @@
 fn a_clock_that_jumps_moves_no_window() {
     let mut time = TrueTime::default();
     for (source, ahead) in [("a", 0), ("b", 3), ("c", 2_400), ("d", 2), ("e", 2_400)] {
-        time.heard(source, wall(1_000 + ahead), at(1_000));
+        time.observe_clock(source, wall(1_000 + ahead), at(1_000));
     }
     assert_eq!(time.now(at(1_500)), Some(wall(1_503)));
     assert_eq!(time.corrected("c", wall(3_400)), wall(1_003), "as most have it");
--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -10,7 +10,7 @@
 
 use futures::future::join_all;
 use lichenpulley_core::batch::election::{
-    self, LeaderAnswer, LeaderAnswers, LeaderSeen, PollReason, Verdict,
+    self, LeaderAnswer, LeaderAnswers, ObservedLeader, PollReason, Verdict,
 };
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::ledger_follower::LedgerFollower;
@@ -67,7 +67,7 @@
     else {
         return None;
     };
-    let leader = seen.map(|seen| LeaderSeen {
+    let leader = seen.map(|seen| ObservedLeader {
         epoch: seen.epoch,
         owner: node_of(seen.proposer.as_str()),
         idle: Duration::from_millis(seen.idle_ms),
@@ -172,7 +172,7 @@
     /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller
     /// or larger than the settings want. Where too few count, the set that this node has met may have been
     /// replaced since.
-    async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<LeaderSeen>>, usize) {
+    async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<ObservedLeader>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
         let least = context.settings.store.set_size.least_members();
         let needed_of = |set: Option<&ReplicaSet>| set.map_or(least, ReplicaSet::majority);
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -25,10 +25,10 @@
 const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long the owner may take, besides what a reader waits. Chosen, not measured: above the appends of a
 /// busy owner; longer delays the search for the next one.
-const ANSWER_DEADLINE: Duration = Duration::from_millis(1_500);
+const OWNER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause before the owner is looked up again. Chosen, not measured: shorter asks every store more often while
 /// nobody owns.
-const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const JOB_OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One shard of batch jobs. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
@@ -74,7 +74,7 @@
         let mut may_be_taken = false;
         loop {
             let response = match self.scope.known_owner() {
-                Some(owner) => self.ask_node(&owner, request.clone(), wait + ANSWER_DEADLINE).await,
+                Some(owner) => self.ask_node(&owner, request.clone(), wait + OWNER_ANSWER_TIMEOUT).await,
                 None => Some(BatchResponse::NotOwner(None)),
             };
             match response {
@@ -86,10 +86,10 @@
                 Some(BatchResponse::Unavailable) => {}
                 Some(response) => return response,
             }
-            if Instant::now() + OWNER_RETRY_INTERVAL >= limit {
+            if Instant::now() + JOB_OWNER_RETRY_INTERVAL >= limit {
                 return if may_be_taken { BatchResponse::InDoubt } else { BatchResponse::Unavailable };
             }
-            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
+            tokio::time::sleep(JOB_OWNER_RETRY_INTERVAL).await;
         }
     }
 
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -107,7 +107,7 @@
 fn show(scope: &Scope, set: &ReplicaSet) {
     let tolerance = placement::policy(&scope.context).fault_tolerance(&set.members);
     scope.context.metrics.placement().show(&set.shard, set.members.len(), tolerance);
-    placement::tell(&scope.context, set, "kept_by", "set_in_force");
+    placement::record_placement(&scope.context, set, "kept_by", "set_in_force");
 }
 
 struct Task {
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -27,7 +27,7 @@
 const MISSING_ENTRIES: u64 = 500;
 /// How many call timeouts a store may take for a page: all that start after a loss of power read at a time.
 /// Chosen, not measured.
-const ANSWER_TIMEOUTS: u32 = 3;
+const PAGE_ANSWER_TIMEOUTS: u32 = 3;
 /// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not
 /// measured.
 const IDLE_ROUNDS: u32 = 2;
@@ -276,7 +276,7 @@
     next: LogIndex,
     reading: Reading,
 ) -> Option<DecidedPage> {
-    let timeout = scope.context.settings.store.call_timeout * ANSWER_TIMEOUTS;
+    let timeout = scope.context.settings.store.call_timeout * PAGE_ANSWER_TIMEOUTS;
     ask_within(scope, set, member, next, reading, timeout).await
 }
 
--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -148,7 +148,7 @@
     fn take_heard(&mut self, revisions: &HeardRevisions) {
         let Some(announced) = revisions.get(self.document.as_str()) else { return };
         let now = self.now();
-        self.disseminator.heard(announced.revision, announced.holder.node.clone(), now);
+        self.disseminator.note_announcement(announced.revision, announced.holder.node.clone(), now);
     }
 
     fn update_members(&mut self) {
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -16,7 +16,7 @@
 
 /// Pause after the platform gave no answer. Chosen, not measured: shorter loads a platform that is down,
 /// longer delays changes after it is back.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const PLATFORM_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Why a document could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -75,7 +75,7 @@
                 Ok(wait) => wait,
                 Err(error) => {
                     log::warn!(target: "configuration", "{error}.");
-                    RETRY_PAUSE
+                    PLATFORM_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(wait).await;
@@ -105,7 +105,7 @@
                 hand_over(register.document().clone());
                 *version = list.revision;
                 // An empty store has no revision to watch after.
-                Ok(if list.revision == Revision(0) { RETRY_PAUSE } else { Duration::ZERO })
+                Ok(if list.revision == Revision(0) { PLATFORM_RETRY_PAUSE } else { Duration::ZERO })
             }
             Self::Machines { poll_interval, .. } => {
                 hand_over(self.read(latest()).await?);
--- a/crates/daemon/src/coordinator/forward.rs
+++ b/crates/daemon/src/coordinator/forward.rs
@@ -20,10 +20,10 @@
 const OWNER_SEARCH_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long one node may take to answer. Chosen, not measured: above the time of a takeover, which a request
 /// waits for at its new owner.
-const ANSWER_DEADLINE: Duration = Duration::from_secs(5);
+const FORWARD_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause before the owner is looked up again. Chosen, not measured: well below the time in which the
 /// membership notices a change; shorter asks nodes that can't answer yet.
-const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const SHARD_OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// When a caller should come back where no owner was found, in milliseconds. Chosen, not measured: the caller
 /// has waited for [`OWNER_SEARCH_TIMEOUT`] already.
 const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
@@ -61,7 +61,7 @@
             return no_owner(&shard);
         }
         if named.is_none() {
-            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
+            tokio::time::sleep(SHARD_OWNER_RETRY_INTERVAL).await;
         }
     }
 }
@@ -79,9 +79,9 @@
 ) -> Option<CoordinatorResponse> {
     if member.node == context.node {
         // Without an answer in time the owner is looked up again, as where another node gives none.
-        return tokio::time::timeout(ANSWER_DEADLINE, coordinator.answer(request)).await.ok();
+        return tokio::time::timeout(FORWARD_ANSWER_TIMEOUT, coordinator.answer(request)).await.ok();
     }
-    let answered = context.peers.coordinator(member.peer_address, request, ANSWER_DEADLINE).await;
+    let answered = context.peers.coordinator(member.peer_address, request, FORWARD_ANSWER_TIMEOUT).await;
     match answered {
         Ok(response) => Some(response),
         Err(error) => {
--- a/crates/daemon/src/coordinator/job_owner.rs
+++ b/crates/daemon/src/coordinator/job_owner.rs
@@ -26,7 +26,7 @@
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
 /// The prefix of this part's log lines.
-const PART: &str = "rollout";
+const LOG_PREFIX: &str = "rollout";
 /// A connection to the scorer that is not made within this time is given up. Chosen, not measured: some round
 /// trips of a busy machine; longer, and an attempt loses its time to a scorer that is gone.
 const SCORER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -76,7 +76,7 @@
             runner,
             controller,
             clock,
-            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, clock_of_writes),
+            log: LogWriter::start(log, RecordFormat::bytes(LOG_PREFIX), 0, clock_of_writes),
             attempts: JoinSet::new(),
             running: HashMap::new(),
             pulls: HashMap::new(),
@@ -210,7 +210,7 @@
 
     fn append(&mut self, records: &[JobRecord]) {
         // Nothing that rests on records that can't be encoded is ever revealed.
-        if let Some(encoded) = encode_all(PART, records, JobRecord::encode) {
+        if let Some(encoded) = encode_all(LOG_PREFIX, records, JobRecord::encode) {
             self.log.append(encoded);
         }
     }
@@ -225,7 +225,7 @@
 
     fn finish(mut self, commands: &mut mpsc::Receiver<ShardCommand>) {
         let waiting = self.pulls.drain().map(|(_, command)| command).chain(self.submissions.drain(..));
-        let response = last_answer(PART, self.failure.as_ref(), commands);
+        let response = last_answer(LOG_PREFIX, self.failure.as_ref(), commands);
         for command in waiting {
             command.answer(response.clone());
         }
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -24,7 +24,7 @@
 use crate::store::shard_log::{RecoveredLog, ShardLog, ShardLogError};
 
 /// The prefix of this part's log lines.
-const PART: &str = "weights";
+const LOG_PREFIX: &str = "weights";
 /// A connection to an engine that is not made within this time is given up. Chosen, not measured: some round
 /// trips of a busy machine; longer only delays the next question, since the wave goes on with other replicas.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -81,7 +81,7 @@
             engines,
             controller,
             clock,
-            log: LogWriter::start(log, RecordFormat::bytes(PART), 0, self.context.boot_clock.clone()),
+            log: LogWriter::start(log, RecordFormat::bytes(LOG_PREFIX), 0, self.context.boot_clock.clone()),
             calls: JoinSet::new(),
             addresses: HashMap::new(),
             waiting: HashMap::new(),
@@ -224,7 +224,7 @@
 
     fn append(&mut self, records: &[WeightsRecord]) {
         // Nothing that rests on records that can't be encoded is ever done.
-        if let Some(encoded) = encode_all(PART, records, WeightsRecord::encode) {
+        if let Some(encoded) = encode_all(LOG_PREFIX, records, WeightsRecord::encode) {
             self.log.append(encoded);
         }
     }
@@ -263,7 +263,7 @@
             Some(OwnerEnd::Log(error)) => Some(error),
             Some(OwnerEnd::Superseded) | None => None,
         };
-        let response = last_answer(PART, failure, commands);
+        let response = last_answer(LOG_PREFIX, failure, commands);
         for (_, command) in self.waiting.drain() {
             command.answer(response.clone());
         }
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -32,7 +32,7 @@
 const POOL_USE_TIME: Duration = Duration::from_secs(10);
 /// Pause between rounds of probes. Chosen, not measured: short against the 3 s for which a confirmation
 /// holds.
-const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+const REPLICA_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// The most replicas of a pool that are probed in one round. Chosen, not measured: 32 replicas take four
 /// rounds, a second.
 const MAX_PROBES_IN_ROUND: usize = 8;
@@ -194,7 +194,7 @@
 
 /// Keeps replicas of the pools in use confirmed. What is not in use is not asked.
 async fn probe_rounds(shared: Arc<Shared>) {
-    let mut rounds = tokio::time::interval(PROBE_INTERVAL);
+    let mut rounds = tokio::time::interval(REPLICA_PROBE_INTERVAL);
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -117,7 +117,7 @@
     /// is stuck does no harm, so that each is held for longer and costs fewer calls.
     fn hold(&self, kind: &str) -> Duration {
         if [objects::EVACUATIONS, QUARANTINE].contains(&kind) {
-            (self.watch_hold * RARE_HOLDS).min(objects::LONGEST_WATCH).max(self.watch_hold)
+            (self.watch_hold * RARE_HOLDS).min(objects::MAX_WATCH_TIME).max(self.watch_hold)
         } else {
             self.watch_hold
         }
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -25,7 +25,7 @@
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What a peer gave.
-pub(super) struct Given {
+pub(super) struct PeerCopy {
     /// The peer.
     pub(super) from: NodeId,
     /// What it has beyond this node.
@@ -40,12 +40,12 @@
     peer: &Member,
     kind: MetadataKind,
     newer_than: Option<u64>,
-) -> Option<Given> {
+) -> Option<PeerCopy> {
     let request = MetadataRequest { kind, newer_than, wait_ms: 0 };
     match context.peers.metadata(peer.peer_address, request, PEER_TIMEOUT).await {
         Ok(response) => {
             let age = Duration::from_millis(response.age_ms);
-            Some(Given { from: peer.node.clone(), update: response.update, age })
+            Some(PeerCopy { from: peer.node.clone(), update: response.update, age })
         }
         Err(error) => {
             log::debug!(target: "metadata", "{} gave no {kind:?}: {error}.", peer.node);
@@ -65,7 +65,7 @@
 /// Waits until another reader of the platform has had newer replicas for so long that this node's own watch
 /// can't stand: its connection may be silent while others to the store answer. Kinds that are announced need
 /// none of it.
-pub(super) async fn behind(context: &Context, kind: MetadataKind) -> Given {
+pub(super) async fn behind(context: &Context, kind: MetadataKind) -> PeerCopy {
     if kind != MetadataKind::Replicas {
         return std::future::pending().await;
     }
@@ -73,13 +73,13 @@
         tokio::time::sleep(COMPARE_POLL_INTERVAL).await;
         let held = context.metadata.revision(kind);
         let Some(reader) = reader(context) else { continue };
-        let Some(given) = ask(context, &reader, kind, held).await else { continue };
-        if given.update.is_none() {
+        let Some(copy) = ask(context, &reader, kind, held).await else { continue };
+        if copy.update.is_none() {
             continue;
         }
         tokio::time::sleep(CATCH_UP_TIMEOUT).await;
         if context.metadata.revision(kind) == held {
-            return given;
+            return copy;
         }
     }
 }
--- a/crates/daemon/src/metadata/reachability.rs
+++ b/crates/daemon/src/metadata/reachability.rs
@@ -14,7 +14,7 @@
 
 /// Time between two probes. Chosen, not measured: longer delays finding out that the store is away, shorter
 /// costs priced calls.
-const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+const STORE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Whether the store gave an answer when it was last asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
         while !sender.is_closed() {
             let was_reached = *sender.borrow() == StoreReach::Reached;
             if !context.metadata.freshness.needs_platform() {
-                tokio::time::sleep(PROBE_INTERVAL).await;
+                tokio::time::sleep(STORE_PROBE_INTERVAL).await;
                 continue;
             }
             let began = Instant::now();
@@ -52,7 +52,7 @@
                 sender.send_replace(StoreReach::Away);
                 log::warn!(target: "metadata", "The metadata store can't be reached; what was read before stays in force, and peers are asked.");
             }
-            tokio::time::sleep(PROBE_INTERVAL).await;
+            tokio::time::sleep(STORE_PROBE_INTERVAL).await;
         }
     });
     reach
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -18,10 +18,10 @@
 
 /// How long a reader may wait for a change before it answers. Chosen, not measured: shorter costs calls
 /// between nodes; longer delays finding out that a reader is silent.
-const HOLD: Duration = Duration::from_millis(500);
+const READER_HOLD_TIME: Duration = Duration::from_millis(500);
 /// How long an answer may take beyond that. Chosen, not measured: shorter leaves readers that are only
 /// slow, longer delays the change to another.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
+const READER_ANSWER_SLACK: Duration = Duration::from_millis(350);
 
 /// One kind of metadata on a node that may follow.
 pub(super) struct Follower {
@@ -60,9 +60,13 @@
         let reader = self.reader()?;
         // After a reader that knew nothing fresh, the next one says at once what it knows.
         let may_wait = newer_than.is_some() && !self.was_let_down;
-        let wait_ms = if may_wait { HOLD.as_millis() as u64 } else { 0 };
+        let wait_ms = if may_wait { READER_HOLD_TIME.as_millis() as u64 } else { 0 };
         let request = MetadataRequest { kind: self.kind, newer_than, wait_ms };
-        let answer = self.context.peers.metadata(reader.peer_address, request, HOLD + ANSWER_TIMEOUT).await;
+        let answer = self
+            .context
+            .peers
+            .metadata(reader.peer_address, request, READER_HOLD_TIME + READER_ANSWER_SLACK)
+            .await;
         let now = self.now();
         match answer {
             Ok(response) => {
--- a/crates/daemon/src/metadata/retirements.rs
+++ b/crates/daemon/src/metadata/retirements.rs
@@ -17,7 +17,7 @@
 use crate::context::Context;
 
 /// Pause after the platform gave no answer. Chosen, not measured: shorter loads a platform that is down.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETIREMENTS_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Pause before a status that was written is looked at again. Chosen, not measured: it only spaces out the
 /// writes of statuses.
 const SETTLE_PAUSE: Duration = Duration::from_millis(100);
@@ -74,7 +74,7 @@
         *open.lock().unwrap_or_else(PoisonError::into_inner) = nodes;
         if let Err(error) = round {
             ::log::debug!(target: "metadata", "Retirements can't be watched: {error}.");
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETIREMENTS_RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -24,7 +24,7 @@
 use super::client::{MetadataClient, Watched};
 use super::freshness::Reading;
 use super::kind_index::kind_index;
-use super::peers::Given;
+use super::peers::PeerCopy;
 use super::reachability::{Reachability, StoreReach};
 use super::relay::Follower;
 use super::{announcements, peers, zones};
@@ -204,9 +204,9 @@
                 Ok(RoundEnd::Unconfirmed)
             }
             WatchEnd::Announced(holder) => self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed),
-            WatchEnd::PeerAhead(given) => {
+            WatchEnd::PeerAhead(copy) => {
                 log::info!(target: "metadata", "A peer has had newer {:?} for long: its copy is taken, and watched anew.", self.kind);
-                self.take_given(given);
+                self.take_peer_copy(copy);
                 Ok(RoundEnd::Unconfirmed)
             }
         }
@@ -222,7 +222,7 @@
             Ok(()) = self.rereads.changed() => WatchEnd::RereadWanted,
             () = sleep_until(lapses_end) => WatchEnd::LapsesOver,
             holder = announcements::heard_newer(&self.context, self.kind) => WatchEnd::Announced(holder),
-            given = peers::behind(&self.context, self.kind) => WatchEnd::PeerAhead(given),
+            copy = peers::behind(&self.context, self.kind) => WatchEnd::PeerAhead(copy),
         };
         Ok(end)
     }
@@ -329,7 +329,7 @@
     /// A peer announced something newer.
     Announced(Member),
     /// Another reader has had something newer for too long.
-    PeerAhead(Given),
+    PeerAhead(PeerCopy),
 }
 
 /// How a round of watching ended.
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -11,7 +11,7 @@
 use crate::configuration::platform::PlatformError;
 use crate::metadata::announcements;
 use crate::metadata::freshness::Reading;
-use crate::metadata::peers::{self, Given};
+use crate::metadata::peers::{self, PeerCopy};
 
 /// The pause after failures in a row.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), RETRY_LIMIT);
@@ -50,28 +50,28 @@
     pub(super) async fn ask_peer(&mut self) {
         let announcer = announcements::announcer(&self.context, self.kind);
         let Some(peer) = announcer.or_else(|| peers::any(&self.context)) else { return };
-        if let Some(given) = peers::ask(&self.context, &peer, self.kind, self.held()).await {
-            self.take_given(given);
+        if let Some(copy) = peers::ask(&self.context, &peer, self.kind, self.held()).await {
+            self.take_peer_copy(copy);
         }
     }
 
     /// Takes what a peer gave. A copy that the platform confirmed to the peer after it fell silent for this
     /// node shows that it serves others: what vanished there is gone.
-    pub(super) fn take_given(&mut self, given: Given) {
-        if self.lapses.served_others(self.now(), given.age) {
-            self.context.metadata.freshness.confirm(self.kind, given.age);
+    pub(super) fn take_peer_copy(&mut self, copy: PeerCopy) {
+        if self.lapses.served_others(self.now(), copy.age) {
+            self.context.metadata.freshness.confirm(self.kind, copy.age);
         }
-        if let Some(update) = given.update {
-            log::info!(target: "metadata", "{:?} of revision {} came from {}.", self.kind, update.revision, given.from);
-            self.take(update, &given.from);
+        if let Some(update) = copy.update {
+            log::info!(target: "metadata", "{:?} of revision {} came from {}.", self.kind, update.revision, copy.from);
+            self.take(update, &copy.from);
         }
     }
 
     /// Takes what a peer announced, from that peer: it costs the platform nothing, and helps where that turns
     /// this node away. Asks the platform only where the peer gives nothing as new.
     pub(super) async fn take_announced(&mut self, holder: &Member) -> Result<(), PlatformError> {
-        if let Some(given) = peers::ask(&self.context, holder, self.kind, self.held()).await {
-            self.take_given(given);
+        if let Some(copy) = peers::ask(&self.context, holder, self.kind, self.held()).await {
+            self.take_peer_copy(copy);
         }
         if announcements::announcer(&self.context, self.kind).is_none() {
             return Ok(());
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// As for [`MetadataClient::delete`].
-pub async fn give_back(client: &MetadataClient, zone: &str) -> Result<(), WriteError> {
+pub async fn readmit(client: &MetadataClient, zone: &str) -> Result<(), WriteError> {
     client.delete(objects::EVACUATIONS, zone).await
 }
 
--- a/crates/daemon/src/operators/zones.rs
+++ b/crates/daemon/src/operators/zones.rs
@@ -54,7 +54,7 @@
         ZoneChange::Evacuate if !zones::is_known(context, zone) => return unknown(zone),
         ZoneChange::Evacuate => (zones::evacuate(&client, zone).await, ZoneState::Evacuated),
         ZoneChange::Return => match zones::is_asked_for(&client, zone).await {
-            Ok(true) => (zones::give_back(&client, zone).await, ZoneState::Open),
+            Ok(true) => (zones::readmit(&client, zone).await, ZoneState::Open),
             Ok(false) => return not_evacuated(zone),
             Err(error) => return unreachable_store(error.to_string(), Execution::NotRun),
         },
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -28,7 +28,7 @@
 const CLAIM_SHARD_PREFIX: &str = "claims/";
 /// Pause before a replica that gave no vote is asked again. Chosen, not measured: longer adds to the time
 /// of a request that runs at most once, shorter repeats calls to a store that is busy.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const VOTE_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// How many call timeouts a claim may last. Chosen, not measured: the caller waits that long for a refusal
 /// when no majority answers; with one, a single slow store refuses.
 const CLAIM_TIMEOUTS: u32 = 2;
@@ -138,7 +138,7 @@
                 operations.insert(store.clone(), Operation::Begin(set.clone()));
                 send(&exchange, set, &store, &operations);
             }
-            _ => send_after(RETRY_PAUSE, &exchange, set, &store, &operations),
+            _ => send_after(VOTE_RETRY_PAUSE, &exchange, set, &store, &operations),
         }
         match tally.verdict() {
             ClaimVerdict::Granted => return Votes::Decided(ClaimOutcome::Granted),
--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -26,6 +26,7 @@
 
 use std::path::Path;
 use std::sync::Arc;
+use std::time::Duration;
 
 use lichenpulley_core::batch::outline;
 use lichenpulley_core::replication::acceptor::Acceptor;
@@ -43,6 +44,10 @@
 use thread::StoreThread;
 use worker::{Done, Job, Work, Worker};
 
+/// Time above the timeout of a call before its request is sent again, so that it is not sent while the call still runs.
+/// Chosen, not measured: any small time does; a long one delays the next try by as much.
+const RETRANSMIT_MARGIN: Duration = Duration::from_millis(50);
+
 /// Requests that wait for the store's thread before callers are made to wait. Chosen, not measured: it
 /// bounds memory; with fewer, callers wait before a batch is full.
 const QUEUE_LIMIT: usize = 1_024;
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -17,7 +17,7 @@
 pub(crate) fn policy(context: &NodeContext) -> PlacementPolicy {
     let places = &context.settings.places;
     let home = region_of_most_stores(context).or_else(|| places.region.clone());
-    PlacementPolicy { size: context.settings.store.set_size, places: places.zones.clone(), home }
+    PlacementPolicy { target: context.settings.store.set_size, places: places.zones.clone(), home }
 }
 
 /// The region from which a shard is best owned: the one where a majority of its members stands, so that
@@ -34,10 +34,10 @@
 }
 
 /// Records which losses a set tolerates in a decision and, where it is less than the settings want, in the log.
-pub(crate) fn tell(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
+pub(crate) fn record_placement(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
     let policy = policy(context);
     let tolerance = policy.fault_tolerance(&set.members);
-    let wanted = policy.size.members();
+    let wanted = policy.target.members();
     let nodes: Vec<&str> = set.members.iter().map(|member| member.node.as_str()).collect();
     let decision = Decision::new(Component::Replication, action, reason, &set.shard);
     let decision = decision.with("nodes", nodes.join(" ")).with("members", nodes.len());
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -13,6 +13,7 @@
 use lichenpulley_core::time::Timestamp;
 use tokio::time::Instant;
 
+use super::RETRANSMIT_MARGIN;
 use super::exchange::StoreExchange;
 use super::replica_sets::{self, DocumentClient, ReplicaSetError, StoredDocument};
 use crate::context::Context;
@@ -23,10 +24,7 @@
 /// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which
 /// others read there meanwhile, its answers wait for longer than one. Requests that were given up after one
 /// came again without end, and a change of two disks was not done after six seconds.
-const ANSWER_TIMEOUTS: u32 = 4;
-/// Above the time for an answer, so that a request is not sent again while its call still runs. Chosen, not
-/// measured: any small time does.
-const RETRANSMIT_MARGIN: Duration = Duration::from_millis(50);
+const STORE_ANSWER_TIMEOUTS: u32 = 4;
 
 /// Why a member was not replaced.
 #[derive(Debug, thiserror::Error)]
@@ -217,7 +215,7 @@
 }
 
 fn answer_deadline(context: &Context) -> Duration {
-    context.settings.store.call_timeout * ANSWER_TIMEOUTS
+    context.settings.store.call_timeout * STORE_ANSWER_TIMEOUTS
 }
 
 /// Exchanges messages until enough members are installed; gives a later set where one was met.
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -103,7 +103,12 @@
     };
     let set = stored.document.current;
     let is_small = set.members.len() < context.settings.store.set_size.members();
-    placement::tell(context, &set, "placed", if is_small { "fewer_stores" } else { "first_replica_set" });
+    placement::record_placement(
+        context,
+        &set,
+        "placed",
+        if is_small { "fewer_stores" } else { "first_replica_set" },
+    );
     Ok(set)
 }
 
@@ -116,7 +121,7 @@
 ) -> Result<ReplicaSet, ReplicaSetError> {
     let policy = placement::policy(context);
     let set = policy.first_set(shard, candidates)?;
-    let (live, wanted) = (set.members.len(), policy.size.members());
+    let (live, wanted) = (set.members.len(), policy.target.members());
     let small_set_after = context.settings.store.small_set_after;
     if live < wanted && context.replica_sets.short_for(shard, candidates) < small_set_after {
         return Err(ReplicaSetError::WaitingForStores { live, wanted, small_set_after });
--- a/crates/daemon/src/store/shard_log/set_change.rs
+++ b/crates/daemon/src/store/shard_log/set_change.rs
@@ -24,7 +24,7 @@
 /// The pause between two heartbeats of the owner while the stores are changed, and how long a store may take to answer one.
 /// Traced on the grown deployment: a change took 3.6 s, and without heartbeats candidates took the log over after 1.4 s.
 /// Several heartbeats fit into that; the number itself is chosen.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const SET_CHANGE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl ShardLog {
     /// Replaces a member of the shard's replica set by another store, without the platform: the log itself decides which
@@ -130,7 +130,7 @@
                 let (context, last_answer) = (self.context.clone(), self.last_answer.clone());
                 async move {
                     // A heartbeat that is lost is followed by the next one.
-                    match context.peers.store(address?, request, HEARTBEAT_INTERVAL).await {
+                    match context.peers.store(address?, request, SET_CHANGE_HEARTBEAT_INTERVAL).await {
                         Ok(StoreResponse::Leadership(seen)) => {
                             last_answer.record();
                             seen.map(|seen| seen.epoch)
@@ -144,7 +144,7 @@
             if highest > self.epoch() {
                 return highest;
             }
-            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+            tokio::time::sleep(SET_CHANGE_HEARTBEAT_INTERVAL).await;
         }
     }
 }
--- a/crates/daemon/src/store/shard_log/take_over.rs
+++ b/crates/daemon/src/store/shard_log/take_over.rs
@@ -1,8 +1,6 @@
 //! Taking a shard's log over: finds its stores, raises the epoch and reads what earlier owners got decided; finishes a
 //! change of the stores that it meets.
 
-use std::time::Duration;
-
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{Epoch, ShardId};
 use lichenpulley_core::replication::ballot::ProposerId;
@@ -15,11 +13,7 @@
 use crate::context::Context;
 use crate::store::exchange::StoreExchange;
 use crate::store::last_answer::LastAnswer;
-use crate::store::replica_sets;
-
-/// Time above the call timeout before a request is sent again, so that it is not sent while its call still runs. Chosen,
-/// not measured: any small time does.
-const RETRANSMIT_MARGIN: Duration = Duration::from_millis(50);
+use crate::store::{RETRANSMIT_MARGIN, replica_sets};
 
 impl ShardLog {
     /// Raises the shard's epoch at a majority of its store replicas, finishes what an earlier owner may have
--- a/crates/lab/src/engine/answer.rs
+++ b/crates/lab/src/engine/answer.rs
@@ -9,7 +9,7 @@
 /// The shortest answer, in tokens.
 const SHORTEST: f64 = 16.0;
 /// The longest answer, in tokens.
-const LONGEST: f64 = 4_096.0;
+const MAX_LENGTH: f64 = 4_096.0;
 /// The exponent of the Pareto distribution of lengths: the lower, the heavier the tail. With 1.3 the median is 27
 /// tokens, the 99th percentile 553.
 const TAIL_EXPONENT: f64 = 1.3;
@@ -66,5 +66,5 @@
     let hash = xxh3_64_with_seed(b"length", key);
     let uniform = ((hash >> 11) as f64 + 1.0) / (1_u64 << 53) as f64;
     let length = SHORTEST * uniform.powf(-1.0 / TAIL_EXPONENT);
-    length.min(LONGEST) as u32
+    length.min(MAX_LENGTH) as u32
 }
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -21,7 +21,7 @@
 use crate::error::LabError;
 
 /// Bodies longer than this are refused.
-const MAXIMUM_BODY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A response's body: whole or streamed. An error breaks the connection in the middle of the body.
 pub type Body = BoxBody<Bytes, std::io::Error>;
@@ -128,7 +128,7 @@
 /// # Errors
 /// With the 400 response to send.
 pub async fn read_json<Value: DeserializeOwned>(request: Request<Incoming>) -> Result<Value, Response<Body>> {
-    let limited = Limited::new(request.into_body(), MAXIMUM_BODY_BYTES);
+    let limited = Limited::new(request.into_body(), MAX_BODY_BYTES);
     let whole = limited.collect().await.map_err(|error| bad_request(&error.to_string()))?;
     serde_json::from_slice(&whole.to_bytes()).map_err(|error| bad_request(&error.to_string()))
 }
--- a/crates/lab/src/load/report.rs
+++ b/crates/lab/src/load/report.rs
@@ -8,7 +8,7 @@
 use super::call::{CallOutcome, CallRecord};
 
 /// Times are recorded up to this, in microseconds.
-const LONGEST_MICROSECONDS: u64 = 3_600_000_000;
+const MAX_MICROSECONDS: u64 = 3_600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Records calls.
@@ -23,7 +23,7 @@
     /// # Panics
     /// Never: the bounds are constants that the library accepts.
     fn default() -> Self {
-        let whole = Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS);
+        let whole = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS);
         Self { outcomes: BTreeMap::new(), whole: whole.expect("constant, valid bounds") }
     }
 }
--- a/crates/lab/src/object_api/requests.rs
+++ b/crates/lab/src/object_api/requests.rs
@@ -16,7 +16,7 @@
 /// A watch without changes ends after this where it does not say `hold_ms`.
 const WATCH_HOLD: Duration = Duration::from_secs(20);
 /// The longest hold that a watch may ask for.
-const MAXIMUM_WATCH_HOLD: Duration = Duration::from_secs(300);
+const MAX_WATCH_HOLD: Duration = Duration::from_secs(300);
 const OBJECTS: &str = "/objects/";
 
 /// Answers one request, or closes its connection where a fault asks for that.
@@ -92,7 +92,7 @@
         return http::bad_request("`after` must be a revision: a whole number").into();
     };
     let hold = query_parameter(request, "hold_ms").and_then(|hold| hold.parse().ok());
-    let hold = hold.map_or(WATCH_HOLD, Duration::from_millis).min(MAXIMUM_WATCH_HOLD);
+    let hold = hold.map_or(WATCH_HOLD, Duration::from_millis).min(MAX_WATCH_HOLD);
     let _open = OpenWatch::begin(state);
     let mut changed = state.changed.subscribe();
     let deadline = tokio::time::Instant::now() + hold;
--- a/crates/lab/src/simulations/configuration/node.rs
+++ b/crates/lab/src/simulations/configuration/node.rs
@@ -145,7 +145,7 @@
 
     fn hear(&mut self, from: ProcessId, revision: Option<Revision>, now: Timestamp) {
         if let (Some(sender), Some(revision)) = (self.name_of(from), revision) {
-            self.disseminator.heard(revision, sender, now);
+            self.disseminator.note_announcement(revision, sender, now);
         }
     }
 
--- a/crates/lab/src/simulations/replication/owner/mod.rs
+++ b/crates/lab/src/simulations/replication/owner/mod.rs
@@ -33,9 +33,9 @@
 /// The shortest pause before a take-over.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
 /// The longest pause before a take-over.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const MAX_PAUSE: Duration = Duration::from_millis(600);
 /// The same for owners that change the stores, so that there is time for it.
-const LONGEST_PAUSE_OF_CHANGERS: Duration = Duration::from_secs(4);
+const MAX_CHANGER_PAUSE: Duration = Duration::from_secs(4);
 /// Appends between two snapshots.
 const APPENDS_PER_SNAPSHOT: u64 = 12;
 
@@ -104,7 +104,7 @@
             chosen: None,
             confirming: None,
             stores: Vec::new(),
-            longest_pause: LONGEST_PAUSE,
+            longest_pause: MAX_PAUSE,
             appends: 0,
             incarnations: 0,
             active: true,
@@ -128,7 +128,7 @@
     /// Tells which stores there are, and the set in force: from then on the owner replaces lost members through the log.
     pub(super) fn set_stores(&mut self, stores: Vec<SetMember>, in_force: Option<ReplicaSet>) {
         self.stores = stores;
-        self.longest_pause = LONGEST_PAUSE_OF_CHANGERS;
+        self.longest_pause = MAX_CHANGER_PAUSE;
         let later = in_force.filter(|set| set.generation > self.set.generation);
         if let (Activity::Waiting { .. }, Some(set)) = (&self.activity, later) {
             self.set = set;
