--- a/crates/core/src/ingress/replicas.rs
+++ b/crates/core/src/ingress/replicas.rs
@@ -61,6 +61,13 @@
     pub fn may_restart(&self) -> bool {
         self.id != self.name
     }
+
+    /// Whether this incarnation made a report that states when its maker started, in milliseconds since the Unix epoch. A
+    /// report or a record without that counts as made by this one.
+    pub fn is_maker(&self, born_ms: Option<u64>) -> bool {
+        let incarnation = ReplicaIncarnation { name: &self.name, born_ms };
+        born_ms.is_none() || !self.may_restart() || self.id == incarnation.to_string()
+    }
 }
 
 /// All replicas, by id.
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -199,7 +199,7 @@
             }
         };
         // What a later incarnation reports says nothing of this one: its orders are counted anew.
-        report.is_of(replica).then_some(report)
+        replica.is_maker(report.born_ms()).then_some(report)
     }
 
     /// Gives the order.
