--- a/crates/core/src/batch/group_tally.rs
+++ b/crates/core/src/batch/group_tally.rs
@@ -1,6 +1,7 @@
 //! How much is left of each group of a job's items.
 //!
 //! A trainer is served by whole groups: a group counts once every item of it is listed.
+//! Owns the counts of one job, which follow from its ledger; relies on its caller to note each item once, when it is listed.
 
 use std::collections::HashMap;
 
--- a/crates/core/src/batch/record.rs
+++ b/crates/core/src/batch/record.rs
@@ -1,4 +1,7 @@
 //! Records of a batch shard's log.
+//!
+//! Owns their form: the order of variants and fields is what stores keep. The ledger says what each changes, the controller
+//! when one is written. Relies on the log for their order.
 
 use speedy::{Readable, Writable};
 
--- a/crates/core/src/rollout/queue.rs
+++ b/crates/core/src/rollout/queue.rs
@@ -1,4 +1,7 @@
 //! Slots that wait for an attempt, in the order in which they are started.
+//!
+//! Owns the slots that are due and those that wait out a backoff. Relies on its caller for the time, and for putting a slot
+//! back whose attempt has failed.
 
 use std::collections::BTreeSet;
 
--- a/crates/core/src/rollout/slot.rs
+++ b/crates/core/src/rollout/slot.rs
@@ -1,4 +1,7 @@
 //! The place of a sample in a job, and how far it has come.
+//!
+//! Owns the order of slots, by step, prompt and index, in which samples are started and named. Relies on the job's
+//! specification for how many there are.
 
 use std::fmt;
 
--- a/crates/core/src/rollout/span.rs
+++ b/crates/core/src/rollout/span.rs
@@ -1,4 +1,7 @@
 //! Which weights produced which tokens (brief point 1).
+//!
+//! Owns the checks that the spans of an answer cover each of its tokens once. Relies on the engine for the version of each
+//! span; a sample whose spans fail the checks is not handed to a trainer.
 
 use crate::identity::WeightVersion;
 use crate::request::answer::VersionSpan;
--- a/crates/daemon/src/coordinator/engines.rs
+++ b/crates/daemon/src/coordinator/engines.rs
@@ -1,4 +1,7 @@
 //! Orders to engines and questions about their state, over HTTP.
+//!
+//! Owns the translation between the core's orders and the engines' interface, and what an answer or its absence means.
+//! Relies on the engine to refuse an order of an earlier epoch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/daemon/src/coordinator/http.rs
+++ b/crates/daemon/src/coordinator/http.rs
@@ -1,4 +1,7 @@
 //! The callers' interface to rollout jobs and weights.
+//!
+//! Owns the paths, the checks of what callers send and the status of each answer. Relies on the coordinator to bring a
+//! question to the owner of its shard, wherever that runs.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
--- a/crates/daemon/src/coordinator/job_shard.rs
+++ b/crates/daemon/src/coordinator/job_shard.rs
@@ -1,4 +1,7 @@
 //! Takes over the shard of one job and owns it.
+//!
+//! Owns the way from the recovered log to a job: a log with records is resumed, an empty one waits for the submission. What
+//! the owner then does is the job owner's. Relies on the shard's log for the epoch under which it owns.
 
 use lichenpulley_core::identity::{Epoch, JobId, ShardId};
 use lichenpulley_core::rollout::{ControllerConfig, JobController};
--- a/crates/daemon/src/coordinator/supervisor.rs
+++ b/crates/daemon/src/coordinator/supervisor.rs
@@ -1,4 +1,7 @@
 //! Decides which shards run on this node, and brings requests to them.
+//!
+//! Owns the tasks of these shards and stops each when it is dropped. Relies on the members in force for who owns a shard,
+//! and on [`forward`] for those that other nodes own.
 
 use std::collections::HashMap;
 
