--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -277,7 +277,7 @@
 /// Why the ledger could not be put together.
 #[derive(Debug, thiserror::Error)]
 enum RecoveryError {
-    #[error("a record can't be read: {0}")]
+    #[error("a record can't be read: {0}; run one version of lichenpulleyd on all nodes")]
     Codec(#[from] speedy::Error),
     #[error(transparent)]
     Log(#[from] ShardLogError),
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -65,15 +65,15 @@
 /// Why a log is not read by its outline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum NoOutline {
-    #[error("no store knows who keeps it")]
+    #[error("no store knows who keeps it; start a majority of its stores")]
     UnknownSet,
-    #[error("no member answered with what is decided")]
+    #[error("no member answered with what is decided; start a majority of its stores")]
     NoMember,
     #[error("{0} entries are read at once")]
     Short(u64),
     #[error("it could be read through {read} of {through} entries")]
     Stuck { read: LogIndex, through: LogIndex },
-    #[error("an entry is none of ours")]
+    #[error("an entry is none of ours; run one version of lichenpulleyd on all nodes")]
     Unreadable,
     #[error("its beginning is missing")]
     NotWhole,
