--- a/crates/core/src/batch/controller/config.rs
+++ b/crates/core/src/batch/controller/config.rs
@@ -26,9 +26,9 @@
 /// Times and limits of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControllerConfig {
-    /// A run without a first event for so long is taken up elsewhere.
+    /// A run without a first event for this time is taken up elsewhere.
     pub first_event_timeout: Duration,
-    /// A run without a further event for so long is taken up elsewhere.
+    /// A run without a further event for this time is taken up elsewhere.
     pub event_timeout: Duration,
     /// Events of a run are kept on the stores this often, so that a new owner resumes there.
     pub progress_interval: Duration,
--- a/crates/core/src/configuration/dissemination/mod.rs
+++ b/crates/core/src/configuration/dissemination/mod.rs
@@ -33,8 +33,8 @@
     pub readers_per_region: usize,
     /// Members of the quorum set; a majority of them holds a revision before it is put in force.
     pub quorum_size: usize,
-    /// A node begins to read the platform once it has been among the readers for so long, so that a view that is
-    /// still filling up makes no crowd of readers.
+    /// A node begins to read the platform once it has been among the readers for this time, so that a view that
+    /// is still filling up makes no crowd of readers.
     pub settle: Duration,
     /// A message without an answer is sent again after this.
     pub retry: Duration,
@@ -43,7 +43,7 @@
     pub takeover: Duration,
     /// A starting node that the quorum set has not answered within this time reads the platform once itself.
     pub bootstrap_timeout: Duration,
-    /// Members that have been gone for so long are taken to be gone for good.
+    /// Members that have been gone for this time are taken to be gone for good.
     pub member_memory: Duration,
     /// Members that a node tells at once when it has put a revision in force, besides the heartbeats.
     pub fanout: usize,
@@ -52,15 +52,24 @@
 }
 
 impl Default for Config {
+    /// All chosen, not measured; what a wrong value costs stands beside each.
     fn default() -> Self {
         Self {
+            // One leaves a region without a reader while it is replaced; each more costs the platform a watch.
             readers_per_region: 2,
+            // Tolerates the loss of two; fewer stop changes sooner, more make each change wait for more answers.
             quorum_size: 5,
+            // Shorter makes a crowd of readers at the start of a cluster, longer delays the first read.
             settle: Duration::from_secs(1),
+            // Shorter repeats messages to nodes that are only slow, longer delays a change whose message was lost.
             retry: Duration::from_millis(300),
+            // Shorter has two nodes gather for one revision, longer delays a change whose reader is gone.
             takeover: Duration::from_secs(2),
+            // Shorter has starting nodes read the platform although peers would answer, longer delays the start.
             bootstrap_timeout: Duration::from_secs(5),
+            // Shorter counts a quorum without members that come back, longer waits for some that do not.
             member_memory: Duration::from_secs(600),
+            // Fewer leaves more nodes to the slower heartbeats, more costs messages for each change.
             fanout: 3,
             ablation: Ablation::default(),
         }
--- a/crates/core/src/configuration/path.rs
+++ b/crates/core/src/configuration/path.rs
@@ -69,7 +69,8 @@
     },
 }
 
-/// Characters in a name at most.
+/// Characters in a name at most. Chosen, not measured: longer takes memory in each document, shorter refuses names that
+/// operators use.
 pub(crate) const MAX_NAME_LENGTH: usize = 64;
 
 impl LevelPath {
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -23,7 +23,7 @@
 /// written.
 pub(crate) const REMEMBERED_CHANGE_IDS: usize = 256;
 
-/// Characters in a change id at most.
+/// Characters in a change id at most. Chosen, not measured: longer takes memory for each of the ids that are remembered.
 pub(crate) const MAX_CHANGE_ID_LENGTH: usize = 128;
 
 /// A change of one setting, as an operator asks for it.
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -4,13 +4,15 @@
 
 use std::time::Duration;
 
-/// The longest node id or zone name that fits the protocol's datagrams, in bytes.
+/// The longest node id or zone name that fits the protocol's datagrams, in bytes. Chosen, not measured: longer names leave
+/// room for fewer updates in a datagram, shorter refuse names that operators use.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// The least payload that holds every fixed part of a message and one update, in bytes.
+/// The least payload that holds every fixed part of a message and one update, in bytes. Chosen, not
+/// measured: less may leave a message no room for an update, more refuses payloads that would do.
 const MIN_PAYLOAD_BYTES: usize = 512;
 
-/// The largest payload that one IPv4 datagram can carry, in bytes.
+/// The largest payload that one IPv4 datagram can carry, in bytes: 65,535 less the headers of IP (20) and UDP (8).
 const MAX_PAYLOAD_BYTES: usize = 65_507;
 
 /// Settings of the membership protocol. All times are the node's own.
@@ -68,22 +70,38 @@
 }
 
 impl Default for Config {
+    /// Chosen, not measured, where the comment beside a value names no source.
     fn default() -> Self {
         Self {
+            // Longer notices a failure later, shorter costs messages on every node; `probe_timeout` must fit in it twice.
             probe_interval: Duration::from_millis(500),
+            // Shorter probes through others when a member is only slow, longer leaves them less of the interval.
             probe_timeout: Duration::from_millis(150),
+            // Fewer suspects members behind a lossy link, more costs messages for each unanswered probe.
             indirect_probes: 3,
+            // Smaller declares members failed that would have refuted, larger keeps failed ones in the view.
             suspicion_multiplier: 5,
+            // Smaller leaves some members without an update until tables are compared, larger spends the byte budget.
             retransmission_multiplier: 4,
+            // Passes every common network without fragments; larger may be lost as a whole, smaller carries fewer updates.
             maximum_payload_bytes: 1_200,
+            // Bounds the worst case; smaller spreads slower when half of a cluster changes at once.
             update_bytes_per_second: 1_000,
+            // Smaller delays the updates of a lost zone, larger lets them crowd out other traffic.
             update_burst_bytes: 16_000,
+            // Longer heals tables that differ later, shorter costs a comparison of digests more often.
             sync_interval: Duration::from_secs(30),
+            // Fewer heals large differences over more comparisons, more makes one comparison a burst.
             sync_pages: 2,
+            // Longer rejoins healed regions later, shorter costs messages to members that are gone.
             reconnect_interval: Duration::from_secs(5),
+            // Longer delays the start of a node whose first seed is down, shorter asks seeds that are only slow.
             join_retry: Duration::from_secs(1),
+            // Shorter leaves regions apart that are cut off for longer, longer remembers members that were replaced.
             forget_failed_after: Duration::from_secs(6 * 3_600),
+            // Shorter lets a late update bring a member back that left, longer remembers it for nothing.
             forget_left_after: Duration::from_secs(3_600),
+            // Smaller takes the jitter of timers for a stall, larger lets a starved node suspect others.
             stall_tolerance: Duration::from_millis(50),
             mechanisms: Mechanisms::default(),
         }
--- a/crates/core/src/membership/documents.rs
+++ b/crates/core/src/membership/documents.rs
@@ -12,7 +12,7 @@
 /// above that so that memory stays bounded.
 const MAX_DOCUMENTS: usize = 8;
 
-/// The longest document name, in bytes.
+/// The longest document name, in bytes. Chosen, not measured: longer takes room of each datagram, shorter refuses names.
 const MAX_DOCUMENT_NAME_BYTES: usize = 32;
 
 /// What this node holds and what it announced.
--- a/crates/core/src/replication/claims.rs
+++ b/crates/core/src/replication/claims.rs
@@ -86,6 +86,8 @@
 }
 
 impl Default for ClaimWindow {
+    /// Both chosen, not measured. A shorter retention refuses repeats of callers that were away for long, a longer one takes
+    /// memory and disk for each id. A smaller skew refuses callers whose clock is ahead, a larger one keeps claims longer.
     fn default() -> Self {
         Self { retention: Duration::from_secs(15 * 60), maximum_clock_skew: Duration::from_secs(30) }
     }
--- a/crates/core/src/replication/proposer/config.rs
+++ b/crates/core/src/replication/proposer/config.rs
@@ -16,11 +16,16 @@
 }
 
 impl Default for ProposerConfig {
+    /// All chosen, not measured; what a wrong value costs stands beside each.
     fn default() -> Self {
         Self {
+            // Shorter sends entries twice to a store that is only busy, longer delays a record whose request was lost.
             retransmit_after: Duration::from_millis(500),
+            // Less takes more round trips for a long log, more holds a connection and a store for longer at a time.
             maximum_batch_bytes: 1 << 20,
+            // Less sends stores that were away for a moment to the slower repair, more takes memory for each log.
             window_bytes: 8 << 20,
+            // Fewer gives up against an owner that is gone, more lets two proposers outbid each other for longer.
             maximum_raises: 3,
         }
     }
--- a/crates/core/src/weights/config.rs
+++ b/crates/core/src/weights/config.rs
@@ -41,7 +41,7 @@
     pub order_interval: Duration,
     /// How often a replica that has confirmed is asked again, to find one that restarted with older weights.
     pub sweep_interval: Duration,
-    /// An owner with nothing to record for so long appends a barrier, to find out whether it has been
+    /// An owner with nothing to record for this time appends a barrier, to find out whether it has been
     /// superseded: it may have missed a publication that another owner took.
     pub barrier_interval: Duration,
     /// Keep the record of an order before it is sent. Always on in service; proofs switch it off.
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -14,8 +14,8 @@
 use crate::http::client::{ClientError, HttpClient};
 use crate::settings::Settings;
 
-/// A watch of what is rare is held for so many times the usual time: in half a minute of calm, one call in
-/// place of four.
+/// How many times the usual time a watch of what changes rarely is held: one call in place of four. Chosen, not measured:
+/// more leaves a watch whose connection has fallen silent unnoticed for longer, fewer costs priced calls.
 const RARE_HOLDS: u32 = 4;
 
 /// A client of the metadata store. Cheap to clone.
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -95,6 +95,8 @@
 }
 
 /// Cache events after a sequence number. Late, and with gaps.
+///
+/// An engine publishes them. No node reads them: the stand-in in the lab answers with them, and its tests alone read them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The events.
@@ -159,7 +161,7 @@
 const PREFIX_BLOCK_BYTES: usize = 64;
 
 /// The hashes by which engines name a prompt's cached prefixes: one for each whole block, covering everything from
-/// the start of the prompt to the end of that block.
+/// the start of the prompt to the end of that block. No node computes them, as none reads [`CacheEvents`].
 pub fn prefix_hashes(prompt: &str) -> impl Iterator<Item = u64> {
     let bytes = prompt.as_bytes();
     let whole_blocks = bytes.len() / PREFIX_BLOCK_BYTES;
