--- a/crates/daemon/src/settings/duties.rs
+++ b/crates/daemon/src/settings/duties.rs
@@ -43,6 +43,8 @@
                 window: WindowLength::new(Duration::from_secs_f64(window)),
                 due_after: Duration::from_secs_f64(due_after),
             },
+            // Chosen, not measured: a smaller percentage is short at the greatest demand, a shorter hold orders replicas away
+            // between two bursts; more of either pays for replicas that stand idle.
             scaling: ScalingPolicy {
                 margin_percent,
                 hold: reader.milliseconds("duties.replica_hold_ms", 60_000, 1_000..=86_400_000),
--- a/crates/daemon/src/settings/network.rs
+++ b/crates/daemon/src/settings/network.rs
@@ -42,7 +42,7 @@
     /// nothing may reach it (promise P7). Longer breaks that, shorter drops replicas whose reports are late.
     pub eligibility: Duration,
     /// The deadline of a request that names none, until the settings tree is known. The tree's `request_deadline_ms`
-    /// has the same default.
+    /// has the same default. Chosen, not measured: shorter ends long answers, longer holds slots for callers that have left.
     pub default_deadline: Duration,
     /// A connection to an engine that takes longer to make is given up. Chosen, as `peers.connect_timeout_ms`.
     pub connect_timeout: Duration,
@@ -52,7 +52,8 @@
     /// Largest request body, in bytes. Chosen: smaller refuses long prompts, larger costs a
     /// gateway more memory for each request that it reads.
     pub body_limit_bytes: usize,
-    /// Threads that carry traffic; 0 for one for each processor.
+    /// Threads that carry traffic; 0 for one for each processor. Chosen, not measured: fewer leave processors idle, more
+    /// take turns on them.
     pub traffic_threads: usize,
 }
 
--- a/crates/daemon/src/settings/store.rs
+++ b/crates/daemon/src/settings/store.rs
@@ -27,7 +27,8 @@
     /// Where fewer stores stand than a replica set should have, a smaller one is made once no other has come for this
     /// time. Chosen: stores of one deployment start within seconds of each other, and nothing is served meanwhile.
     pub small_set_after: Duration,
-    /// The losses that the replica sets of this node's choice should tolerate.
+    /// The losses that the replica sets of this node's choice should tolerate. Chosen, not measured: the loss of one disk by
+    /// default; none stops a shard with its first disk, more makes each append wait for more stores.
     pub set_size: ToleranceTarget,
 }
 
