--- a/crates/core/src/batch/controller/config.rs
+++ b/crates/core/src/batch/controller/config.rs
@@ -21,14 +21,14 @@
 const CAPACITY_BYTES: usize = 96 << 20;
 /// Others take over after a second of silence; this leaves four more tries, and confirms the authority three
 /// times within its 600 ms.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const OWNER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Times and limits of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControllerConfig {
-    /// A run without a first event for so long is taken up elsewhere.
+    /// A run without a first event for this time is taken up elsewhere.
     pub first_event_timeout: Duration,
-    /// A run without a further event for so long is taken up elsewhere.
+    /// A run without a further event for this time is taken up elsewhere.
     pub event_timeout: Duration,
     /// Events of a run are kept on the stores this often, so that a new owner resumes there.
     pub progress_interval: Duration,
@@ -56,7 +56,7 @@
             progress_interval: PROGRESS_INTERVAL,
             retention: JOB_RETENTION,
             capacity_bytes: CAPACITY_BYTES,
-            heartbeat_interval: HEARTBEAT_INTERVAL,
+            heartbeat_interval: OWNER_HEARTBEAT_INTERVAL,
             duties: DutyConfig::default(),
             zones: ZoneMap::default(),
             regions: AllowedRegions::all(),
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -19,8 +19,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::scope::Scope;
 use crate::metadata::retirements::Retirements;
+use crate::ownership::scope::Scope;
 use crate::store::log_writer::Replacement;
 use crate::store::{exchange, placement, replica_sets};
 
@@ -107,7 +107,7 @@
 fn show(scope: &Scope, set: &ReplicaSet) {
     let tolerance = placement::policy(&scope.context).fault_tolerance(&set.members);
     scope.context.metrics.placement().show(&set.shard, set.members.len(), tolerance);
-    placement::tell(&scope.context, set, "kept_by", "set_in_force");
+    placement::record_placement(&scope.context, set, "kept_by", "set_in_force");
 }
 
 struct Task {
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::scope::Scope;
 use crate::context::Context;
+use crate::ownership::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
 /// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short
@@ -27,7 +27,7 @@
 const MISSING_ENTRIES: u64 = 500;
 /// How many call timeouts a store may take for a page: all that start after a loss of power read at a time.
 /// Chosen, not measured.
-const ANSWER_TIMEOUTS: u32 = 3;
+const PAGE_ANSWER_TIMEOUTS: u32 = 3;
 /// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not
 /// measured.
 const IDLE_ROUNDS: u32 = 2;
@@ -65,15 +65,15 @@
 /// Why a log is not read by its outline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum NoOutline {
-    #[error("no store knows who keeps it")]
+    #[error("no store knows who keeps it; start a majority of its stores")]
     UnknownSet,
-    #[error("no member answered with what is decided")]
+    #[error("no member answered with what is decided; start a majority of its stores")]
     NoMember,
     #[error("{0} entries are read at once")]
     Short(u64),
     #[error("it could be read through {read} of {through} entries")]
     Stuck { read: LogIndex, through: LogIndex },
-    #[error("an entry is none of ours")]
+    #[error("an entry is none of ours; run one version of lichenpulleyd on all nodes")]
     Unreadable,
     #[error("its beginning is missing")]
     NotWhole,
@@ -276,7 +276,7 @@
     next: LogIndex,
     reading: Reading,
 ) -> Option<DecidedPage> {
-    let timeout = scope.context.settings.store.call_timeout * ANSWER_TIMEOUTS;
+    let timeout = scope.context.settings.store.call_timeout * PAGE_ANSWER_TIMEOUTS;
     ask_within(scope, set, member, next, reading, timeout).await
 }
 
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -11,17 +11,17 @@
 use tokio::time::Instant;
 
 use super::client::MetadataClient;
-use crate::batch::candidate;
-use crate::batch::scope::Scope;
 use crate::cluster::Member;
 use crate::context::Context;
+use crate::ownership::order;
+use crate::ownership::scope::Scope;
 
 /// How long a reader may wait for a change before it answers. Chosen, not measured: shorter costs calls
 /// between nodes; longer delays finding out that a reader is silent.
-const HOLD: Duration = Duration::from_millis(500);
+const READER_HOLD_TIME: Duration = Duration::from_millis(500);
 /// How long an answer may take beyond that. Chosen, not measured: shorter leaves readers that are only
 /// slow, longer delays the change to another.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
+const READER_ANSWER_SLACK: Duration = Duration::from_millis(350);
 
 /// One kind of metadata on a node that may follow.
 pub(super) struct Follower {
@@ -48,8 +48,8 @@
 
     /// From where to read next.
     pub(super) fn source(&self) -> ReadSource {
-        let (rank, nodes) = candidate::rank_among(&Scope::main(&self.context));
-        if candidate::is_candidate(&Scope::main(&self.context)) {
+        let (rank, nodes) = order::rank_among(&Scope::main(&self.context));
+        if order::is_candidate(&Scope::main(&self.context)) {
             return ReadSource::Platform;
         }
         self.choice.source(self.now(), rank, nodes)
@@ -60,9 +60,13 @@
         let reader = self.reader()?;
         // After a reader that knew nothing fresh, the next one says at once what it knows.
         let may_wait = newer_than.is_some() && !self.was_let_down;
-        let wait_ms = if may_wait { HOLD.as_millis() as u64 } else { 0 };
+        let wait_ms = if may_wait { READER_HOLD_TIME.as_millis() as u64 } else { 0 };
         let request = MetadataRequest { kind: self.kind, newer_than, wait_ms };
-        let answer = self.context.peers.metadata(reader.peer_address, request, HOLD + ANSWER_TIMEOUT).await;
+        let answer = self
+            .context
+            .peers
+            .metadata(reader.peer_address, request, READER_HOLD_TIME + READER_ANSWER_SLACK)
+            .await;
         let now = self.now();
         match answer {
             Ok(response) => {
@@ -97,9 +101,9 @@
 
     /// The reader whose turn it is. Followers begin with different ones.
     fn reader(&self) -> Option<Member> {
-        let mut readers = candidate::first_coordinators(&Scope::main(&self.context), self.config.readers);
+        let mut readers = order::first_coordinators(&Scope::main(&self.context), self.config.readers);
         readers.retain(|member| member.node != self.context.node);
-        let (rank, _) = candidate::rank_among(&Scope::main(&self.context));
+        let (rank, _) = order::rank_among(&Scope::main(&self.context));
         let position = (rank + self.turn).checked_rem(readers.len())?;
         Some(readers.swap_remove(position))
     }
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -21,7 +21,7 @@
 use crate::error::LabError;
 
 /// Bodies longer than this are refused.
-const MAXIMUM_BODY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Any free port of the loopback address.
 pub const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -131,7 +131,7 @@
 /// # Errors
 /// With the 400 response to send.
 pub async fn read_json<Value: DeserializeOwned>(request: Request<Incoming>) -> Result<Value, Response<Body>> {
-    let limited = Limited::new(request.into_body(), MAXIMUM_BODY_BYTES);
+    let limited = Limited::new(request.into_body(), MAX_BODY_BYTES);
     let whole = limited.collect().await.map_err(|error| bad_request(&error.to_string()))?;
     serde_json::from_slice(&whole.to_bytes()).map_err(|error| bad_request(&error.to_string()))
 }
