--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -262,6 +262,11 @@
         }
     }
 
+    /// Cuts one direction of one link.
+    pub fn cut_link(&mut self, from: ProcessId, to: ProcessId) {
+        self.cuts.insert((from, to));
+    }
+
     /// Restores every link.
     pub fn heal(&mut self) {
         self.cuts.clear();
