--- a/crates/lab/src/simulations/requests/engine.rs
+++ b/crates/lab/src/simulations/requests/engine.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::request::assembly::Chunk;
 use lichenpulley_core::request::execution::{EngineEvent, RefusalCause};
 use lichenpulley_core::time::Timestamp;
-use lichenpulley_protocol::engine::{Command, EngineRole, Order, RefusalReason, StreamRequest};
+use lichenpulley_protocol::engine::{Order, RefusalReason, StreamRequest};
 use lichenpulley_simulation::{Outbox, Process, ProcessId};
 
 use super::message::Message;
@@ -23,8 +23,6 @@
     pub prompt: String,
     /// The attempt.
     pub attempt: AttemptId,
-    /// Tokens that were generated for it before, elsewhere.
-    pub prior_tokens: u32,
 }
 
 /// One engine.
@@ -40,8 +38,6 @@
     next_connection: u64,
     /// Everything admitted in all incarnations.
     pub admissions: Vec<Admission>,
-    /// Since when it takes no new streams, in this incarnation.
-    pub draining_since: Option<Timestamp>,
 }
 
 impl EngineProcess {
@@ -57,7 +53,6 @@
             first_connection: 0,
             next_connection: 0,
             admissions: Vec::new(),
-            draining_since: None,
         }
     }
 
@@ -85,13 +80,8 @@
 
     /// Takes an order that changes its role.
     pub fn order(&mut self, now: Timestamp, order: &Order) {
-        if self.model.order(now, order).is_err() {
-            return;
-        }
-        if let Command::ChangeRole { role } = order.command {
-            self.draining_since =
-                (role == EngineRole::Draining).then_some(self.draining_since.unwrap_or(now));
-        }
+        // One of a lower epoch would be refused and change nothing; a schedule's epochs only go up.
+        let _ = self.model.order(now, order);
     }
 
     /// Swaps in new weights at once, as far as the engine does.
@@ -116,7 +106,7 @@
             Ok(submission) => {
                 if submission == Submission::Admitted {
                     let prompt = request.prompt.clone();
-                    self.admissions.push(Admission { prompt, attempt: attempt.clone(), prior_tokens });
+                    self.admissions.push(Admission { prompt, attempt: attempt.clone() });
                 }
                 self.attach(now, from, attempt, prior_tokens, outbox);
             }
