--- a/crates/lab/src/metadata_store/mod.rs
+++ b/crates/lab/src/metadata_store/mod.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::error::LabError;
-use crate::http::{self, Body, Reply, Server};
+use crate::http::{self, ANY_PORT, Body, Reply, Server};
 use crate::locked::lock;
 use objects::{Objects, WriteRefusal};
 
@@ -76,7 +76,7 @@
     let shared = Arc::new(Shared::default());
     let answering = Arc::clone(&shared);
     let handler = move |request| answer(Arc::clone(&answering), request);
-    let server = http::serve(SocketAddr::from(([127, 0, 0, 1], 0)), handler).await?;
+    let server = http::serve(ANY_PORT, handler).await?;
     Ok(MetadataStore { address: server.address, shared, _server: server })
 }
 
--- a/crates/lab/src/platform_duties.rs
+++ b/crates/lab/src/platform_duties.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 use crate::error::LabError;
-use crate::http::{self, Reply, Server};
+use crate::http::{self, ANY_PORT, Reply, Server};
 use crate::locked::lock;
 
 /// How the stand-in answers.
@@ -63,7 +63,7 @@
     let taken: Arc<Mutex<Taken>> = Arc::default();
     let answering = Arc::clone(&taken);
     let handler = move |request| answer(Arc::clone(&answering), request);
-    let server = http::serve(SocketAddr::from(([127, 0, 0, 1], 0)), handler).await?;
+    let server = http::serve(ANY_PORT, handler).await?;
     Ok(PlatformDuties { address: server.address, taken, _server: server })
 }
 
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -19,7 +19,7 @@
 use lichenpulley_platform::replica::{LoadOrder, ModelState};
 
 use crate::error::LabError;
-use crate::http::{self, Server};
+use crate::http::{self, ANY_PORT, Server};
 use crate::locked::lock;
 use cold::ColdStretch;
 
@@ -97,7 +97,7 @@
 /// # Errors
 /// When no port can be had.
 pub async fn start(plan: ReplicaPlan) -> Result<Replica, LabError> {
-    start_at(SocketAddr::from(([127, 0, 0, 1], 0)), plan).await
+    start_at(ANY_PORT, plan).await
 }
 
 /// Starts a replica at an address, such as that of an earlier incarnation.
--- a/crates/lab/src/simulations/replication/world.rs
+++ b/crates/lab/src/simulations/replication/world.rs
@@ -44,7 +44,7 @@
 
 process_kinds! {
     /// A process of the run.
-    pub(super) enum Member(Message) {
+    pub(super) enum WorldProcess(Message) {
         Platform(Platform),
         Store(Store),
         Operator(Operator),
@@ -65,7 +65,7 @@
 
 /// One run under one seed.
 pub(super) struct World {
-    simulation: Simulation<Member>,
+    simulation: Simulation<WorldProcess>,
     random: Pcg64Mcg,
     mechanisms: Mechanisms,
     log_shard: ShardId,
@@ -180,13 +180,13 @@
         let mut claims = Vec::new();
         for id in self.simulation.ids() {
             match self.simulation.process(id) {
-                Member::Store(store) => violations.extend(store.violations.iter().cloned()),
-                Member::Owner(owner) => {
+                WorldProcess::Store(store) => violations.extend(store.violations.iter().cloned()),
+                WorldProcess::Owner(owner) => {
                     let seen = owner.observations.iter().cloned();
                     observations.extend(seen.map(|observation| (id.0, observation)));
                 }
-                Member::Claimant(claimant) => claims.extend(claimant.runs.iter().cloned()),
-                Member::Platform(_) | Member::Operator(_) => {}
+                WorldProcess::Claimant(claimant) => claims.extend(claimant.runs.iter().cloned()),
+                WorldProcess::Platform(_) | WorldProcess::Operator(_) => {}
             }
         }
         observations.sort_by_key(|(_, observation)| observation.at);
@@ -211,7 +211,7 @@
     }
 
     fn apply(&mut self, fault: &Fault) {
-        self.simulation.apply(fault, Member::restarted);
+        self.simulation.apply(fault, WorldProcess::restarted);
     }
 
     /// Platform outages, lost replies, clocks that jump, and disks that are lost.
