--- a/crates/lab/src/engine/model.rs
+++ b/crates/lab/src/engine/model.rs
@@ -24,10 +24,12 @@
 /// Tokens of a known answer that count as one block of prefill.
 const PRIOR_TOKENS_PER_BLOCK: u32 = 16;
 
-/// Uncached prompt blocks that a stream prefills in one step. Chosen, not measured: a long prompt costs some steps.
+/// Uncached prompt blocks that a stream prefills in one step. Chosen, not measured: with too many, a cached prefix
+/// would save nothing that a test can see.
 const PREFILL_BLOCKS_PER_STEP: u64 = 4;
 
-/// How long a stream that has ended can still be read. Chosen, not measured: longer than any test's reconnection.
+/// How long a stream that has ended can still be read. Chosen, not measured: a reader that comes back later finds
+/// nothing and has to begin anew.
 const RETENTION: Duration = Duration::from_secs(30);
 
 /// How an engine behaves.
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or by
-//! callers that wait for one another (closed loop), each answer verified whole.
+//! The load generator of the demonstration and the tests: live requests at a rate of their own (open loop) or
+//! by callers that wait for one another (closed loop), each answer verified whole.
 
 mod call;
 mod report;
--- a/crates/lab/src/load/workload.rs
+++ b/crates/lab/src/load/workload.rs
@@ -8,8 +8,8 @@
 /// Words that prefixes are made of.
 const WORDS: [&str; 8] = ["screen", "battery", "market", "permit", "stall", "ticket", "price", "repair"];
 
-/// Groups that share a prefix; the n-th is drawn in proportion to 1/n. Chosen, not measured: enough for a few popular
-/// ones and many rare ones.
+/// Groups that share a prefix; the n-th is drawn in proportion to 1/n. Chosen, not measured: enough for a few
+/// popular ones and many rare ones.
 const PREFIX_GROUPS: u32 = 32;
 
 /// Bytes of each prefix. Chosen, not measured: eight blocks of the stand-in engine's prefix cache.
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-in for the platform's object API: versions, watches, and faults on request.
 //!
-//! The interface is described in [`lichenpulley_protocol::platform`]; [`ObjectApi::set_faults`] orders faults.
+//! The interface is described in [`lichenpulley_protocol::platform`]; [`ObjectApi::set_faults`] orders
+//! faults.
 
 mod faults;
 mod requests;
