--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -12,7 +12,7 @@
 use crate::ingress::routes::{Route, WeightedService};
 use crate::time::Timestamp;
 
-/// Urgency of items where nothing speaks for another.
+/// Urgency of items where nothing speaks for another. Chosen, not measured.
 const DEFAULT_URGENCY: u8 = 5;
 
 impl Controller {
--- a/crates/core/src/batch/cut_off.rs
+++ b/crates/core/src/batch/cut_off.rs
@@ -14,7 +14,8 @@
 /// before.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
 /// Polls in a row at which the stores were silent, before they are asked. With one, an owner whose thread had
-/// stood still just after a takeover left although answers of its stores lay unread.
+/// stood still just after a takeover left although answers of its stores lay unread. Chosen, not measured:
+/// more polls make an owner that is cut off leave later.
 const SILENT_POLLS: u32 = 3;
 /// A question that ended later than this after its time says that this node stood still, not that nobody
 /// answered. Chosen, not measured: smaller, and a busy machine asks again for nothing; greater, and one that
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -21,7 +21,8 @@
 /// need not wait for itself, only for appends of its own earlier incarnation that are still on their way.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// Silence after which a candidate takes over that the owner asked because it can't reach its stores. As long
-/// as the owner waits before it suspects that it is cut off.
+/// as the owner waits before it suspects that it is cut off. Chosen, not measured: shorter takes over from an
+/// owner that is merely slow.
 const ASKED_DELAY: Duration = Duration::from_millis(300);
 
 /// Whether a node of this rank asks the stores at its turn `turn`. Those behind the first few ask the more
--- a/crates/core/src/batch/end_pursuit.rs
+++ b/crates/core/src/batch/end_pursuit.rs
@@ -11,13 +11,13 @@
 use crate::time::Timestamp;
 
 /// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of
-/// a deployment.
+/// a deployment. Chosen, not measured: fewer displace ends that are not kept yet, more only take memory.
 pub const MAX_PENDING: usize = 4_096;
 /// Ends that the owner is asked for at a time, so that many of them are no storm where it is away. Chosen,
 /// not measured.
 pub const MAX_ASKED: usize = 32;
 /// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its
-/// route allows.
+/// route allows. Chosen, not measured: shorter forgets ends during a long outage of the stores.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
 /// The pause after questions that were not answered for sure. The limit is well below the 3 s for which
 /// something of an ended job may still arrive.
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -77,7 +77,8 @@
     pub at_ms: u64,
 }
 
-/// Marks of orders are kept so long: no lease is longer.
+/// Marks of orders are kept so long: no lease is longer. Chosen, not measured: a shorter time would let two
+/// holders order one replica within a lease.
 const MARK_RETENTION_MS: u64 = 60_000;
 
 /// All jobs of a shard.
--- a/crates/core/src/batch/load_limit.rs
+++ b/crates/core/src/batch/load_limit.rs
@@ -11,22 +11,30 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of a service's replicas that load at a time before anything was measured.
+/// The part of a service's replicas that load at a time before anything was measured. Chosen; only the limit
+/// as a whole is measured: 156 loads a day of one deployment, where two at a time gave 51
+/// (docs/decisions/platform.md).
 const FIRST_SHARE: f64 = 0.2;
-/// Fewer are never worth waiting for one another.
+/// Fewer are never worth waiting for one another. Chosen, not measured: with one, a service of few replicas
+/// learns nothing of crowding.
 const MIN_FIRST: usize = 2;
 /// A load that took no longer than this share of the shortest was not slowed by the others. Reports are read
 /// some 60 ms apart, against loads of about a second.
 const QUICK_RATIO: f64 = 1.15;
-/// A load that took longer than this share of the shortest was slowed by the others.
+/// A load that took longer than this share of the shortest was slowed by the others. Chosen, not measured:
+/// closer to 1 takes the spread of reports for crowding, further off lets loads crowd.
 const SLOW_RATIO: f64 = 1.35;
-/// Loads that began beside so great a share of the limit say something about it.
+/// Loads that began beside so great a share of the limit say something about it. Chosen, not measured: a
+/// smaller share lets loads that had room judge the limit.
 const TELLING_SHARE: f64 = 0.75;
 /// Loads of a round at least: with a fifth of the replicas slow, all of three are in one round of a hundred.
+/// Chosen from that chance, not measured.
 const MIN_ROUND: usize = 3;
-/// Loads of a round at most: some of those that go on together are enough.
+/// Loads of a round at most: some of those that go on together are enough. Chosen, not measured: longer
+/// rounds change the limit later.
 const MAX_ROUND: usize = 8;
-/// The shortest load is looked for among so many of the newest: some seconds of loads at the limit.
+/// The shortest load is looked for among so many of the newest: some seconds of loads at the limit. Chosen,
+/// not measured: fewer forget what an idle platform does, more keep a time that no longer holds.
 const HISTORY: usize = 64;
 
 /// How long a load took at the replica. Reports are read now and then, so that its end is known to lie
--- a/crates/core/src/batch/moves.rs
+++ b/crates/core/src/batch/moves.rs
@@ -13,10 +13,11 @@
 
 /// How many times faster another replica must be before a run is moved there: paces are known to some
 /// percent, and the quickest of many that are alike is some percent luckier still. Lower, and runs move
-/// between replicas that are alike.
+/// between replicas that are alike. Chosen, not measured apart from the trials above.
 const MIN_GAIN: f64 = 1.18;
 /// What a move costs, in seconds: a connection, the prompt and what was made so far read anew, the first
-/// event.
+/// event. Chosen, not measured: lower moves runs that are nearly done, higher leaves long ones on slow
+/// replicas.
 const MOVE_COST_S: f64 = 0.2;
 /// Runs moved in one tick at most: each makes the other replica slower. Chosen, not measured: more, and a
 /// replica that has just become free is taken for fast by all of them.
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -14,7 +14,8 @@
 const MAIN: &str = "batch/main";
 /// The beginning of the names of the others.
 const REGIONAL_PREFIX: &str = "batch/in/";
-/// More shards than these are not kept at a time: each has an owner and a log of its own.
+/// More shards than these are not kept at a time: each has an owner and a log of its own. Chosen, not
+/// measured: more cost every coordinator memory and questions to stores.
 pub const MAX_SHARDS: usize = 16;
 
 /// The shard of the jobs that may be kept in these regions.
--- a/crates/core/src/batch/schedule.rs
+++ b/crates/core/src/batch/schedule.rs
@@ -20,7 +20,8 @@
 /// longer, and new replicas are avoided; shorter, and all items go to them first.
 const UNMEASURED_GAP: Duration = Duration::from_millis(40);
 /// Weight of the newest pause in the running mean: some thirty pauses, a quarter of a second of a full
-/// replica. With a tenth the quickest of many alike looked a tenth quicker than it was.
+/// replica. With a tenth the quickest of many alike looked a tenth quicker than it was. No run of that is
+/// kept.
 const GAP_WEIGHT: f64 = 0.03;
 /// How much slower a full replica is taken to be than an empty one before any was measured. Chosen; the
 /// pauses of the measured deployments then showed some hundredths.
@@ -29,6 +30,7 @@
 /// not measured.
 const MAX_SLOWDOWN: f64 = 4.0;
 /// How far one pause moves the slowdown: a thousand pauses, less than a second of a busy service, settle it.
+/// Chosen, not measured: faster follows single replicas, slower is late where the load changes.
 const SLOWDOWN_RATE: f64 = 0.01;
 /// The greatest deviation from the expected ratio of pauses that counts: a pause that differs by more says
 /// that something was held up, nothing of load. Chosen, not measured.
--- a/crates/core/src/ingress/lapse.rs
+++ b/crates/core/src/ingress/lapse.rs
@@ -16,7 +16,7 @@
 
 /// The store served others without a break where it confirmed peers' copies no further apart than this: below
 /// the three seconds or so after which a replica's entry lapses. Longer drops entries that only lapsed,
-/// shorter keeps ones that have gone.
+/// shorter keeps ones that have gone. Chosen from that bound, not measured.
 const SERVED_GAP: Duration = Duration::from_millis(2_500);
 
 /// How the store stands, as far as entries are concerned.
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -22,7 +22,7 @@
 const RAMP_TIME: Duration = Duration::from_millis(500);
 /// A record that comes this long after a zone was readmitted was written after it: a heartbeat, a read and
 /// their slack. Longer than needed holds replicas cold for longer; shorter trusts a record from before the
-/// evacuation.
+/// evacuation. Chosen, not measured.
 const MAX_RECORD_AGE: Duration = Duration::from_millis(1_500);
 /// A replica that is not listed any more is remembered for this time: its entry may lapse and come back.
 /// Chosen, not measured: shorter takes one that comes back for new, longer costs memory.
--- a/crates/core/src/quarantine/watch.rs
+++ b/crates/core/src/quarantine/watch.rs
@@ -21,7 +21,7 @@
 
 /// A replica whose entry is still listed this long after a run broke off there did not end then: an entry
 /// lapses after three heartbeats, some seconds at most. A shorter time misses crashes, a longer one keeps
-/// innocent requests waiting.
+/// innocent requests waiting. Chosen, not measured.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The first crash under a request is reported after this time: a plain request that only ran there has
 /// mostly been answered elsewhere until then. Chosen, not measured: shorter writes reports that are cleared
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -25,7 +25,8 @@
 use crate::cluster::{Member, rendezvous_weight};
 use crate::context::Context;
 
-/// Other nodes that get a copy of an end: with the one that read it, two may be lost.
+/// Other nodes that get a copy of an end: with the one that read it, two may be lost. Chosen, not measured:
+/// each further copy is a call between nodes for every end.
 const COPIES: usize = 2;
 /// How long another node may take to hold an end. Chosen, not measured: longer delays the copy at a third
 /// node.
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -28,7 +28,7 @@
 /// replaces a lost disk later.
 const KEEPER_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// A member that lacks no more decided entries than this is brought into the next set in some tenths of a
-/// second.
+/// second. Chosen, not measured: more make the change of the set wait for the copy.
 const CURRENT_ENTRIES: u64 = 1_000;
 /// How long a change waits for members that stay to catch up, before it is begun all the same. Chosen, not
 /// measured: above the six seconds that copying to a member took, in which nothing is decided.
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -34,7 +34,8 @@
 /// slow replicas for ones that refused, longer keeps their place among the loads.
 const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time between two readings of a report once a load should be done: loads take about a second, and the limit
-/// of loads is found from times known to this (`core::batch::load_limit`).
+/// of loads is found from times known to this (`core::batch::load_limit`). Chosen, not measured: shorter
+/// costs calls to replicas, longer blurs the times of loads.
 const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 /// Time between two readings of a report before that. Chosen, not measured: a load that ends early is seen
 /// this late.
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -52,6 +52,7 @@
 /// hand-ins are refused early.
 const MAIN_MEMORY_PERCENT: usize = 35;
 /// The same for the jobs that are bound to some regions: a machine may own these beside the main shard.
+/// Chosen, not measured.
 const REGIONAL_MEMORY_PERCENT: usize = 20;
 /// Margin above the order lease and the time for which an order may leave after its record. Chosen, not
 /// measured: covers clocks that run unlike; longer, and a new owner orders nothing for as much longer.
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -19,7 +19,8 @@
 use crate::ingress::pool::ReplicaPool;
 use crate::ownership::scope::Scope;
 
-/// Jobs whose shard is remembered; of others every shard is asked.
+/// Jobs whose shard is remembered; of others every shard is asked. Chosen, not measured: fewer cost a
+/// question to every shard for each call of a job.
 const REMEMBERED_JOBS: usize = 1_024;
 
 /// All shards of some regions that this node has met.
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -13,7 +13,8 @@
 use crate::metadata::freshness::Reading;
 use crate::metadata::peers::{self, PeerCopy};
 
-/// The pause after failures in a row.
+/// The pause after failures in a row. Chosen, not measured: shorter loads a store that is coming back, longer
+/// learns of it later.
 const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), RETRY_LIMIT);
 /// The pause between two questions to peers while the store is silent: one that was asked may itself know
 /// nothing new. Chosen, not measured: longer delays what peers have, shorter costs calls between nodes.
--- a/crates/daemon/src/metadata/watcher/starting.rs
+++ b/crates/daemon/src/metadata/watcher/starting.rs
@@ -9,9 +9,11 @@
 
 use super::{PLATFORM, Watcher, by_name, kind_name};
 
-/// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip.
+/// A node that heard of no others for so long knows those it will know soon: a few rounds of gossip. Chosen,
+/// not measured.
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds.
+/// Where hundreds of nodes start together, each hears of the first others after some 0.7 seconds. Chosen
+/// above that; no run of it is kept.
 const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 /// A node reads after so long though it still hears of others. Chosen, not measured: longer delays the
 /// start of a node in a deployment whose members keep changing.
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -23,7 +23,8 @@
 const RECONFIGURATION_TIMEOUTS: u32 = 30;
 /// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which
 /// others read there meanwhile, its answers wait for longer than one. Requests that were given up after one
-/// came again without end, and a change of two disks was not done after six seconds.
+/// came again without end, and a change of two disks was not done after six seconds. Chosen, not measured
+/// beyond that.
 const STORE_ANSWER_TIMEOUTS: u32 = 4;
 
 /// Why a member was not replaced.
