--- a/crates/core/src/ingress/selection.rs
+++ b/crates/core/src/ingress/selection.rs
@@ -1,8 +1,8 @@
 //! Which replica a request is sent to now, or why there is none. Used for plain requests and streams.
 //!
 //! Inputs: what the request allows ([`SelectionQuery`]), the replicas as they are listed, the evacuated zones
-//! and the time. Order of the rules: the node must know which zones are evacuated; the request must not be
-//! quarantined; a candidate serves the service, is not draining, was not tried, stands in an allowed region,
+//! and the time. Order of the rules: the request must not be quarantined; the node must know which zones are
+//! evacuated; a candidate serves the service, is not draining, was not tried, stands in an allowed region,
 //! and the admission gate is open for it (not evacuated, and not cold beyond this node's share). Among the
 //! candidates the chooser takes the one with the least expected time to answer.
 //!
