--- a/crates/core/src/request/execution/ending.rs
+++ b/crates/core/src/request/execution/ending.rs
@@ -32,7 +32,7 @@
         reason: RefusalReason,
         retry_after: Option<Duration>,
     ) -> RequestOutcome {
-        let retry_after = retry_after.filter(|_| reason.is_worth_repeating());
+        let retry_after = retry_after.filter(|_| reason.is_retryable());
         self.decide("refused", reason.as_str(), |decision| {
             decision.with("retry_after_ms", retry_after.map_or(0, |wait| wait.as_millis()))
         });
@@ -57,7 +57,7 @@
             Evidence::InDoubt(doubt) => doubt,
             Evidence::NotRun(_) => Doubt::EarlierSubmission,
         };
-        let retry_after = retry_after.filter(|_| reason.is_worth_repeating());
+        let retry_after = retry_after.filter(|_| reason.is_retryable());
         RequestOutcome::Unknown { doubt, reason, retry_after }
     }
 }
--- a/crates/core/src/request/execution/events.rs
+++ b/crates/core/src/request/execution/events.rs
@@ -59,7 +59,7 @@
     }
 
     /// The stream or the exchange broke; the engine may go on.
-    pub fn broken<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
+    pub fn stream_broken<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
         if !matches!(self.state, State::Asked | State::Receiving) {
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     /// No event came in time.
-    pub fn stalled<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
+    pub fn stream_stalled<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
         self.check_deadline(now);
         if !matches!(self.state, State::Asked | State::Receiving) {
             return;
@@ -84,7 +84,7 @@
     }
 
     /// The engine does not know the stream that was to be resumed.
-    pub fn resume_unknown<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
+    pub fn stream_unknown<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
         if self.state != State::Asked {
             return;
         }
--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -65,7 +65,7 @@
         /// The first token wanted.
         from: u32,
     },
-    /// Wait for the next event of the open stream; call [`Execution::stalled`](super::Execution::stalled)
+    /// Wait for the next event of the open stream; call [`Execution::stream_stalled`](super::Execution::stream_stalled)
     /// when none came by `until`.
     Receive {
         /// When to stop waiting.
--- a/crates/core/src/request/outcome.rs
+++ b/crates/core/src/request/outcome.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether the same request can succeed later.
-    pub const fn is_worth_repeating(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         !matches!(self, Self::UnknownPool)
     }
 }
@@ -150,14 +150,14 @@
     }
 
     /// Whether the same request, with the same id, can succeed later.
-    pub const fn is_worth_repeating(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         match self {
             Self::RetryBudgetExhausted
             | Self::NoEligibleReplica
             | Self::DeadlineExceeded
             | Self::ClaimUnavailable => true,
             Self::NotRepeatable | Self::AnswerNotWhole | Self::AlreadyClaimed | Self::ClaimExpired => false,
-            Self::Unclaimed(reason) => reason.is_worth_repeating(),
+            Self::Unclaimed(reason) => reason.is_retryable(),
         }
     }
 }
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -158,11 +158,11 @@
                 self.advance(|execution, now, pool, random| execution.nothing_written(now, pool, random));
             }
             Opening::UnknownStream => {
-                self.advance(|execution, now, pool, random| execution.resume_unknown(now, pool, random));
+                self.advance(|execution, now, pool, random| execution.stream_unknown(now, pool, random));
             }
             Opening::InDoubt(error) => {
                 log::info!(target: "request", "{request}: attempt {attempt} is in doubt: {error}.");
-                self.advance(|execution, now, pool, random| execution.broken(now, pool, random));
+                self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
         }
     }
@@ -170,7 +170,7 @@
     async fn receive(&mut self, until: Timestamp) {
         let limit = self.shared.clock.instant(until);
         let Some((attempt, stream)) = &mut self.stream else {
-            self.advance(|execution, now, pool, random| execution.broken(now, pool, random));
+            self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             return;
         };
         let attempt = attempt.clone();
@@ -182,14 +182,14 @@
                 self.hand_on().await;
             }
             Ok(Ok(None)) => {
-                self.advance(|execution, now, pool, random| execution.broken(now, pool, random));
+                self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
             Ok(Err(error)) => {
                 log::info!(target: "request", "{}: attempt {attempt}: {error}.", self.generation.request);
-                self.advance(|execution, now, pool, random| execution.broken(now, pool, random));
+                self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
             Err(_) => {
-                self.advance(|execution, now, pool, random| execution.stalled(now, pool, random));
+                self.advance(|execution, now, pool, random| execution.stream_stalled(now, pool, random));
             }
         }
     }
--- a/crates/lab/src/simulations/requests/gateway/mod.rs
+++ b/crates/lab/src/simulations/requests/gateway/mod.rs
@@ -163,7 +163,7 @@
             }
             Waiting::Claiming { .. } => run.execution.claimed(ClaimVerdict::NoMajority, now),
             Waiting::Event if !self.mechanisms.proof_of_not_run => self.answer_not_run(number, now),
-            Waiting::Event => run.execution.stalled(now, &mut self.pool, &mut self.random),
+            Waiting::Event => run.execution.stream_stalled(now, &mut self.pool, &mut self.random),
             Waiting::Time => {}
         }
     }
@@ -294,12 +294,12 @@
             }
             Message::Broken(attempt) => {
                 self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.broken(now, pool, random);
+                    run.execution.stream_broken(now, pool, random);
                 });
             }
             Message::UnknownStream(attempt) => {
                 self.with_attempt(&attempt, now, outbox, |run, pool, random| {
-                    run.execution.resume_unknown(now, pool, random);
+                    run.execution.stream_unknown(now, pool, random);
                 });
             }
             Message::Event(attempt, event) => self.event(&attempt, event, now, outbox),
