--- a/crates/core/src/rollout/controller/config.rs
+++ b/crates/core/src/rollout/controller/config.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerChecks {
     /// Reveal an answer only once the records it rests on are kept by a majority.
-    pub keep_before_answer: bool,
+    pub commit_before_answer: bool,
     /// Refuse a pull only once a barrier is kept: an owner that has been superseded knows an old cursor.
     pub confirm_refusals: bool,
     /// Test the staleness bound at admission, while an attempt runs and at decision. Only saves work.
@@ -60,7 +60,7 @@
 impl Default for ControllerChecks {
     fn default() -> Self {
         Self {
-            keep_before_answer: true,
+            commit_before_answer: true,
             confirm_refusals: true,
             staleness_before_hand_over: true,
             staleness_at_hand_over: true,
--- a/crates/core/src/rollout/controller/proposals.rs
+++ b/crates/core/src/rollout/controller/proposals.rs
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn release_answers(&mut self) {
-        let kept = if self.config.checks.keep_before_answer { self.appended_count } else { u64::MAX };
+        let kept = if self.config.checks.commit_before_answer { self.appended_count } else { u64::MAX };
         while self.held_answers.front().is_some_and(|held| held.after_record <= kept) {
             let Some(HeldAnswer { ticket, answer, .. }) = self.held_answers.pop_front() else { return };
             self.actions.push_back(Action::Answer { ticket, answer });
--- a/crates/core/src/weights/config.rs
+++ b/crates/core/src/weights/config.rs
@@ -45,7 +45,7 @@
     /// superseded: it may have missed a publication that another owner took.
     pub barrier_interval: Duration,
     /// Keep the record of an order before it is sent. Always on in service; proofs switch it off.
-    pub keep_before_order: bool,
+    pub commit_before_order: bool,
 }
 
 impl Default for WaveConfig {
@@ -58,7 +58,7 @@
             order_interval: ORDER_REPEAT_INTERVAL,
             sweep_interval: CONFIRMED_POLL_INTERVAL,
             barrier_interval: BARRIER_INTERVAL,
-            keep_before_order: true,
+            commit_before_order: true,
         }
     }
 }
--- a/crates/core/src/weights/controller/event.rs
+++ b/crates/core/src/weights/controller/event.rs
@@ -26,7 +26,7 @@
     },
     /// The replicas of the pool, as the machine list gives them now.
     Replicas(Vec<ReplicaId>),
-    /// A replica answered an [`Action::Ask`], or was heard of otherwise.
+    /// A replica answered an [`Action::Poll`], or was heard of otherwise.
     Reported {
         /// The replica.
         replica: ReplicaId,
@@ -73,7 +73,7 @@
         command: OrderCommand,
     },
     /// Ask a replica for its report.
-    Ask(ReplicaId),
+    Poll(ReplicaId),
     /// Answer a ticket: what it asked for is kept by a majority.
     Answer {
         /// The ticket.
--- a/crates/core/src/weights/controller/mod.rs
+++ b/crates/core/src/weights/controller/mod.rs
@@ -173,7 +173,7 @@
         let forgotten: Vec<ReplicaId> =
             self.ledger.ordered.iter().chain(&self.ledger.confirmed).filter(gone).cloned().collect();
         if !forgotten.is_empty() {
-            self.propose(WeightsRecord::Forgotten(forgotten));
+            self.propose(WeightsRecord::Cleared(forgotten));
         }
         self.replicas.retain(|replica, _| present.contains(replica));
         for replica in present {
@@ -196,7 +196,7 @@
             self.decide("confirmed", "reported_version", replica);
         }
         if !has_target && is_confirmed {
-            self.propose(WeightsRecord::Forgotten(vec![replica.clone()]));
+            self.propose(WeightsRecord::Cleared(vec![replica.clone()]));
             self.decide("reordered", "lost_version", replica);
         }
     }
--- a/crates/core/src/weights/controller/replicas.rs
+++ b/crates/core/src/weights/controller/replicas.rs
@@ -32,7 +32,7 @@
             if let Some(state) = self.replicas.get_mut(&replica) {
                 state.asked_at = Some(now);
             }
-            self.actions.push_back(Action::Ask(replica));
+            self.actions.push_back(Action::Poll(replica));
         }
     }
 
--- a/crates/core/src/weights/controller/wave.rs
+++ b/crates/core/src/weights/controller/wave.rs
@@ -30,7 +30,7 @@
                 state.failures += 1;
             }
         }
-        self.propose(WeightsRecord::Forgotten(expired));
+        self.propose(WeightsRecord::Cleared(expired));
     }
 
     /// Orders again what has been ordered and not confirmed: at once after a take-over or a publication, else
@@ -59,7 +59,7 @@
     /// Sends an order once everything proposed so far is kept.
     fn send_after_record(&mut self, replica: ReplicaId, command: OrderCommand) {
         let order = Action::Order { replica, command };
-        if self.config.keep_before_order {
+        if self.config.commit_before_order {
             self.held.push(order);
         } else {
             self.actions.push_back(order);
--- a/crates/core/src/weights/ledger.rs
+++ b/crates/core/src/weights/ledger.rs
@@ -16,7 +16,7 @@
     /// These replicas reported the published version.
     Confirmed(Vec<ReplicaId>),
     /// These replicas are to be ordered anew, or have left the pool.
-    Forgotten(Vec<ReplicaId>),
+    Cleared(Vec<ReplicaId>),
     /// Whether a replica is to take new work.
     RoleChanged {
         /// The replica.
@@ -97,7 +97,7 @@
             WeightsRecord::Published(version) => self.publish(*version),
             WeightsRecord::Ordered(replicas) => self.ordered.extend(replicas.iter().cloned()),
             WeightsRecord::Confirmed(replicas) => self.confirm(replicas),
-            WeightsRecord::Forgotten(replicas) => self.forget(replicas),
+            WeightsRecord::Cleared(replicas) => self.forget(replicas),
             WeightsRecord::Barrier => {}
             WeightsRecord::RoleChanged { replica, draining: true } => {
                 self.draining.insert(replica.clone());
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -217,7 +217,7 @@
                 Action::Append(records) => self.append(&records),
                 Action::Compact(snapshot) => self.log.compact(snapshot),
                 Action::Order { replica, command } => self.order(replica, command),
-                Action::Ask(replica) => self.ask(replica),
+                Action::Poll(replica) => self.ask(replica),
                 Action::Answer { ticket, target } => self.answer(ticket, target),
                 Action::Superseded(epoch) => {
                     log::info!(target: "weights", "Pool {}: epoch {epoch} is ahead.", self.pool);
--- a/crates/lab/src/simulations/weights/owner.rs
+++ b/crates/lab/src/simulations/weights/owner.rs
@@ -115,7 +115,7 @@
                     let Some(to) = process_of(&replica) else { continue };
                     outbox.send(to, Message::Order { epoch: term.epoch, command });
                 }
-                Action::Ask(replica) => {
+                Action::Poll(replica) => {
                     process_of(&replica).into_iter().for_each(|to| outbox.send(to, Message::Ask));
                 }
                 Action::Answer { ticket, .. } => {
--- a/crates/lab/src/simulations/weights/world.rs
+++ b/crates/lab/src/simulations/weights/world.rs
@@ -66,14 +66,14 @@
     /// Replicas refuse an owner that has been superseded.
     pub fencing: bool,
     /// The record of an order is kept before the order is sent.
-    pub keep_before_order: bool,
+    pub commit_before_order: bool,
     /// How soon an owner with nothing to record finds out that it has been superseded.
     pub barrier_interval: Duration,
 }
 
 impl Default for Mechanisms {
     fn default() -> Self {
-        Self { fencing: true, keep_before_order: true, barrier_interval: Duration::from_secs(1) }
+        Self { fencing: true, commit_before_order: true, barrier_interval: Duration::from_secs(1) }
     }
 }
 
@@ -120,7 +120,7 @@
         order_interval: Duration::from_millis(500),
         sweep_interval: Duration::from_secs(2),
         barrier_interval: mechanisms.barrier_interval,
-        keep_before_order: mechanisms.keep_before_order,
+        commit_before_order: mechanisms.commit_before_order,
         ..WaveConfig::default()
     };
     let mut world = build(seed, size, config, mechanisms.fencing, VERSIONS);
--- a/crates/lab/tests/rollout_simulation.rs
+++ b/crates/lab/tests/rollout_simulation.rs
@@ -65,7 +65,7 @@
 
 #[test]
 fn samples_are_lost_or_doubled_when_answers_go_before_their_records_are_kept() {
-    let mechanisms = without(|checks| checks.keep_before_answer = false);
+    let mechanisms = without(|checks| checks.commit_before_answer = false);
     assert!(is_broken(mechanisms, is_not_exactly_once));
 }
 
--- a/crates/lab/tests/weights_simulation.rs
+++ b/crates/lab/tests/weights_simulation.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_new_owner_exceeds_the_limit_when_orders_go_before_their_record() {
-    let mechanisms = Mechanisms { keep_before_order: false, ..Mechanisms::default() };
+    let mechanisms = Mechanisms { commit_before_order: false, ..Mechanisms::default() };
     assert!(is_broken(mechanisms, |violation| matches!(violation, Violation::TooManyFetches { .. })));
 }
 
