--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -11,13 +11,13 @@
 use crate::batch::record::Record;
 use crate::batch::schedule::ReplicaState;
 use crate::decision::{Component, Decision};
-use crate::duties::{DutyCall, DutyEnd, USAGE_SUBJECT};
+use crate::duties::{DutyCall, DutyOutcome, USAGE_SUBJECT};
 use crate::identity::BatchId;
 use crate::ingress::routes::RouteTable;
 use crate::scaling::ObservedService;
 use crate::time::Timestamp;
 use crate::usage::meter::UsageReport;
-use crate::usage::reporter::TakenReport;
+use crate::usage::reporter::ReportDelta;
 use crate::usage::window::WallTime;
 
 impl Controller {
@@ -25,10 +25,10 @@
     /// reached its end.
     pub fn take_usage(&mut self, now: Timestamp, report: &UsageReport) {
         let Some(usage) = &mut self.duties.usage else { return };
-        let Some(added) = usage.take(self.ledger.usage(), report, now) else { return };
+        let Some(added) = usage.accept(self.ledger.usage(), report, now) else { return };
         let (source, through) = (report.source.clone(), report.through());
-        let TakenReport { counts, late, left_out } = added;
-        for (requests, reason) in [(late, "counted_later"), (left_out, "left_out")] {
+        let ReportDelta { counts, late, discarded } = added;
+        for (requests, reason) in [(late, "counted_later"), (discarded, "left_out")] {
             if requests > 0 {
                 let decision = Decision::new(Component::Duty, "usage_late", reason, &source);
                 self.decide(decision.with("requests", requests));
@@ -40,7 +40,7 @@
     /// Begins the calls to the platform that are due.
     pub fn tick_duties(&mut self, now: Timestamp, wall: WallTime) {
         if let Some(usage) = &mut self.duties.usage {
-            usage.hear_own(self.lease.holder.as_str(), wall, now);
+            usage.observe_own_clock(self.lease.holder.as_str(), wall, now);
         }
         if !self.is_confirmed {
             return;
@@ -98,7 +98,7 @@
                     self.begin_duty(now, clock_ms, call, vec![Record::Scaled { service, zone, desired }]);
                 } else if let DutyCall::Scale(order) = call {
                     // The holder before may still be heard: the order is given once its lease is over.
-                    plan.ordered(&order, bounds.start_time, false, now);
+                    plan.order_ended(&order, bounds.start_time, false, now);
                 }
             }
         }
@@ -150,8 +150,8 @@
     }
 
     /// A call has ended.
-    pub fn duty_ended(&mut self, now: Timestamp, call: &DutyCall, end: DutyEnd) {
-        let is_taken = end == DutyEnd::Taken;
+    pub fn duty_ended(&mut self, now: Timestamp, call: &DutyCall, end: DutyOutcome) {
+        let is_taken = end == DutyOutcome::Taken;
         match call {
             DutyCall::Usage { window, counts } => {
                 let requests: u64 = counts.values().sum();
@@ -174,7 +174,7 @@
                     .and_then(|routes| routes.services.get(&order.service)?.scaling.as_ref());
                 let start_time = bounds.map(|bounds| bounds.start_time).unwrap_or_default();
                 if let Some(plan) = &mut self.duties.scaling {
-                    plan.ordered(order, start_time, is_taken, now);
+                    plan.order_ended(order, start_time, is_taken, now);
                 }
             }
         }
--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -37,7 +37,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DutyEnd {
+pub enum DutyOutcome {
     /// The platform took it.
     Taken,
     /// The platform has heard of a later holder.
@@ -46,7 +46,7 @@
     Missed,
 }
 
-impl DutyEnd {
+impl DutyOutcome {
     /// The name used in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// An order has ended; whether the platform took it.
-    pub fn ordered(&mut self, order: &ScaleOrder, start_time: Duration, is_taken: bool, now: Timestamp) {
+    pub fn order_ended(&mut self, order: &ScaleOrder, start_time: Duration, is_taken: bool, now: Timestamp) {
         let key = (order.service.clone(), order.zone.clone());
         let Some(state) = self.zones.get_mut(&key) else { return };
         state.is_under_way = false;
--- a/crates/core/src/usage/meter.rs
+++ b/crates/core/src/usage/meter.rs
@@ -81,7 +81,7 @@
     }
 
     /// The holder keeps all entries before this number.
-    pub fn kept(&mut self, through: u64) {
+    pub fn acknowledge(&mut self, through: u64) {
         while self.first < through && self.entries.pop_front().is_some() {
             self.first += 1;
         }
--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -13,7 +13,7 @@
 
 use super::account::{SOURCE_WINDOWS, TenantCounts, UsageAccount, WindowCount};
 use super::meter::UsageReport;
-use super::true_time::TrueTime;
+use super::true_time::MedianClock;
 use super::window::{WallTime, WindowLength, WindowNumber};
 use crate::identity::TenantName;
 use crate::retry::backoff::Backoff;
@@ -49,20 +49,20 @@
 
 /// What a report adds to the account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TakenReport {
+pub struct ReportDelta {
     /// Requests by the window in which they are counted, and by tenant.
     pub counts: Vec<WindowCount>,
     /// Requests among them whose own window was closed before the report came.
     pub late: u64,
     /// Requests that came too late to be counted in any window.
-    pub left_out: u64,
+    pub discarded: u64,
 }
 
 /// Decides what is closed and reported. What must outlast it lies in the [`UsageAccount`].
 #[derive(Clone, Debug)]
 pub struct UsageReporter {
     config: ReporterConfig,
-    time: TrueTime,
+    time: MedianClock,
     /// Entries that are on their way into the account, by source.
     taking: HashMap<String, u64>,
     /// The last window whose close is on its way into the account.
@@ -85,7 +85,7 @@
     pub fn new(config: ReporterConfig) -> Self {
         Self {
             config,
-            time: TrueTime::default(),
+            time: MedianClock::default(),
             taking: HashMap::new(),
             closing: None,
             began: None,
@@ -98,18 +98,18 @@
     }
 
     /// This node's own clock.
-    pub fn hear_own(&mut self, node: &str, wall: WallTime, now: Timestamp) {
+    pub fn observe_own_clock(&mut self, node: &str, wall: WallTime, now: Timestamp) {
         self.time.observe_clock(node, wall, now);
     }
 
     /// Takes a report: what it adds to the account, by window, or `None` where all of it is taken or on its
     /// way.
-    pub fn take(
+    pub fn accept(
         &mut self,
         account: &UsageAccount,
         report: &UsageReport,
         now: Timestamp,
-    ) -> Option<TakenReport> {
+    ) -> Option<ReportDelta> {
         self.time.observe_clock(&report.source, report.sent_at, now);
         let taking = self.taking.get(&report.source).copied().unwrap_or(0);
         let taken = account.through(&report.source).max(taking);
@@ -118,14 +118,14 @@
         }
         let known = usize::try_from(taken.saturating_sub(report.first)).unwrap_or(usize::MAX);
         let closed = account.closed_through().max(self.closing);
-        let mut added = TakenReport::default();
+        let mut added = ReportDelta::default();
         let mut counts: BTreeMap<(WindowNumber, TenantName), u64> = BTreeMap::new();
         for entry in report.entries.iter().skip(known) {
             let began = report.sent_at.before(Duration::from_millis(entry.age_ms));
             let own = self.config.window.window_at(self.time.corrected(&report.source, began));
             let window = match closed {
                 Some(closed) if own.0 + LATE_WINDOWS < closed.0 => {
-                    added.left_out += 1;
+                    added.discarded += 1;
                     continue;
                 }
                 Some(closed) if own <= closed => {
--- a/crates/core/src/usage/true_time.rs
+++ b/crates/core/src/usage/true_time.rs
@@ -24,11 +24,11 @@
 
 /// The clocks of this node and of those that report to it.
 #[derive(Clone, Debug, Default)]
-pub struct TrueTime {
+pub struct MedianClock {
     clocks: BTreeMap<String, HeardClock>,
 }
 
-impl TrueTime {
+impl MedianClock {
     /// A node said what time of day it has.
     pub fn observe_clock(&mut self, source: &str, wall: WallTime, now: Timestamp) {
         let offset_ms = as_signed(wall.0) - as_signed(steady_ms(now));
--- a/crates/core/tests/batch_duties.rs
+++ b/crates/core/tests/batch_duties.rs
@@ -7,7 +7,7 @@
 use batch_support::{Bench, at, lease_of, replica};
 use lichenpulley_core::batch::controller::ControllerConfig;
 use lichenpulley_core::batch::ledger::Ledger;
-use lichenpulley_core::duties::{DutyCall, DutyConfig, DutyEnd};
+use lichenpulley_core::duties::{DutyCall, DutyConfig, DutyOutcome};
 use lichenpulley_core::identity::TenantName;
 use lichenpulley_core::usage::meter::{UsageEntry, UsageReport};
 use lichenpulley_core::usage::reporter::ReporterConfig;
@@ -88,13 +88,13 @@
     close_a_window(&mut first);
     first.decide(at(9_160));
     let call = first.calls.remove(0);
-    first.controller.duty_ended(at(10_200), &call, DutyEnd::Missed);
+    first.controller.duty_ended(at(10_200), &call, DutyOutcome::Missed);
     for now_ms in [10_300, 10_600] {
         tick(&mut first, now_ms);
         first.decide(at(now_ms + 10));
     }
     assert_eq!(first.calls, std::slice::from_ref(&call));
-    first.controller.duty_ended(at(10_700), &call, DutyEnd::Taken);
+    first.controller.duty_ended(at(10_700), &call, DutyOutcome::Taken);
     first.decide(at(10_710));
     tick(&mut first, 11_000);
     first.decide(at(11_010));
--- a/crates/core/tests/scaling.rs
+++ b/crates/core/tests/scaling.rs
@@ -87,7 +87,7 @@
     let orders = look(&mut plan, &observed([5, 2, 5], 120), 2_000);
     assert_eq!(desired(&orders), BTreeMap::from([("b", 5)]));
     assert!(look(&mut plan, &observed([5, 2, 5], 120), 3_000).is_empty(), "an order is under way");
-    plan.ordered(&orders[0], START, true, at(3_500));
+    plan.order_ended(&orders[0], START, true, at(3_500));
     assert!(look(&mut plan, &observed([5, 2, 5], 120), 4_000).is_empty(), "new ones take a while to start");
     assert_eq!(
         look(&mut plan, &observed([5, 2, 5], 120), 9_600).len(),
@@ -101,7 +101,7 @@
     let mut plan = plan();
     let orders = look(&mut plan, &observed([2, 5, 5], 120), 0);
     assert_eq!(orders.len(), 1);
-    plan.ordered(&orders[0], START, false, at(1_000));
+    plan.order_ended(&orders[0], START, false, at(1_000));
     assert!(plan.next("s", &bounds(), &observed([2, 5, 5], 120), |_| None, at(1_900)).is_empty());
     assert_eq!(plan.next("s", &bounds(), &observed([2, 5, 5], 120), |_| None, at(2_100)).len(), 1);
 }
@@ -122,13 +122,13 @@
     assert_eq!(desired(&look(&mut plan, &observed([2, 2, 2], 120), 0)), all(5));
     for zone in ["a", "b", "c"] {
         let order = ScaleOrder { service: "s".to_owned(), zone: zone.to_owned(), desired: 5 };
-        plan.ordered(&order, START, true, at(1_000));
+        plan.order_ended(&order, START, true, at(1_000));
     }
     assert!(look(&mut plan, &observed([5, 5, 5], 24), 50_000).is_empty(), "the peak still counts");
     let orders = look(&mut plan, &observed([5, 5, 5], 24), 70_000);
     assert_eq!(desired(&orders), all(2));
     for order in &orders {
-        plan.ordered(order, START, true, at(72_000));
+        plan.order_ended(order, START, true, at(72_000));
     }
     assert!(look(&mut plan, &observed([5, 5, 5], 24), 80_000).is_empty(), "they leave when they can");
 }
@@ -155,7 +155,7 @@
                 prop_assert!(under_way.insert(order.zone.clone(), order).is_none());
             }
             if ends && let Some((_, order)) = under_way.pop_first() {
-                plan.ordered(&order, START, demand % 2 == 0, now);
+                plan.order_ended(&order, START, demand % 2 == 0, now);
             }
         }
     }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -9,8 +9,8 @@
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_core::usage::account::{TenantCounts, UsageAccount};
 use lichenpulley_core::usage::meter::{UsageEntry, UsageMeter, UsageReport};
-use lichenpulley_core::usage::reporter::{ReporterConfig, TakenReport, UsageReporter};
-use lichenpulley_core::usage::true_time::TrueTime;
+use lichenpulley_core::usage::reporter::{ReportDelta, ReporterConfig, UsageReporter};
+use lichenpulley_core::usage::true_time::MedianClock;
 use lichenpulley_core::usage::window::{WallTime, WindowLength, WindowNumber};
 use proptest::prelude::*;
 
@@ -46,13 +46,13 @@
     reporter: UsageReporter,
     ledger: Ledger,
     late: u64,
-    left_out: u64,
+    discarded: u64,
 }
 
 impl Holder {
     fn new(ledger: Ledger) -> Self {
         let config = ReporterConfig { window: WindowLength::new(WINDOW), due_after: DUE };
-        Self { reporter: UsageReporter::new(config), ledger, late: 0, left_out: 0 }
+        Self { reporter: UsageReporter::new(config), ledger, late: 0, discarded: 0 }
     }
 
     fn account(&self) -> &UsageAccount {
@@ -60,12 +60,12 @@
     }
 
     fn take(&mut self, report: &UsageReport, now_ms: u64) {
-        let added = self.reporter.take(self.ledger.usage(), report, at(now_ms));
-        let Some(TakenReport { counts, late, left_out }) = added else { return };
+        let added = self.reporter.accept(self.ledger.usage(), report, at(now_ms));
+        let Some(ReportDelta { counts, late, discarded }) = added else { return };
         let (source, through) = (report.source.clone(), report.through());
         self.ledger.apply(Record::UsageCounted { source, through, counts });
         self.late += late;
-        self.left_out += left_out;
+        self.discarded += discarded;
     }
 
     /// Takes what nodes still hold.
@@ -80,7 +80,7 @@
     /// Closes what is due by then, at each half second since `from_ms`.
     fn close(&mut self, from_ms: u64, to_ms: u64) {
         for now_ms in (from_ms..=to_ms).step_by(500) {
-            self.reporter.hear_own("holder", wall(now_ms), at(now_ms));
+            self.reporter.observe_own_clock("holder", wall(now_ms), at(now_ms));
             while let Some(window) = self.reporter.close_next(self.ledger.usage(), at(now_ms)) {
                 self.ledger.apply(Record::UsageClosed(window));
             }
@@ -119,11 +119,11 @@
 fn a_report_that_comes_twice_before_the_first_is_kept_counts_once() {
     let mut holder = Holder::new(Ledger::default());
     let first = report("a/1", 1_000, 0, &[100, 200]);
-    assert!(holder.reporter.take(holder.ledger.usage(), &first, at(1_000)).is_some());
+    assert!(holder.reporter.accept(holder.ledger.usage(), &first, at(1_000)).is_some());
     let again = report("a/1", 1_200, 0, &[100, 200, 1_100]);
-    let added = holder.reporter.take(holder.ledger.usage(), &again, at(1_200)).expect("one more");
+    let added = holder.reporter.accept(holder.ledger.usage(), &again, at(1_200)).expect("one more");
     assert_eq!(added.counts.iter().map(|count| count.requests).sum::<u64>(), 1);
-    assert!(holder.reporter.take(holder.ledger.usage(), &first, at(1_300)).is_none());
+    assert!(holder.reporter.accept(holder.ledger.usage(), &first, at(1_300)).is_none());
 }
 
 #[test]
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_clock_that_jumps_moves_no_window() {
-    let mut time = TrueTime::default();
+    let mut time = MedianClock::default();
     for (source, ahead) in [("a", 0), ("b", 3), ("c", 2_400), ("d", 2), ("e", 2_400)] {
         time.observe_clock(source, wall(1_000 + ahead), at(1_000));
     }
@@ -202,10 +202,10 @@
     let report = meter.report("a", at(40), wall(40)).expect("a report");
     assert_eq!((report.first, report.through(), report.entries[0].age_ms), (0, 2, 30));
     meter.count(at(50), tenant("t"));
-    meter.kept(report.through());
+    meter.acknowledge(report.through());
     let rest = meter.report("a", at(60), wall(60)).expect("a report");
     assert_eq!((rest.first, rest.entries.len(), meter.dropped()), (2, 1, 0));
-    meter.kept(3);
+    meter.acknowledge(3);
     assert_eq!(meter.report("a", at(70), wall(70)), None);
 }
 
@@ -227,10 +227,10 @@
 fn a_window_whose_close_is_on_its_way_takes_nothing_more() {
     let mut holder = Holder::new(Ledger::default());
     holder.close(100, 8_500);
-    holder.reporter.hear_own("holder", wall(9_000), at(9_000));
+    holder.reporter.observe_own_clock("holder", wall(9_000), at(9_000));
     let closing = holder.reporter.close_next(holder.ledger.usage(), at(9_000));
     assert_eq!(closing, Some(window(0)));
-    let added = holder.reporter.take(holder.ledger.usage(), &report("a/1", 9_100, 0, &[200]), at(9_100));
+    let added = holder.reporter.accept(holder.ledger.usage(), &report("a/1", 9_100, 0, &[200]), at(9_100));
     let windows: Vec<WindowNumber> =
         added.expect("a count").counts.iter().map(|count| count.window).collect();
     assert_eq!(windows, [window(1)], "its record follows that of the close");
@@ -275,7 +275,7 @@
     holder.take(&again, 150_100);
     holder.close(150_500, 165_000);
     let told: u64 = holder.account().closed().values().flat_map(TenantCounts::values).sum();
-    assert_eq!((told, holder.left_out), (3, 2));
+    assert_eq!((told, holder.discarded), (3, 2));
 }
 
 proptest! {
@@ -302,7 +302,7 @@
                     let Some(report) = meters[node].report(&source, at(now_ms), wall(now_ms)) else { continue };
                     holder.take(&report, now_ms);
                     if step == 2 {
-                        meters[node].kept(report.through());
+                        meters[node].acknowledge(report.through());
                     }
                 }
                 4 => {
@@ -322,7 +322,7 @@
         holder.take_rest(&meters, now_ms);
         holder.close(now_ms, now_ms + 30_000);
         let told: u64 = holder.account().closed().values().flat_map(TenantCounts::values).sum();
-        prop_assert_eq!(told + holder.left_out, counted);
+        prop_assert_eq!(told + holder.discarded, counted);
     }
 
     /// Reports are lost, come twice, late and in any grouping, and the holder changes: each request is in one window.
@@ -348,7 +348,7 @@
                     holder.take(&report, now_ms);
                     // The answer of every second one is lost.
                     if step == 1 {
-                        meters[node].kept(report.through());
+                        meters[node].acknowledge(report.through());
                     }
                     last = Some(report);
                 }
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -10,7 +10,7 @@
 
 use hyper::Method;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
-use lichenpulley_core::duties::{DutyCall, DutyEnd};
+use lichenpulley_core::duties::{DutyCall, DutyOutcome};
 use lichenpulley_core::identity::Epoch;
 use lichenpulley_platform::cloud;
 use tokio::sync::mpsc;
@@ -28,7 +28,7 @@
 /// A call has ended.
 pub(crate) struct DutyEnded {
     pub(crate) call: DutyCall,
-    pub(crate) end: DutyEnd,
+    pub(crate) end: DutyOutcome,
 }
 
 /// Makes calls under one epoch.
@@ -52,14 +52,14 @@
         tokio::spawn(async move {
             let end = match made {
                 Some(made) => made.await,
-                None => DutyEnd::Missed,
+                None => DutyOutcome::Missed,
             };
             // An error only says that the holder has ended.
             let _ = ends.send(DutyEnded { call, end });
         });
     }
 
-    fn make(&self, call: &DutyCall) -> Option<impl Future<Output = DutyEnd> + Send + 'static> {
+    fn make(&self, call: &DutyCall) -> Option<impl Future<Output = DutyOutcome> + Send + 'static> {
         let address = self.context.settings.duties.platform?;
         let body = match cloud::body(call) {
             Ok(body) => body,
@@ -77,16 +77,16 @@
         let http = self.http.clone();
         Some(async move {
             match http.send(address, request, Instant::now() + DUTY_CALL_TIMEOUT).await {
-                Ok(answer) if answer.status().is_success() => DutyEnd::Taken,
+                Ok(answer) if answer.status().is_success() => DutyOutcome::Taken,
                 Ok(answer) => {
                     let status = answer.status();
                     log::info!(target: "duties", "The platform refused a call: {status}.");
                     let is_superseded = status.as_u16() == cloud::STATUS_SUPERSEDED;
-                    if is_superseded { DutyEnd::Superseded } else { DutyEnd::Missed }
+                    if is_superseded { DutyOutcome::Superseded } else { DutyOutcome::Missed }
                 }
                 Err(error) => {
                     log::info!(target: "duties", "A call got no answer: {error}.");
-                    DutyEnd::Missed
+                    DutyOutcome::Missed
                 }
             }
         })
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -83,7 +83,7 @@
             let Some(report) = report else { break };
             let through = report.through();
             match batch.ask(BatchRequest::Usage(report)).await {
-                BatchResponse::UsageKept => usage.meter().kept(through),
+                BatchResponse::UsageKept => usage.meter().acknowledge(through),
                 _ => tokio::time::sleep(REPORT_RETRY_PAUSE).await,
             }
         }
