--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -1,6 +1,6 @@
 //! When a window of usage is closed, and when it is reported to the platform.
 //!
-//! Inputs: the time of day as most nodes have it (`true_time`), the length of a window and how long after its
+//! Inputs: the time of day as most nodes have it (`median_clock`), the length of a window and how long after its
 //! end it is due, and what the account holds. A window is closed by a record, so that each holder of the duty
 //! reports the same of it; it is reported until the platform has taken it.
 //!
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use super::account::{SOURCE_WINDOWS, TenantCounts, UsageAccount, WindowCount};
+use super::median_clock::MedianClock;
 use super::meter::UsageReport;
-use super::true_time::MedianClock;
 use super::window::{WallTime, WindowLength, WindowNumber};
 use crate::identity::TenantName;
 use crate::retry::backoff::Backoff;
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -8,9 +8,9 @@
 use lichenpulley_core::identity::TenantName;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_core::usage::account::{TenantCounts, UsageAccount};
+use lichenpulley_core::usage::median_clock::MedianClock;
 use lichenpulley_core::usage::meter::{UsageEntry, UsageMeter, UsageReport};
 use lichenpulley_core::usage::reporter::{ReportDelta, ReporterConfig, UsageReporter};
-use lichenpulley_core::usage::true_time::MedianClock;
 use lichenpulley_core::usage::window::{WallTime, WindowLength, WindowNumber};
 use proptest::prelude::*;
 
