--- a/crates/core/src/batch/controller/action.rs
+++ b/crates/core/src/batch/controller/action.rs
@@ -1,6 +1,6 @@
 //! What goes into the owner's state machine and what comes out.
 
-use crate::batch::job::{BatchItem, KeptEvent};
+use crate::batch::job::{BatchItem, OutputEvent};
 use crate::batch::record::Record;
 use crate::batch::score_plan::{ScoreId, ScoreStart};
 use crate::batch::weights::Load;
@@ -47,7 +47,7 @@
     /// The replica answered that the run failed.
     Failed,
     /// The replica answered that the item can never be done.
-    Never,
+    Unprocessable,
     /// Nothing was sent, or the answer broke off.
     Broken,
 }
@@ -60,7 +60,7 @@
             Self::Rejected => "rejected",
             Self::OtherReplica => "other_replica",
             Self::Failed => "failed",
-            Self::Never => "never",
+            Self::Unprocessable => "never",
             Self::Broken => "broken",
         }
     }
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEvent {
     /// An event of its answer.
-    Event(KeptEvent),
+    Event(OutputEvent),
     /// It has ended.
     Ended(RunEnd),
 }
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submission {
     /// It is kept already.
-    Kept,
+    Committed,
     /// It will be kept once its record is decided.
     Pending,
     /// There is no room for it; nothing of it runs.
--- a/crates/core/src/batch/controller/handing_over.rs
+++ b/crates/core/src/batch/controller/handing_over.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Controller, ItemStage};
-use crate::batch::job::KeptEvent;
+use crate::batch::job::OutputEvent;
 use crate::batch::progress_offer::{ItemProgress, ProgressOffer};
 use crate::batch::record::Record;
 use crate::batch::score_plan::ItemKey;
@@ -38,12 +38,12 @@
 
     /// What this owner took under `epoch` and doesn't know to be kept.
     pub fn progress_offer(&self, epoch: Epoch) -> ProgressOffer {
-        let mut taken: BTreeMap<ItemKey, Vec<KeptEvent>> = BTreeMap::new();
+        let mut taken: BTreeMap<ItemKey, Vec<OutputEvent>> = BTreeMap::new();
         for record in self.appending.iter().flatten() {
             match record {
                 Record::Progress { batch, item, events }
                 | Record::Completed { batch, item, events }
-                | Record::Whole { batch, item, events, replaces: false } => {
+                | Record::Generated { batch, item, events, replaces: false } => {
                     taken.entry((batch.clone(), *item)).or_default().extend(events.iter().cloned());
                 }
                 _ => {}
--- a/crates/core/src/batch/controller/jobs.rs
+++ b/crates/core/src/batch/controller/jobs.rs
@@ -36,7 +36,7 @@
                     score_failures: item.score_failures,
                     ..LiveItem::default()
                 };
-                if item.is_whole {
+                if item.is_generated {
                     whole.push(key.clone());
                 } else {
                     live.events = item.events.clone();
@@ -54,7 +54,7 @@
     pub fn submit(&mut self, now: Timestamp, job: BatchJob) -> Submission {
         if let Some(kept) = self.ledger.job(&job.id) {
             let is_own = kept.job.is_open_to(job.tenant.as_ref());
-            return if is_own { Submission::Kept } else { Submission::IdTaken };
+            return if is_own { Submission::Committed } else { Submission::IdTaken };
         }
         if self.accepting.contains(&job.id) {
             return Submission::Pending;
--- a/crates/core/src/batch/controller/live_item.rs
+++ b/crates/core/src/batch/controller/live_item.rs
@@ -1,7 +1,7 @@
 //! What the owner knows of an item beyond the ledger.
 
 use super::RunId;
-use crate::batch::job::KeptEvent;
+use crate::batch::job::OutputEvent;
 use crate::quarantine::Fingerprint;
 use crate::time::Timestamp;
 
@@ -24,7 +24,7 @@
 pub(super) struct LiveItem {
     pub(super) run: Option<RunId>,
     /// Events that have come, those of the ledger included.
-    pub(super) events: Vec<KeptEvent>,
+    pub(super) events: Vec<OutputEvent>,
     /// How many of them are on the stores or on their way there.
     pub(super) written: usize,
     /// It was begun anew: what the stores keep of it is no beginning of its events.
@@ -43,7 +43,7 @@
 
 impl LiveItem {
     /// The events that are not on their way to the stores yet; from now on they are.
-    pub(super) fn take_unwritten(&mut self) -> Vec<KeptEvent> {
+    pub(super) fn take_unwritten(&mut self) -> Vec<OutputEvent> {
         let events = self.events[self.written..].to_vec();
         self.written = self.events.len();
         events
--- a/crates/core/src/batch/controller/records.rs
+++ b/crates/core/src/batch/controller/records.rs
@@ -31,7 +31,7 @@
         }
         let follows = match &record {
             Record::Accepted(job) => Follows::Acceptance(job.id.clone()),
-            Record::Whole { batch, item, .. } => Follows::Scoring(batch.clone(), *item),
+            Record::Generated { batch, item, .. } => Follows::Scoring(batch.clone(), *item),
             Record::Completed { batch, item, .. } | Record::Scored { batch, item, .. } => {
                 Follows::Listing(batch.clone(), *item)
             }
--- a/crates/core/src/batch/controller/runs.rs
+++ b/crates/core/src/batch/controller/runs.rs
@@ -5,7 +5,7 @@
 //! in `batch::moves`, which replica it goes to in `batch::schedule`.
 
 use super::{Action, Controller, ItemStage, Run, RunEnd, RunEvent, RunId};
-use crate::batch::job::{ItemResult, KeptEvent};
+use crate::batch::job::{ItemResult, OutputEvent};
 use crate::batch::moves::{MIN_STAY, MOVES_PER_TICK, is_worth_moving};
 use crate::batch::record::Record;
 use crate::batch::schedule::{self, Need, PAUSE_AFTER_REJECTION, SUSPECT_AFTER_BREAK};
@@ -26,7 +26,7 @@
         }
     }
 
-    fn take_event(&mut self, now: Timestamp, id: RunId, event: KeptEvent) {
+    fn take_event(&mut self, now: Timestamp, id: RunId, event: OutputEvent) {
         let Some(run) = self.runs.get_mut(&id) else { return };
         let gap = run.last_event_at.map(|earlier| now.saturating_since(earlier));
         run.last_event_at = Some(now);
@@ -96,7 +96,7 @@
                 RunEnd::Rejected => state.avoid_until = state.avoid_until.max(now + PAUSE_AFTER_REJECTION),
                 // The address belongs to another: the list will say so.
                 RunEnd::OtherReplica => state.avoid_until = now + SUSPECT_AFTER_BREAK * 5,
-                RunEnd::Complete | RunEnd::Failed | RunEnd::Never => {}
+                RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {}
             }
         }
         let subject = self.item(&batch, item).map_or_else(String::new, |item| item.id.clone());
@@ -108,7 +108,7 @@
         let Some(live) = self.items.get_mut(&key) else { return };
         match end {
             RunEnd::Complete => self.text_came_whole(now, &batch, item),
-            RunEnd::Never => self.give_up(now, &batch, item, "never"),
+            RunEnd::Unprocessable => self.give_up(now, &batch, item, "never"),
             RunEnd::Failed => {
                 live.failures += 1;
                 live.avoid = Some(replica);
@@ -134,8 +134,10 @@
         self.held_bytes += events.iter().map(|event| event.data.len()).sum::<usize>() + line_feeds;
         let replaces = live.is_anew;
         let record = match (needs_score, replaces) {
-            (true, true) => Record::Whole { batch, item, events, replaces },
-            (true, false) => Record::Whole { batch, item, events: events.split_off(live.written), replaces },
+            (true, true) => Record::Generated { batch, item, events, replaces },
+            (true, false) => {
+                Record::Generated { batch, item, events: events.split_off(live.written), replaces }
+            }
             (false, true) => Record::Listed { batch, result: ItemResult::complete(item, &events, None) },
             (false, false) => Record::Completed { batch, item, events: events.split_off(live.written) },
         };
--- a/crates/core/src/batch/controller/scoring.rs
+++ b/crates/core/src/batch/controller/scoring.rs
@@ -20,9 +20,10 @@
             return;
         };
         let tenant = job.job.tenant.clone();
-        let is_whole = job.items.get(item as usize).is_some_and(|state| state.is_whole);
+        let is_generated = job.items.get(item as usize).is_some_and(|state| state.is_generated);
         let key = (batch.clone(), item);
-        let Some(live) = self.items.get_mut(&key).filter(|live| is_whole && live.stage != ItemStage::Listing)
+        let Some(live) =
+            self.items.get_mut(&key).filter(|live| is_generated && live.stage != ItemStage::Listing)
         else {
             return;
         };
--- a/crates/core/src/batch/cut_off.rs
+++ b/crates/core/src/batch/cut_off.rs
@@ -30,7 +30,7 @@
 
 /// What became of the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoresReply {
+pub struct ProbeResult {
     /// Stores that answered.
     pub answered: usize,
     /// How long the question lasted.
@@ -43,41 +43,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutOffStep {
     /// Go on.
-    GoOn,
+    Continue,
     /// Ask the stores, and go on meanwhile.
-    Ask,
+    Probe,
     /// Leave.
     Leave,
 }
 
 /// What an owner has observed of its stores' silence.
 #[derive(Clone, Debug, Default)]
-pub struct CutOffWatch {
+pub struct CutOffMonitor {
     silent_polls: u32,
     is_asking: bool,
 }
 
-impl CutOffWatch {
+impl CutOffMonitor {
     /// Takes what a poll of the stores' silence showed (see [`is_silent`]).
     pub fn poll(&mut self, is_silent: bool) -> CutOffStep {
         if !is_silent {
             self.silent_polls = 0;
-            return CutOffStep::GoOn;
+            return CutOffStep::Continue;
         }
         self.silent_polls = self.silent_polls.saturating_add(1);
         if self.silent_polls < SILENT_POLLS || self.is_asking {
-            return CutOffStep::GoOn;
+            return CutOffStep::Continue;
         }
         self.is_asking = true;
-        CutOffStep::Ask
+        CutOffStep::Probe
     }
 
     /// The question has ended.
-    pub fn replied(&mut self, reply: StoresReply) -> CutOffStep {
+    pub fn probe_ended(&mut self, reply: ProbeResult) -> CutOffStep {
         self.is_asking = false;
         // A store answered meanwhile: the silence is over.
         if self.silent_polls == 0 {
-            return CutOffStep::GoOn;
+            return CutOffStep::Continue;
         }
         let was_late = reply.took > reply.timeout + LATE_MARGIN;
         if reply.answered == 0 && !was_late {
@@ -85,6 +85,6 @@
         }
         // The stores are asked again after as many silent polls.
         self.silent_polls = 0;
-        CutOffStep::GoOn
+        CutOffStep::Continue
     }
 }
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -25,12 +25,12 @@
 /// owner that is merely slow.
 const ASKED_DELAY: Duration = Duration::from_millis(300);
 
-/// Whether a node of this rank asks the stores at its turn `turn`. Those behind the first few ask the more
+/// Whether a node of this rank asks the stores in poll round `round`. Those behind the first few ask the more
 /// rarely the further behind they are: should all before them be gone at once, one of them notices, and 410
 /// nodes ask the stores less than four times as often as 7.
-pub fn polls_now(rank: usize, turn: u64) -> bool {
+pub fn should_poll(rank: usize, round: u64) -> bool {
     let period = (rank / CANDIDATES + 1) as u64;
-    turn.is_multiple_of(period)
+    round.is_multiple_of(period)
 }
 
 /// Why a candidate asks the stores.
@@ -56,7 +56,7 @@
 
     /// The rank and the silence by which the candidate judges. Where the owner asked this node, it asked
     /// nobody else, so that no other candidate need be waited for.
-    pub const fn turn(self, rank: usize, takeover_after: Duration) -> (usize, Duration) {
+    pub const fn rank_and_delay(self, rank: usize, takeover_after: Duration) -> (usize, Duration) {
         match self {
             Self::OwnerCutOff => (0, ASKED_DELAY),
             Self::Due | Self::OwnerLeft => (rank, takeover_after),
@@ -123,7 +123,7 @@
 
 /// What a candidate should do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum TakeoverDecision {
     /// Nothing; this is the owner, where it is known.
     Wait(Option<NodeId>),
     /// Take the shard over. The owner before last appended this long ago, where there was one.
@@ -132,17 +132,17 @@
 
 /// Judges what the stores say. `answers` has an entry for each store that answered, `None` where nobody has
 /// led there; `needed` is how many must have answered. `rank` is 0 for the first candidate.
-pub fn judge(
+pub fn decide_takeover(
     node: &NodeId,
     rank: usize,
     answers: &[Option<ObservedLeader>],
     needed: usize,
     takeover_after: Duration,
-) -> Verdict {
+) -> TakeoverDecision {
     let latest = answers.iter().flatten().max_by_key(|seen| seen.epoch);
     let Some(latest) = latest else {
         let may_begin = answers.len() >= needed && rank == 0;
-        return if may_begin { Verdict::TakeOver(None) } else { Verdict::Wait(None) };
+        return if may_begin { TakeoverDecision::TakeOver(None) } else { TakeoverDecision::Wait(None) };
     };
     let of_latest = answers.iter().flatten().filter(|seen| seen.epoch == latest.epoch);
     // `latest` is among them, so that there is a least.
@@ -150,7 +150,7 @@
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     let silence = if &latest.owner == node { RESTART_DELAY } else { takeover_after + RANK_DELAY * rank };
     if answers.len() >= needed && idle >= silence {
-        return Verdict::TakeOver(Some(idle));
+        return TakeoverDecision::TakeOver(Some(idle));
     }
-    Verdict::Wait(Some(latest.owner.clone()))
+    TakeoverDecision::Wait(Some(latest.owner.clone()))
 }
--- a/crates/core/src/batch/end_pursuit.rs
+++ b/crates/core/src/batch/end_pursuit.rs
@@ -15,7 +15,7 @@
 pub const MAX_PENDING: usize = 4_096;
 /// Ends that the owner is asked for at a time, so that many of them are no storm where it is away. Chosen,
 /// not measured.
-pub const MAX_ASKED: usize = 32;
+pub const MAX_IN_FLIGHT: usize = 32;
 /// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its
 /// route allows. Chosen, not measured: shorter forgets ends during a long outage of the stores.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
@@ -62,18 +62,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndAnswer {
     /// A majority of stores keeps it.
-    Kept,
+    Committed,
     /// There is no such job.
     Unknown,
     /// Nothing for sure.
-    Unsure,
+    Inconclusive,
 }
 
 /// Why an end is not held any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
     /// A majority of stores keeps it.
-    Kept,
+    Committed,
     /// There is no such job, and none came.
     Unknown,
     /// It was held for too long.
@@ -86,7 +86,7 @@
     /// The name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Kept => "kept",
+            Self::Committed => "kept",
             Self::Unknown => "unknown",
             Self::Expired => "expired",
             Self::Displaced => "displaced",
@@ -104,7 +104,7 @@
     /// How long it was held.
     pub held_for: Duration,
     /// How often the owner was asked.
-    pub questions: u32,
+    pub attempts: u32,
 }
 
 /// An end that is held.
@@ -115,24 +115,24 @@
     next_at: Timestamp,
     /// Answers that settled nothing.
     unsettled: u32,
-    questions: u32,
+    attempts: u32,
     is_asked: bool,
     unknown_since: Option<Timestamp>,
 }
 
 impl PendingEnd {
     const fn new(source: EndSource, now: Timestamp, next_at: Timestamp) -> Self {
-        Self { source, since: now, next_at, unsettled: 0, questions: 0, is_asked: false, unknown_since: None }
+        Self { source, since: now, next_at, unsettled: 0, attempts: 0, is_asked: false, unknown_since: None }
     }
 }
 
 /// All ends that are held.
 #[derive(Debug, Default)]
-pub struct EndPursuit {
+pub struct PendingEnds {
     pending: BTreeMap<EndKey, PendingEnd>,
 }
 
-impl EndPursuit {
+impl PendingEnds {
     /// Holds an end from now on; one that a caller sends again is asked for at once. Returns what gives way
     /// to it.
     pub fn hold(&mut self, now: Timestamp, key: EndKey, source: EndSource) -> Option<SettledEnd> {
@@ -167,14 +167,14 @@
     /// was asked.
     pub fn list(&self, now: Timestamp) -> impl Iterator<Item = (&EndKey, EndSource, Duration, u32)> {
         let line = move |(key, held): (_, &PendingEnd)| {
-            (key, held.source, now.saturating_since(held.since), held.questions)
+            (key, held.source, now.saturating_since(held.since), held.attempts)
         };
         self.pending.iter().map(line)
     }
 
     /// Ends to ask the owner for now.
     pub fn due(&mut self, now: Timestamp) -> Vec<EndKey> {
-        let room = MAX_ASKED.saturating_sub(self.asked());
+        let room = MAX_IN_FLIGHT.saturating_sub(self.asked());
         let is_due = |held: &PendingEnd| !held.is_asked && held.next_at <= now;
         let mut due: Vec<(Timestamp, EndKey)> = self
             .pending
@@ -187,7 +187,7 @@
         for (_, key) in &due {
             if let Some(held) = self.pending.get_mut(key) {
                 held.is_asked = true;
-                held.questions += 1;
+                held.attempts += 1;
             }
         }
         due.into_iter().map(|(_, key)| key).collect()
@@ -195,7 +195,7 @@
 
     /// When the next end is due; `None` while as many are asked for as may be, or none waits.
     pub fn deadline(&self) -> Option<Timestamp> {
-        if self.asked() >= MAX_ASKED {
+        if self.asked() >= MAX_IN_FLIGHT {
             return None;
         }
         self.pending.values().filter(|held| !held.is_asked).map(|held| held.next_at).min()
@@ -209,7 +209,7 @@
         held.next_at = now + BACKOFF.pause(held.unsettled);
         let is_expired = now.saturating_since(held.since) >= EXPIRES_AFTER;
         let outcome = match answer {
-            EndAnswer::Kept => EndOutcome::Kept,
+            EndAnswer::Committed => EndOutcome::Committed,
             // The node that read it goes on asking for a job that may come.
             EndAnswer::Unknown if held.source == EndSource::Peer => EndOutcome::Unknown,
             EndAnswer::Unknown => {
@@ -219,8 +219,8 @@
                 }
                 EndOutcome::Unknown
             }
-            EndAnswer::Unsure if is_expired => EndOutcome::Expired,
-            EndAnswer::Unsure => {
+            EndAnswer::Inconclusive if is_expired => EndOutcome::Expired,
+            EndAnswer::Inconclusive => {
                 held.unknown_since = None;
                 return None;
             }
@@ -240,6 +240,6 @@
     fn settle(&mut self, now: Timestamp, key: &EndKey, outcome: EndOutcome) -> Option<SettledEnd> {
         let held = self.pending.remove(key)?;
         let held_for = now.saturating_since(held.since);
-        Some(SettledEnd { key: key.clone(), outcome, held_for, questions: held.questions })
+        Some(SettledEnd { key: key.clone(), outcome, held_for, attempts: held.attempts })
     }
 }
--- a/crates/core/src/batch/group_tally.rs
+++ b/crates/core/src/batch/group_tally.rs
@@ -20,7 +20,7 @@
 
 /// A group that became whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeGroup {
+pub struct CompleteGroup {
     /// The group.
     pub name: String,
     /// Whole groups of the job so far, this one included.
@@ -67,7 +67,7 @@
     }
 
     /// An item was listed; the group that this makes whole. To be called once for each item.
-    pub(crate) fn listed(&mut self, item: u32) -> Option<WholeGroup> {
+    pub(crate) fn listed(&mut self, item: u32) -> Option<CompleteGroup> {
         let group = self.group(item)?;
         let left = self.left.get_mut(group).filter(|left| **left > 0)?;
         *left -= 1;
@@ -75,6 +75,6 @@
             return None;
         }
         self.whole += 1;
-        Some(WholeGroup { name: self.names[group].clone(), whole: self.whole, groups: self.groups() })
+        Some(CompleteGroup { name: self.names[group].clone(), whole: self.whole, groups: self.groups() })
     }
 }
--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -98,7 +98,7 @@
 
 /// One event of an item's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct KeptEvent {
+pub struct OutputEvent {
     /// Its number.
     pub number: u64,
     /// The version of the weights that made it.
@@ -124,7 +124,7 @@
 
 impl ItemResult {
     /// The result of an item that came whole.
-    pub fn complete(item: u32, events: &[KeptEvent], score: Option<String>) -> Self {
+    pub fn complete(item: u32, events: &[OutputEvent], score: Option<String>) -> Self {
         let mut versions: Vec<u64> = events.iter().map(|event| event.version).collect();
         versions.sort_unstable();
         versions.dedup();
--- a/crates/core/src/batch/leaving.rs
+++ b/crates/core/src/batch/leaving.rs
@@ -18,12 +18,12 @@
 
 /// What an owner has observed of more capable nodes.
 #[derive(Clone, Debug, Default)]
-pub struct LeaveWatch {
+pub struct LeaveMonitor {
     /// The more capable node, and since when it has been observed.
     better: Option<(NodeId, Timestamp)>,
 }
 
-impl LeaveWatch {
+impl LeaveMonitor {
     /// Whether the owner should leave now. `better` is the node that is worth leaving for, where there is
     /// one; another name begins the wait anew. Without a confirmed authority the owner stays: it could not
     /// have its progress kept.
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -8,7 +8,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::job::{BatchJob, ItemResult, KeptEvent};
+use super::job::{BatchJob, ItemResult, OutputEvent};
 use super::record::Record;
 use crate::identity::{BatchId, NodeId};
 use crate::usage::account::UsageAccount;
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ItemState {
     /// Events that have come.
-    pub events: Vec<KeptEvent>,
+    pub events: Vec<OutputEvent>,
     /// Runs that failed.
     pub failures: u32,
     /// Whether its text is whole and waits for its score.
-    pub is_whole: bool,
+    pub is_generated: bool,
     /// Answers of its scorer that said that it failed.
     pub score_failures: u32,
     /// Whether it stands in the job's list.
@@ -70,7 +70,7 @@
 
 /// The last order to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OrderMark {
+pub struct LastOrder {
     /// Who gave it.
     pub holder: NodeId,
     /// The shard's clock when it was written down, in milliseconds.
@@ -88,7 +88,7 @@
     /// Jobs of which texts are missing.
     pub(super) outlined: BTreeSet<BatchId>,
     clock_ms: u64,
-    orders: BTreeMap<String, OrderMark>,
+    orders: BTreeMap<String, LastOrder>,
     usage: UsageAccount,
     /// Replicas that zones are to have, by service and zone.
     scaled: BTreeMap<(String, String), u32>,
@@ -117,7 +117,7 @@
     }
 
     /// The last order to a replica, where it is recent enough to matter.
-    pub fn last_order(&self, replica: &str) -> Option<&OrderMark> {
+    pub fn last_order(&self, replica: &str) -> Option<&LastOrder> {
         self.orders.get(replica)
     }
 
@@ -143,7 +143,7 @@
             Record::Failed { batch, item, failures } => {
                 self.change(&batch, item, |state| state.failures = state.failures.max(failures));
             }
-            Record::Whole { batch, item, events, replaces } => {
+            Record::Generated { batch, item, events, replaces } => {
                 self.change(&batch, item, |state| keep_whole(state, events, replaces));
             }
             Record::ScoreFailed { batch, item, failures } => {
@@ -159,7 +159,7 @@
             Record::Completed { batch, item, events } => self.complete(&batch, item, events),
             Record::Scored { batch, item, score } => self.list_scored(&batch, item, score),
             Record::Ordered { replica, holder, at_ms } => {
-                self.mark_order(replica, OrderMark { holder, at_ms });
+                self.mark_order(replica, LastOrder { holder, at_ms });
             }
             Record::UsageCounted { source, through, counts } => self.usage.count(&source, through, &counts),
             Record::UsageClosed(window) => self.usage.close(window),
@@ -223,7 +223,7 @@
     }
 
     /// Invariant: only a text without a gap is listed as whole.
-    fn complete(&mut self, batch: &BatchId, item: u32, events: Vec<KeptEvent>) {
+    fn complete(&mut self, batch: &BatchId, item: u32, events: Vec<OutputEvent>) {
         let Some(state) = self.item(batch, item) else { return };
         let last = events.last().map(|event| event.number).or(state.last_event());
         append_events(state, events);
@@ -239,7 +239,7 @@
         self.outlined.insert(batch.clone());
     }
 
-    fn mark_order(&mut self, replica: String, mark: OrderMark) {
+    fn mark_order(&mut self, replica: String, mark: LastOrder) {
         self.clock_ms = self.clock_ms.max(mark.at_ms);
         let clock_ms = self.clock_ms;
         self.orders.retain(|_, mark| clock_ms.saturating_sub(mark.at_ms) <= MARK_RETENTION_MS);
@@ -250,7 +250,7 @@
     }
 
     fn list_scored(&mut self, batch: &BatchId, item: u32, score: String) {
-        let Some(state) = self.item(batch, item).filter(|state| state.is_whole) else { return };
+        let Some(state) = self.item(batch, item).filter(|state| state.is_generated) else { return };
         let result = ItemResult::complete(item, &state.events, Some(score));
         self.list(batch, result);
     }
@@ -267,7 +267,7 @@
             records.push(Record::Clock(job.accepted_at_ms));
             job_records(job, &mut records);
         }
-        let mut orders: Vec<(&String, &OrderMark)> = self.orders.iter().collect();
+        let mut orders: Vec<(&String, &LastOrder)> = self.orders.iter().collect();
         orders.sort_by_key(|(_, mark)| mark.at_ms);
         records.extend(orders.into_iter().map(|(replica, mark)| {
             let (replica, holder) = (replica.clone(), mark.holder.clone());
@@ -304,8 +304,8 @@
 }
 
 /// Invariant: only a text without a gap counts as whole, and once it does it is not changed.
-fn keep_whole(state: &mut ItemState, events: Vec<KeptEvent>, replaces: bool) {
-    if state.is_whole || state.is_listed {
+fn keep_whole(state: &mut ItemState, events: Vec<OutputEvent>, replaces: bool) {
+    if state.is_generated || state.is_listed {
         return;
     }
     if replaces {
@@ -314,13 +314,13 @@
     }
     let last = events.last().map(|event| event.number).or(state.last_event());
     append_events(state, events);
-    state.is_whole = state.last_event() == last;
+    state.is_generated = state.last_event() == last;
 }
 
-fn append_events(state: &mut ItemState, events: Vec<KeptEvent>) {
+fn append_events(state: &mut ItemState, events: Vec<OutputEvent>) {
     for event in events {
         let next = state.last_event().map_or(event.number, |last| last + 1);
-        if !state.is_listed && !state.is_whole && event.number == next {
+        if !state.is_listed && !state.is_generated && event.number == next {
             state.events.push(event);
         }
     }
@@ -336,9 +336,9 @@
         if state.failures > 0 {
             records.push(Record::Failed { batch: batch.clone(), item, failures: state.failures });
         }
-        if state.is_whole {
+        if state.is_generated {
             let events = state.events.clone();
-            records.push(Record::Whole { batch: batch.clone(), item, events, replaces: true });
+            records.push(Record::Generated { batch: batch.clone(), item, events, replaces: true });
         } else if !state.events.is_empty() {
             records.push(Record::Progress { batch: batch.clone(), item, events: state.events.clone() });
         }
--- a/crates/core/src/batch/ledger_follower.rs
+++ b/crates/core/src/batch/ledger_follower.rs
@@ -34,7 +34,7 @@
     taken_at: BTreeMap<BatchId, LogIndex>,
     /// Whether the ledger holds all up to `through`: not so after the beginning was dropped, until the
     /// snapshot that stands for it was read to its end.
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl Default for LedgerFollower {
@@ -48,14 +48,14 @@
     /// whole.
     pub fn beginning_after(through: LogIndex) -> Self {
         let assembler = LogAssembler::new(Epoch::default(), true);
-        let is_whole = through == LogIndex::ZERO;
+        let is_complete = through == LogIndex::ZERO;
         Self {
             ledger: Ledger::default(),
             assembler,
             through,
             held_bytes: 0,
             taken_at: BTreeMap::new(),
-            is_whole,
+            is_complete,
         }
     }
 
@@ -70,11 +70,11 @@
     }
 
     /// Whether a takeover can go on from here.
-    pub const fn is_whole(&self) -> bool {
-        self.is_whole
+    pub const fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
-    /// What is known of the log, where [`Self::is_whole`].
+    /// What is known of the log, where [`Self::is_complete`].
     pub const fn known(&self) -> KnownLog {
         KnownLog { through: self.through, latest_origin: self.assembler.latest_origin() }
     }
@@ -105,7 +105,7 @@
                 }
                 LogAddition::Snapshot(bytes) => {
                     self.held_bytes = bytes.len();
-                    self.is_whole = true;
+                    self.is_complete = true;
                     self.ledger = Ledger::default();
                     Ledger::snapshot_records(&bytes)?
                         .into_iter()
--- a/crates/core/src/batch/order_lease.rs
+++ b/crates/core/src/batch/order_lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::ledger::OrderMark;
+use super::ledger::LastOrder;
 use crate::identity::NodeId;
 
 /// Whose orders these are, and how long another's bind.
@@ -24,7 +24,7 @@
 impl OrderLease {
     /// Whether a replica with this mark may be ordered. `clock_ms` is the shard's clock now; it stood still
     /// while the owner before was silent.
-    pub(crate) fn allows(&self, mark: Option<&OrderMark>, clock_ms: u64) -> bool {
+    pub(crate) fn allows(&self, mark: Option<&LastOrder>, clock_ms: u64) -> bool {
         let Some(mark) = mark.filter(|mark| mark.holder != self.holder) else { return true };
         let since = Duration::from_millis(clock_ms.saturating_sub(mark.at_ms)) + self.idle;
         since >= self.length
--- a/crates/core/src/batch/outline.rs
+++ b/crates/core/src/batch/outline.rs
@@ -8,7 +8,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::job::{ItemResult, KeptEvent};
+use super::job::{ItemResult, OutputEvent};
 use super::ledger::{ItemState, JobState, Ledger};
 use super::record::Record;
 use crate::identity::BatchId;
@@ -30,8 +30,8 @@
     Progress,
     /// [`Record::Completed`].
     Completed,
-    /// [`Record::Whole`].
-    Whole {
+    /// [`Record::Generated`].
+    Generated {
         /// Whether the text was begun anew.
         replaces: bool,
     },
@@ -40,7 +40,7 @@
 impl OutlineKind {
     /// The record that it stands for, with texts that are empty.
     pub(super) fn restore(self, batch: BatchId, item: u32, events: &[EventOutline]) -> Record {
-        let event = |event: &EventOutline| KeptEvent {
+        let event = |event: &EventOutline| OutputEvent {
             number: event.number,
             version: event.version,
             data: String::new(),
@@ -49,7 +49,7 @@
         match self {
             Self::Progress => Record::Progress { batch, item, events },
             Self::Completed => Record::Completed { batch, item, events },
-            Self::Whole { replaces } => Record::Whole { batch, item, events, replaces },
+            Self::Generated { replaces } => Record::Generated { batch, item, events, replaces },
         }
     }
 }
@@ -71,15 +71,15 @@
     let (batch, item, events, kind) = match record {
         Record::Progress { batch, item, events } => (batch, item, events, OutlineKind::Progress),
         Record::Completed { batch, item, events } => (batch, item, events, OutlineKind::Completed),
-        Record::Whole { batch, item, events, replaces } => {
-            (batch, item, events, OutlineKind::Whole { replaces })
+        Record::Generated { batch, item, events, replaces } => {
+            (batch, item, events, OutlineKind::Generated { replaces })
         }
         _ => return None,
     };
     if events.is_empty() {
         return None;
     }
-    let event = |event: &KeptEvent| EventOutline { number: event.number, version: event.version };
+    let event = |event: &OutputEvent| EventOutline { number: event.number, version: event.version };
     Some(Record::Outlined { batch, item, events: events.iter().map(event).collect(), kind })
 }
 
--- a/crates/core/src/batch/progress_offer.rs
+++ b/crates/core/src/batch/progress_offer.rs
@@ -6,7 +6,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::job::KeptEvent;
+use super::job::OutputEvent;
 use crate::identity::{BatchId, Epoch};
 
 /// Events of one item.
@@ -19,7 +19,7 @@
     /// The number of the last event that the giver knows to be kept.
     pub after: Option<u64>,
     /// Events that follow it.
-    pub events: Vec<KeptEvent>,
+    pub events: Vec<OutputEvent>,
 }
 
 /// Events of all items that an owner ran.
--- a/crates/core/src/batch/record.rs
+++ b/crates/core/src/batch/record.rs
@@ -5,7 +5,7 @@
 
 use speedy::{Readable, Writable};
 
-use super::job::{BatchJob, ItemResult, KeptEvent};
+use super::job::{BatchJob, ItemResult, OutputEvent};
 use super::outline::{EventOutline, OutlineKind};
 use crate::identity::{BatchId, NodeId};
 use crate::usage::account::{AccountParts, WindowCount};
@@ -23,7 +23,7 @@
         /// The item's position in the job.
         item: u32,
         /// Events that follow those kept before.
-        events: Vec<KeptEvent>,
+        events: Vec<OutputEvent>,
     },
     /// A run of an item failed.
     Failed {
@@ -53,18 +53,18 @@
         /// The item's position in the job.
         item: u32,
         /// Events that follow those kept before.
-        events: Vec<KeptEvent>,
+        events: Vec<OutputEvent>,
     },
     /// The owner is alive. The shard's clock: milliseconds that owners have counted so far.
     Clock(u64),
     /// An item's text came whole and waits for its score.
-    Whole {
+    Generated {
         /// The job.
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
         /// Events that follow those kept before, or all of them.
-        events: Vec<KeptEvent>,
+        events: Vec<OutputEvent>,
         /// Whether the text was begun anew, so that nothing kept before belongs to it.
         replaces: bool,
     },
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -36,7 +36,7 @@
 /// The sets of regions, besides that of all, that batch jobs may be bound to by a configuration: those of its
 /// routes, each together with those of each tenant. In the order of their names; more than [`MAX_SHARDS`] may
 /// come back.
-pub fn bound_sets(routes: &RouteTable) -> BTreeSet<AllowedRegions> {
+pub fn region_sets(routes: &RouteTable) -> BTreeSet<AllowedRegions> {
     let batch = routes.routes.iter().filter(|route| route.kind == RouteKind::Batch);
     let tenants = routes.tenants.as_ref().map_or(&[][..], |directory| directory.tenants());
     let sets = batch.flat_map(|route| {
--- a/crates/core/tests/batch_controller.rs
+++ b/crates/core/tests/batch_controller.rs
@@ -35,7 +35,7 @@
     assert_eq!(bench.controller.submit(at(1), job("j", 1, 0)), Submission::Pending);
     assert_eq!(bench.controller.submit(at(2), job("j", 1, 0)), Submission::Pending);
     bench.decide(at(5));
-    assert_eq!(bench.controller.submit(at(6), job("j", 1, 0)), Submission::Kept);
+    assert_eq!(bench.controller.submit(at(6), job("j", 1, 0)), Submission::Committed);
     let accepted = bench.records.iter().filter(|record| matches!(record, Record::Accepted(_))).count();
     assert_eq!((accepted, bench.started.len()), (1, 1));
 }
@@ -139,7 +139,7 @@
 fn an_item_that_can_never_be_done_is_given_up_at_once() {
     let mut bench = Bench::new(Ledger::default(), false, &[replica("a", 1)]);
     bench.submit(at(1), job("j", 1, 0));
-    bench.end(at(10), bench.started[0].run, RunEnd::Never);
+    bench.end(at(10), bench.started[0].run, RunEnd::Unprocessable);
     bench.decide(at(20));
     assert_eq!((bench.results("j"), bench.started.len()), (1, 1));
 }
--- a/crates/core/tests/batch_follower.rs
+++ b/crates/core/tests/batch_follower.rs
@@ -3,7 +3,7 @@
 mod batch_support;
 
 use batch_support::job;
-use lichenpulley_core::batch::job::KeptEvent;
+use lichenpulley_core::batch::job::OutputEvent;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::ledger_follower::{DecidedPage, LedgerFollower};
 use lichenpulley_core::batch::outline::outline_entries;
@@ -63,13 +63,13 @@
                 keep(&mut log, &mut ledger, epoch, Record::Accepted(job(&format!("job-{jobs}"), 3, 0)));
                 jobs += 1;
             }
-            Step::Progress(number, item, is_whole) => {
+            Step::Progress(number, item, is_complete) => {
                 let (batch, item) = (batch(*number), u32::from(*item));
                 let known = ledger.job(&batch).filter(|job| job.is_open(item));
                 let Some(known) = known else { continue };
                 let next = known.items[item as usize].last_event().map_or(0, |last| last + 1);
-                let events = vec![KeptEvent { number: next, version: 1, data: format!("d{next}") }];
-                let made = if *is_whole {
+                let events = vec![OutputEvent { number: next, version: 1, data: format!("d{next}") }];
+                let made = if *is_complete {
                     Record::Completed { batch, item, events }
                 } else {
                     Record::Progress { batch, item, events }
@@ -138,7 +138,7 @@
             follower.take(page(&log, base, next, through, most)).expect("records");
         }
         let whole = recovered(&log, KnownLog::default(), None);
-        let after = if follower.is_whole() {
+        let after = if follower.is_complete() {
             recovered(&log, follower.known(), Some(follower.into_ledger()))
         } else {
             recovered(&log, KnownLog::default(), None)
@@ -179,7 +179,7 @@
         // The log is truncated only once the snapshot is decided.
         let base = if through == log.len() { snapshot } else { 0 };
         let outline = follower_of(&log, base, through, true);
-        prop_assume!(outline.is_whole());
+        prop_assume!(outline.is_complete());
         let whole = recovered(&log, KnownLog::default(), None);
         let known = outline.known();
         let before_open = outline.before_open_jobs();
@@ -236,10 +236,10 @@
     let (log, base) = log_of(&[Step::Accept, Step::Snapshot]);
     let mut follower = LedgerFollower::default();
     assert!(follower.take(page(&log, base, LogIndex::FIRST, log.len(), 1)).expect("a part"), "there is more");
-    assert!(!follower.is_whole());
+    assert!(!follower.is_complete());
     let next = follower.next();
     follower.take(page(&log, base, next, log.len(), log.len())).expect("the others");
-    assert!(follower.is_whole());
+    assert!(follower.is_complete());
 }
 
 #[test]
--- a/crates/core/tests/batch_support/mod.rs
+++ b/crates/core/tests/batch_support/mod.rs
@@ -9,7 +9,7 @@
 use lichenpulley_core::batch::controller::{
     Action, Controller, ControllerConfig, RunEnd, RunEvent, RunId, RunStart, Submission,
 };
-use lichenpulley_core::batch::job::{BatchItem, BatchJob, KeptEvent, ScoreRequest};
+use lichenpulley_core::batch::job::{BatchItem, BatchJob, OutputEvent, ScoreRequest};
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::order_lease::OrderLease;
 use lichenpulley_core::batch::record::Record;
@@ -227,7 +227,7 @@
     }
 
     pub(crate) fn event(&mut self, now: Timestamp, run: RunId, number: u64, version: u64) {
-        let kept = KeptEvent { number, version, data: format!("d{number}") };
+        let kept = OutputEvent { number, version, data: format!("d{number}") };
         self.controller.run_event(now, run, RunEvent::Event(kept));
         self.take();
     }
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::{Debug, Write};
 
-use lichenpulley_core::batch::job::{BatchItem, BatchJob, ItemResult, KeptEvent, ScoreRequest};
+use lichenpulley_core::batch::job::{BatchItem, BatchJob, ItemResult, OutputEvent, ScoreRequest};
 use lichenpulley_core::batch::record::Record;
 use lichenpulley_core::identity::{
     AttemptId, BatchId, Epoch, JobId, NodeId, PoolName, RequestId, Revision, ShardId, TenantName,
@@ -291,7 +291,7 @@
         desired_groups: Some(1),
         items: vec![item],
     };
-    let events = vec![KeptEvent { number: 1, version: 2, data: "token".to_owned() }];
+    let events = vec![OutputEvent { number: 1, version: 2, data: "token".to_owned() }];
     let result = ItemResult::complete(0, &events, Some("0.5".to_owned()));
     let counts = vec![WindowCount { window: WindowNumber(11), tenant: TenantName::new("t"), requests: 6 }];
     check(&Record::Accepted(job), BATCH_RECORDS[0]);
@@ -302,7 +302,7 @@
     check(&Record::Dropped(batch.clone()), BATCH_RECORDS[5]);
     check(&Record::Completed { batch: batch.clone(), item: 0, events: events.clone() }, BATCH_RECORDS[6]);
     check(&Record::Clock(60_000), BATCH_RECORDS[7]);
-    check(&Record::Whole { batch: batch.clone(), item: 0, events, replaces: true }, BATCH_RECORDS[8]);
+    check(&Record::Generated { batch: batch.clone(), item: 0, events, replaces: true }, BATCH_RECORDS[8]);
     check(&Record::ScoreFailed { batch: batch.clone(), item: 0, failures: 2 }, BATCH_RECORDS[9]);
     check(&Record::Scored { batch, item: 0, score: "0.5".to_owned() }, BATCH_RECORDS[10]);
     check(
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -8,7 +8,7 @@
 use batch_support::{Bench, at, job, replica, routes, scored_job, scorer_replica, table};
 use lichenpulley_core::batch::controller::{ControllerConfig, RunEnd};
 use lichenpulley_core::batch::ledger::Ledger;
-use lichenpulley_core::batch::regional::{bound_sets, regions_of, shard_of, unknown_regions};
+use lichenpulley_core::batch::regional::{region_sets, regions_of, shard_of, unknown_regions};
 use lichenpulley_core::batch::score_plan::ScoreEnd;
 use lichenpulley_core::identity::{RegionName, TenantName};
 use lichenpulley_core::ingress::places::{AllowedRegions, ZoneMap};
@@ -82,10 +82,10 @@
 #[test]
 fn a_job_is_bound_by_its_route_and_its_tenant() {
     let table = bound(&regions(&["east", "west"]), &regions(&["north"]), &regions(&["west", "north"]));
-    assert_eq!(bound_sets(&table).into_iter().collect::<Vec<_>>(), [regions(&["west"])]);
+    assert_eq!(region_sets(&table).into_iter().collect::<Vec<_>>(), [regions(&["west"])]);
     let apart = bound(&regions(&["east"]), &AllowedRegions::all(), &regions(&["west"]));
-    assert!(bound_sets(&apart).is_empty(), "nothing is kept where nothing is allowed");
-    assert!(bound_sets(&routes(false)).is_empty(), "a deployment without limits has one shard");
+    assert!(region_sets(&apart).is_empty(), "nothing is kept where nothing is allowed");
+    assert!(region_sets(&routes(false)).is_empty(), "a deployment without limits has one shard");
     assert!(regions_of(&shard_of(&AllowedRegions::all())).is_all());
 }
 
--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -10,7 +10,7 @@
 
 use futures::future::join_all;
 use lichenpulley_core::batch::election::{
-    self, LeaderAnswer, LeaderAnswers, ObservedLeader, PollReason, Verdict,
+    self, LeaderAnswer, LeaderAnswers, ObservedLeader, PollReason, TakeoverDecision,
 };
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::ledger_follower::LedgerFollower;
@@ -144,7 +144,7 @@
     async fn poll(&mut self, reason: PollReason) -> Option<Duration> {
         let rank = order::rank(&self.scope);
         self.polls += 1;
-        if reason == PollReason::Due && !election::polls_now(rank, self.polls) {
+        if reason == PollReason::Due && !election::should_poll(rank, self.polls) {
             return None;
         }
         // The first set of the main shard is waited for; one that can't be made in its regions is not tried
@@ -159,13 +159,15 @@
         if reason == PollReason::OwnerLeft {
             return Some(Duration::ZERO);
         }
-        let (rank, takeover_after) = reason.turn(rank, self.scope.context.settings.batch.takeover_after);
+        let (rank, takeover_after) =
+            reason.rank_and_delay(rank, self.scope.context.settings.batch.takeover_after);
         let (counted, needed) = self.count(&answers).await;
-        let verdict = election::judge(&self.scope.context.node, rank, &counted, needed, takeover_after);
+        let verdict =
+            election::decide_takeover(&self.scope.context.node, rank, &counted, needed, takeover_after);
         match verdict {
-            Verdict::Wait(_) => None,
-            Verdict::TakeOver(None) => Some(self.scope.context.settings.batch.order_lease),
-            Verdict::TakeOver(Some(idle)) => Some(idle),
+            TakeoverDecision::Wait(_) => None,
+            TakeoverDecision::TakeOver(None) => Some(self.scope.context.settings.batch.order_lease),
+            TakeoverDecision::TakeOver(Some(idle)) => Some(idle),
         }
     }
 
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -12,7 +12,7 @@
 use futures::StreamExt;
 use futures::future::BoxFuture;
 use futures::stream::FuturesUnordered;
-use lichenpulley_core::batch::end_pursuit::{EndAnswer, EndKey, EndPursuit, EndSource, SettledEnd};
+use lichenpulley_core::batch::end_pursuit::{EndAnswer, EndKey, EndSource, PendingEnds, SettledEnd};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::ShardId;
 use lichenpulley_core::time::{Timestamp, whole_millis};
@@ -45,7 +45,7 @@
 
 #[derive(Default)]
 struct HeldEnds {
-    pursuit: EndPursuit,
+    pursuit: PendingEnds,
     /// Callers that wait for the owner's answer.
     waiting: BTreeMap<EndKey, Vec<oneshot::Sender<BatchResponse>>>,
     /// Ends that other nodes have no copy of yet.
@@ -151,9 +151,9 @@
 
     fn answered(&self, key: &EndKey, response: BatchResponse) {
         let answer = match response {
-            BatchResponse::Ended => EndAnswer::Kept,
+            BatchResponse::Ended => EndAnswer::Committed,
             BatchResponse::Unknown => EndAnswer::Unknown,
-            _ => EndAnswer::Unsure,
+            _ => EndAnswer::Inconclusive,
         };
         let (settled, waiting) = {
             let mut held = self.lock();
@@ -173,7 +173,7 @@
         let decision =
             Decision::new(Component::Rollout, "end_settled", settled.outcome.as_str(), &settled.key.batch);
         let decision = decision.with("held_ms", settled.held_for.as_millis());
-        self.context.decisions.record(decision.with("questions", settled.questions));
+        self.context.decisions.record(decision.with("questions", settled.attempts));
     }
 
     /// An end that too few nodes hold is sent to others again, as long as it is held here.
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -59,7 +59,7 @@
     /// What was followed so far; nothing more is followed until [`Self::resume`].
     pub(super) fn take(&self) -> Option<LedgerFollower> {
         self.shared.is_owning.store(true, Ordering::Relaxed);
-        self.shared.lock().take().filter(LedgerFollower::is_whole)
+        self.shared.lock().take().filter(LedgerFollower::is_complete)
     }
 
     /// The takeover failed: what was followed is followed on.
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -307,7 +307,7 @@
 
     fn regional_shards(&self) -> Vec<ShardId> {
         let routes = self.scope.context.metadata.routes.load_full();
-        let sets = routes.map(|table| regional::bound_sets(&table)).unwrap_or_default();
+        let sets = routes.map(|table| regional::region_sets(&table)).unwrap_or_default();
         sets.iter().map(regional::shard_of).collect()
     }
 }
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -108,7 +108,7 @@
         }
     }
     record(scope, "outline_read", &follower, began);
-    Some(follower).filter(LedgerFollower::is_whole).ok_or(NoOutline::NotWhole)
+    Some(follower).filter(LedgerFollower::is_complete).ok_or(NoOutline::NotWhole)
 }
 
 /// What is read of a log behind its owner.
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::batch::controller::{Controller, ControllerConfig, RunEvent, RunId};
-use lichenpulley_core::batch::leaving::LeaveWatch;
+use lichenpulley_core::batch::leaving::LeaveMonitor;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::order_lease::OrderLease;
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
@@ -89,7 +89,7 @@
     callers: WaitingCallers,
     /// The ledger with the texts that were not read when this owner began.
     texts: mpsc::Receiver<Ledger>,
-    leave_watch: LeaveWatch,
+    leave_watch: LeaveMonitor,
     /// Why the log can't be written any more.
     failure: Option<ShardLogError>,
 }
@@ -148,7 +148,7 @@
             callers: WaitingCallers::default(),
             texts: read_missing(&scope, missing),
             stores: OwnedStores::new(scope.clone(), log, held_bytes),
-            leave_watch: LeaveWatch::default(),
+            leave_watch: LeaveMonitor::default(),
             failure: None,
             scope,
             context,
--- a/crates/daemon/src/batch/owner/callers.rs
+++ b/crates/daemon/src/batch/owner/callers.rs
@@ -60,7 +60,7 @@
     fn submit(&mut self, job: BatchJob, command: Command) {
         let batch = job.id.clone();
         match self.controller.submit(self.now(), job) {
-            Submission::Kept => command.answer(BatchResponse::Taken),
+            Submission::Committed => command.answer(BatchResponse::Taken),
             Submission::Pending => self.callers.add_submission(batch, command),
             Submission::Full => command.answer(BatchResponse::Full),
             Submission::IdTaken => command.answer(BatchResponse::IdTaken),
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::batch::cut_off::{self, CutOffStep, CutOffWatch, StoresReply};
+use lichenpulley_core::batch::cut_off::{self, CutOffMonitor, CutOffStep, ProbeResult};
 use lichenpulley_core::batch::record::Record;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -48,10 +48,10 @@
     clock: BootClock,
     /// When the last append that is known to be decided was begun.
     confirmed_at: BootInstant,
-    cut_off: CutOffWatch,
-    reply_sender: mpsc::UnboundedSender<StoresReply>,
+    cut_off: CutOffMonitor,
+    reply_sender: mpsc::UnboundedSender<ProbeResult>,
     /// Replies to the question whether any store can be reached.
-    pub(super) replies: mpsc::UnboundedReceiver<StoresReply>,
+    pub(super) replies: mpsc::UnboundedReceiver<ProbeResult>,
 }
 
 impl OwnedStores {
@@ -66,7 +66,7 @@
             scope,
             confirmed_at: clock.now(),
             clock,
-            cut_off: CutOffWatch::default(),
+            cut_off: CutOffMonitor::default(),
             reply_sender,
             replies,
         }
@@ -96,21 +96,21 @@
     pub(super) fn watch_silence(&mut self) {
         let unconfirmed_for = self.clock.since(self.confirmed_at);
         let is_silent = cut_off::is_silent(unconfirmed_for, self.log.silent_for());
-        if self.cut_off.poll(is_silent) != CutOffStep::Ask {
+        if self.cut_off.poll(is_silent) != CutOffStep::Probe {
             return;
         }
         let (scope, replies) = (self.scope.clone(), self.reply_sender.clone());
         tokio::spawn(async move {
             let began = Instant::now();
             let answered = candidate::ask_stores(&scope).await.answered();
-            let reply = StoresReply { answered, took: began.elapsed(), timeout: candidate::STORE_TIMEOUT };
+            let reply = ProbeResult { answered, took: began.elapsed(), timeout: candidate::STORE_TIMEOUT };
             // An error only says that the owner has ended.
             let _ = replies.send(reply);
         });
     }
 
     /// Whether the stores' reply says that this owner is cut off from them.
-    pub(super) fn is_cut_off_by(&mut self, reply: StoresReply) -> bool {
-        self.cut_off.replied(reply) == CutOffStep::Leave
+    pub(super) fn is_cut_off_by(&mut self, reply: ProbeResult) -> bool {
+        self.cut_off.probe_ended(reply) == CutOffStep::Leave
     }
 }
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -66,7 +66,7 @@
         for region in regional::unknown_regions(table, &self.context.settings.places.zones) {
             log::warn!(target: "batch", "`allowed_regions` names {region}, where no zone of `places.zones` lies: what is bound to it alone is refused.");
         }
-        let sets = regional::bound_sets(table);
+        let sets = regional::region_sets(table);
         let count = sets.len();
         if count > MAX_SHARDS {
             log::error!(target: "batch", "The configuration binds batch jobs to {count} sets of regions; {MAX_SHARDS} are kept: name fewer sets in `allowed_regions`.");
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -11,7 +11,7 @@
 use hyper::header::{AUTHORIZATION, HOST, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response};
 use lichenpulley_core::batch::controller::{RunEnd, RunEvent, RunId, RunStart};
-use lichenpulley_core::batch::job::KeptEvent;
+use lichenpulley_core::batch::job::OutputEvent;
 use lichenpulley_core::quarantine::RunSender;
 use lichenpulley_platform::headers;
 use tokio::sync::mpsc;
@@ -144,7 +144,7 @@
 fn trace_head(traced: &mut TracedRun, end: &RunEnd) {
     match end {
         RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
-        RunEnd::Failed | RunEnd::Never => traced.ended_whole(),
+        RunEnd::Failed | RunEnd::Unprocessable => traced.ended_whole(),
         RunEnd::Broken | RunEnd::Complete => {}
     }
 }
@@ -189,7 +189,7 @@
             };
             self.version = event.version.unwrap_or(self.version);
             let Some(number) = event.number else { continue };
-            let kept = KeptEvent { number, version: self.version, data: event.data };
+            let kept = OutputEvent { number, version: self.version, data: event.data };
             // An error says that the owner has ended.
             if self.events.send((self.start.run, RunEvent::Event(kept))).await.is_err() {
                 return Err(RunEnd::Broken);
@@ -226,7 +226,7 @@
     let is_signed = fields.contains_key(headers::SIGNATURE);
     match status.as_u16() {
         200..=299 if is_signed => None,
-        headers::STATUS_NEVER if is_signed => Some(RunEnd::Never),
+        headers::STATUS_NEVER if is_signed => Some(RunEnd::Unprocessable),
         500 if is_signed => Some(RunEnd::Failed),
         _ => Some(RunEnd::Broken),
     }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::Duration;
 
-use lichenpulley_core::batch::job::{BatchItem, BatchJob, KeptEvent};
+use lichenpulley_core::batch::job::{BatchItem, BatchJob, OutputEvent};
 use lichenpulley_core::batch::record::Record;
 use lichenpulley_core::identity::{
     AttemptId, BatchId, Epoch, JobId, NodeId, PoolName, RequestId, ShardId, WeightVersion, ZoneName,
@@ -101,7 +101,7 @@
         desired_groups: None,
         items: vec![item],
     };
-    let event = |number, data: &str| KeptEvent { number, version: 3, data: data.to_owned() };
+    let event = |number, data: &str| OutputEvent { number, version: 3, data: data.to_owned() };
     vec![
         Record::Accepted(job),
         Record::Ordered { replica: "replica-4".to_owned(), holder: NodeId::new("node-2"), at_ms: 1_500 },
