--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -7,7 +7,7 @@
 mod action;
 mod config;
 mod duties;
-mod handing_over;
+mod handover;
 mod inputs;
 mod jobs;
 mod live_item;
--- a/crates/core/src/batch/mod.rs
+++ b/crates/core/src/batch/mod.rs
@@ -8,7 +8,6 @@
 pub mod controller;
 pub mod cut_off;
 pub mod election;
-pub mod end_pursuit;
 mod group_tally;
 pub mod job;
 pub mod leaving;
@@ -18,6 +17,7 @@
 mod moves;
 pub mod order_lease;
 pub mod outline;
+pub mod pending_ends;
 pub mod progress_offer;
 pub mod record;
 pub mod recovery;
--- a/crates/core/tests/end_pursuit.rs
+++ b/crates/core/tests/batch_pending_ends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lichenpulley_core::batch::end_pursuit::{
+use lichenpulley_core::batch::pending_ends::{
     COPY_DELAY, EXPIRES_AFTER, EndAnswer, EndKey, EndOutcome, EndSource, MAX_IN_FLIGHT, MAX_PENDING,
     PendingEnds, UNKNOWN_FOR,
 };
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -2,7 +2,7 @@
 //!
 //! An end is held here before it is asked for the first time, and copied to other nodes at once: it outlasts
 //! its caller's connection, owners that are lost before they kept it, and the node that read it. Owns the
-//! ends that are held here and the callers that wait; relies on `core::batch::end_pursuit` for when the owner
+//! ends that are held here and the callers that wait; relies on `core::batch::pending_ends` for when the owner
 //! is asked.
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use futures::StreamExt;
 use futures::future::BoxFuture;
 use futures::stream::FuturesUnordered;
-use lichenpulley_core::batch::end_pursuit::{EndAnswer, EndKey, EndSource, PendingEnds, SettledEnd};
+use lichenpulley_core::batch::pending_ends::{EndAnswer, EndKey, EndSource, PendingEnds, SettledEnd};
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::ShardId;
 use lichenpulley_core::time::{Timestamp, whole_millis};
--- a/crates/daemon/src/ingress/ends.rs
+++ b/crates/daemon/src/ingress/ends.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::AUTHORIZATION;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use lichenpulley_core::batch::end_pursuit::EndKey;
+use lichenpulley_core::batch::pending_ends::EndKey;
 use lichenpulley_core::identity::BatchId;
 use lichenpulley_core::ingress::routes::RouteTable;
 use lichenpulley_platform::batch;
