--- a/crates/core/src/replication/acceptor.rs
+++ b/crates/core/src/replication/acceptor.rs
@@ -14,7 +14,7 @@
 use super::ballot::Ballot;
 use super::claims::{self, ClaimVote, ClaimWindow};
 use super::entry::{Entry, IndexedEntry, LogIndex};
-use super::group::{AcceptedRun, GroupPhase, GroupRecord};
+use super::group::{AcceptedRange, GroupPhase, GroupRecord};
 use super::message::{
     Accept, ClaimRequest, Operation, Read, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal,
 };
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// When the disk can't be used; the transaction must then be dropped.
-    pub fn forget_expired_claims<S: ShardStorage>(
+    pub fn remove_expired_claims<S: ShardStorage>(
         &self,
         storage: &mut S,
         now_unix_ms: u64,
@@ -82,10 +82,10 @@
         let Some(mut record) = storage.group(shard)? else { return Ok(()) };
         let horizon = self.window.horizon_unix_ms(now_unix_ms);
         // A sealed replica is copied page by page: its claims stay as they are.
-        if record.phase != GroupPhase::Active || horizon <= record.position.claims_forgotten_before_unix_ms {
+        if record.phase != GroupPhase::Active || horizon <= record.position.claims_removed_before_unix_ms {
             return Ok(());
         }
-        record.position.claims_forgotten_before_unix_ms = horizon;
+        record.position.claims_removed_before_unix_ms = horizon;
         storage.put_group(shard, &record)?;
         storage.remove_claims_issued_before(shard, horizon)
     }
@@ -202,7 +202,7 @@
         }
         if promised != ballot {
             record.position.promised = ballot.clone();
-            record.run = AcceptedRun { from: LogIndex::FIRST, through: LogIndex::ZERO };
+            record.run = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
         }
         Ok(())
     }
@@ -286,8 +286,8 @@
         claim: ClaimRequest,
     ) -> Result<ReplicaAnswer, S::Error> {
         let horizon = self.window.horizon_unix_ms(now_unix_ms);
-        let horizon = horizon.max(record.position.claims_forgotten_before_unix_ms);
-        let vote = if self.checks.refuse_forgotten_claims && claim.issued_at_unix_ms < horizon {
+        let horizon = horizon.max(record.position.claims_removed_before_unix_ms);
+        let vote = if self.checks.refuse_expired_claims && claim.issued_at_unix_ms < horizon {
             ClaimVote::Expired
         } else if claim.issued_at_unix_ms > self.window.latest_unix_ms(now_unix_ms) {
             ClaimVote::TooFarAhead
--- a/crates/core/src/replication/acceptor/checks.rs
+++ b/crates/core/src/replication/acceptor/checks.rs
@@ -12,7 +12,7 @@
     /// Refuse to be installed without all pages from a majority of the sealed set.
     pub check_copied: bool,
     /// Refuse ids whose claims may have been forgotten.
-    pub refuse_forgotten_claims: bool,
+    pub refuse_expired_claims: bool,
     /// Keep to the highest ballot that the sealed replicas promised, once installed.
     pub carry_promise: bool,
 }
@@ -24,7 +24,7 @@
             check_store: true,
             refuse_when_sealed: true,
             check_copied: true,
-            refuse_forgotten_claims: true,
+            refuse_expired_claims: true,
             carry_promise: true,
         }
     }
--- a/crates/core/src/replication/acceptor/decided.rs
+++ b/crates/core/src/replication/acceptor/decided.rs
@@ -4,13 +4,13 @@
 
 use crate::identity::ShardId;
 use crate::replication::entry::{IndexedEntry, LogIndex};
-use crate::replication::group::{AcceptedRun, GroupRecord};
+use crate::replication::group::{AcceptedRange, GroupRecord};
 use crate::replication::message::ReplicaAnswer;
 use crate::replication::storage::ShardStorage;
 use crate::replication::transfer::PAGE_BYTES;
 
 /// Adds accepted positions to the run, or begins a new one where they don't follow it.
-pub(super) fn extend_run(run: &mut AcceptedRun, from: LogIndex, through: LogIndex) {
+pub(super) fn extend_run(run: &mut AcceptedRange, from: LogIndex, through: LogIndex) {
     if through < from {
         return;
     }
@@ -19,7 +19,7 @@
         run.from = run.from.min(from);
         run.through = run.through.max(through);
     } else {
-        *run = AcceptedRun { from, through };
+        *run = AcceptedRange { from, through };
     }
 }
 
--- a/crates/core/src/replication/claim_tally.rs
+++ b/crates/core/src/replication/claim_tally.rs
@@ -8,7 +8,7 @@
 
 /// What the votes so far amount to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum TallyResult {
     /// A majority voted for this attempt.
     Granted,
     /// Some replica voted for another attempt, and this one can't get a majority any more.
@@ -16,7 +16,7 @@
     /// The id's issue time is refused, and this attempt can't get a majority any more.
     OutsideWindow,
     /// Votes that are still out can decide.
-    Open,
+    Pending,
 }
 
 /// Votes on one claim. Votes of different generations must never be added up: make a new tally for each.
@@ -54,15 +54,15 @@
     }
 
     /// What the votes amount to. Never `Granted` without a majority, however the rest voted.
-    pub fn verdict(&self) -> ClaimVerdict {
+    pub fn result(&self) -> TallyResult {
         if self.granted.is_majority_of(self.members) {
-            return ClaimVerdict::Granted;
+            return TallyResult::Granted;
         }
         let against = self.held.len() + self.outside_window.len();
         let reachable = self.members - against;
         if reachable >= super::quorum::majority(self.members) {
-            return ClaimVerdict::Open;
+            return TallyResult::Pending;
         }
-        if self.held.is_empty() { ClaimVerdict::OutsideWindow } else { ClaimVerdict::Held }
+        if self.held.is_empty() { TallyResult::OutsideWindow } else { TallyResult::Held }
     }
 }
--- a/crates/core/src/replication/fault_tolerance.rs
+++ b/crates/core/src/replication/fault_tolerance.rs
@@ -54,7 +54,7 @@
 
     /// The fewest members of a set that is made where fewer stores stand than are wanted: with one more than
     /// the disks that may be lost, a copy of what all members hold outlives the loss.
-    pub const fn least_members(self) -> usize {
+    pub const fn minimum_members(self) -> usize {
         self.disks + 1
     }
 }
--- a/crates/core/src/replication/group.rs
+++ b/crates/core/src/replication/group.rs
@@ -19,7 +19,7 @@
     /// What is promised, decided and forgotten.
     pub position: LogPosition,
     /// The run of positions accepted under the promised ballot.
-    pub run: AcceptedRun,
+    pub run: AcceptedRange,
     /// Copyings into the next generation that are under way.
     pub copying: Vec<CopyProgress>,
 }
@@ -48,7 +48,7 @@
     /// Every position from `base` to this one is here with its decided entry.
     pub decided_through: LogIndex,
     /// Claims issued before this time, in milliseconds since the Unix epoch, may have been forgotten.
-    pub claims_forgotten_before_unix_ms: u64,
+    pub claims_removed_before_unix_ms: u64,
 }
 
 impl LogPosition {
@@ -57,12 +57,12 @@
     pub fn merged(self, other: Self) -> Self {
         let promised =
             if other.promised.epoch > self.promised.epoch { other.promised } else { self.promised };
-        let forgotten = self.claims_forgotten_before_unix_ms.max(other.claims_forgotten_before_unix_ms);
+        let forgotten = self.claims_removed_before_unix_ms.max(other.claims_removed_before_unix_ms);
         Self {
             promised,
             base: self.base.max(other.base),
             decided_through: self.decided_through.max(other.decided_through),
-            claims_forgotten_before_unix_ms: forgotten,
+            claims_removed_before_unix_ms: forgotten,
         }
     }
 
@@ -75,7 +75,7 @@
 /// Positions in a row that were accepted under the promised ballot: what the owner calls decided among them is
 /// decided with the entries that are here.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct AcceptedRun {
+pub struct AcceptedRange {
     /// The first.
     pub from: LogIndex,
     /// The last; less than `from` where there is none.
@@ -116,7 +116,7 @@
             set,
             phase,
             position: LogPosition::default(),
-            run: AcceptedRun { from: LogIndex::FIRST, through: LogIndex::ZERO },
+            run: AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO },
             copying: Vec::new(),
         }
     }
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -56,19 +56,19 @@
 ///
 /// A position can come to hold what an owner left at a minority, after positions of a later owner that knew
 /// nothing of it. Such a record was never acknowledged: had it been decided, the later owner would have found
-/// it, and its own records would lie behind it. With `skip_overtaken` it is left out, so that no record
+/// it, and its own records would lie behind it. With `skip_superseded` it is left out, so that no record
 /// follows one of a later owner.
 #[derive(Debug)]
 pub(crate) struct LogAssembler {
     parts: PartialSnapshot,
     latest_origin: Epoch,
-    skip_overtaken: bool,
+    skip_superseded: bool,
 }
 
 impl LogAssembler {
     /// Begins after entries of which the last was made under `latest_origin`.
-    pub fn new(latest_origin: Epoch, skip_overtaken: bool) -> Self {
-        Self { parts: PartialSnapshot::default(), latest_origin, skip_overtaken }
+    pub fn new(latest_origin: Epoch, skip_superseded: bool) -> Self {
+        Self { parts: PartialSnapshot::default(), latest_origin, skip_superseded }
     }
 
     /// The epoch of the last owner that appended.
@@ -79,7 +79,7 @@
     /// Takes the next entry.
     pub fn push(&mut self, payload: Payload) -> LogAddition {
         let origin = payload.origin().unwrap_or(self.latest_origin);
-        if self.skip_overtaken && origin < self.latest_origin {
+        if self.skip_superseded && origin < self.latest_origin {
             self.parts.discard();
             return LogAddition::Nothing;
         }
@@ -102,9 +102,9 @@
 pub fn assemble(
     payloads: impl IntoIterator<Item = Payload>,
     known: KnownLog,
-    skip_overtaken: bool,
+    skip_superseded: bool,
 ) -> RecoveredLog {
-    let mut assembler = LogAssembler::new(known.latest_origin, skip_overtaken);
+    let mut assembler = LogAssembler::new(known.latest_origin, skip_superseded);
     let mut recovered = RecoveredLog::default();
     for payload in payloads {
         match assembler.push(payload) {
--- a/crates/core/src/replication/memory_storage.rs
+++ b/crates/core/src/replication/memory_storage.rs
@@ -73,7 +73,7 @@
         let mut budget = PageBudget::new(maximum_bytes);
         let entries = self.cached.entries.get(shard);
         for (index, entry) in entries.into_iter().flat_map(|entries| entries.range(from..)) {
-            if !budget.takes(entry.cost()) {
+            if !budget.try_add(entry.cost()) {
                 break;
             }
             page.push(IndexedEntry { index: *index, entry: entry.clone() });
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -70,7 +70,7 @@
     /// Where fewer stores answer than the smallest set has members.
     pub fn first_set(&self, shard: &ShardId, candidates: &[SetMember]) -> Result<ReplicaSet, TooFewStores> {
         let members = self.choose(shard, candidates);
-        let needed = self.target.least_members();
+        let needed = self.target.minimum_members();
         if members.len() < needed {
             return Err(TooFewStores { live: members.len(), needed });
         }
--- a/crates/core/src/replication/proposer.rs
+++ b/crates/core/src/replication/proposer.rs
@@ -18,7 +18,7 @@
 
 use self::append::Truncation;
 pub use self::config::{ProposerChecks, ProposerConfig};
-pub use self::event::{AppendRefusal, EndReason, ProposerEvent, Transmit};
+pub use self::event::{AppendError, EndReason, ProposerEvent, Transmit};
 use super::ballot::{Ballot, ProposerId};
 use super::entry::LogIndex;
 use super::log::{KnownLog, RecoveredLog};
--- a/crates/core/src/replication/proposer/append.rs
+++ b/crates/core/src/replication/proposer/append.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a position is called decided only once a majority has it on disk.
 
-use super::{AppendRefusal, Phase, Proposer, ProposerEvent};
+use super::{AppendError, Phase, Proposer, ProposerEvent};
 use crate::replication::entry::{ENTRY_OVERHEAD_BYTES, LogIndex, Payload};
 use crate::replication::log::split_snapshot;
 use crate::replication::member_progress::MemberProgress;
@@ -24,12 +24,12 @@
     ///
     /// # Errors
     /// When the proposer does not lead or the disks are full; nothing was sent then.
-    pub fn append(&mut self, records: Vec<Vec<u8>>) -> Result<LogIndex, AppendRefusal> {
+    pub fn append(&mut self, records: Vec<Vec<u8>>) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         let bytes: usize = records.iter().map(|record| record.len() + ENTRY_OVERHEAD_BYTES).sum();
         let with_room = self.members.values().filter(|member| member.has_room(bytes as u64)).count();
         if with_room < majority(self.members.len()) {
-            return Err(AppendRefusal::DiskFull);
+            return Err(AppendError::DiskFull);
         }
         for record in records {
             self.window.push(Payload::Record { origin: self.ballot.epoch, bytes: record });
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// When the proposer does not lead.
-    pub fn append_next_set(&mut self, set: ReplicaSet) -> Result<LogIndex, AppendRefusal> {
+    pub fn append_next_set(&mut self, set: ReplicaSet) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         self.window.push(Payload::NextSet { origin: self.ballot.epoch, set });
         Ok(self.window.last())
@@ -57,10 +57,10 @@
     ///
     /// # Errors
     /// When the proposer does not lead, or something that it appended is not decided.
-    pub fn continue_in(&mut self, next: ReplicaSet) -> Result<LogIndex, AppendRefusal> {
+    pub fn continue_in(&mut self, next: ReplicaSet) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         if self.window.last() > self.decided_through {
-            return Err(AppendRefusal::Undecided);
+            return Err(AppendError::Undecided);
         }
         let known = self.decided_through;
         let stays = |store: &StoreId| self.members.get(store);
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// When the proposer does not lead. A full disk is no hindrance: room is kept back for snapshots.
-    pub fn compact(&mut self, snapshot: &[u8]) -> Result<LogIndex, AppendRefusal> {
+    pub fn compact(&mut self, snapshot: &[u8]) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         let first = self.window.last().next();
         for part in split_snapshot(snapshot, self.config.maximum_batch_bytes, self.ballot.epoch) {
@@ -98,10 +98,10 @@
         Ok(self.window.last())
     }
 
-    fn check_leading(&self) -> Result<(), AppendRefusal> {
+    fn check_leading(&self) -> Result<(), AppendError> {
         match self.phase {
             Phase::Leading => Ok(()),
-            _ => Err(AppendRefusal::NotLeading),
+            _ => Err(AppendError::NotLeading),
         }
     }
 
--- a/crates/core/src/replication/proposer/config.rs
+++ b/crates/core/src/replication/proposer/config.rs
@@ -12,7 +12,7 @@
     /// Bytes of decided entries kept for replicas that are behind; older ones are left to their repair.
     pub window_bytes: usize,
     /// How often a higher epoch met while preparing is outbid before the other proposer is let through.
-    pub maximum_raises: u32,
+    pub maximum_epoch_raises: u32,
 }
 
 impl Default for ProposerConfig {
@@ -26,7 +26,7 @@
             // Less sends stores that were away for a moment to the slower repair, more takes memory for each log.
             window_bytes: 8 << 20,
             // Fewer gives up against an owner that is gone, more lets two proposers outbid each other for longer.
-            maximum_raises: 3,
+            maximum_epoch_raises: 3,
         }
     }
 }
@@ -39,13 +39,13 @@
     /// Call a position decided only once a majority has it.
     pub wait_for_majority: bool,
     /// Leave out records that a later owner overtook before they were decided.
-    pub skip_overtaken: bool,
+    pub skip_superseded: bool,
     /// Go on under the same ballot in the next set, instead of asking for the shard anew.
     pub keep_ballot: bool,
 }
 
 impl Default for ProposerChecks {
     fn default() -> Self {
-        Self { recover: true, wait_for_majority: true, skip_overtaken: true, keep_ballot: true }
+        Self { recover: true, wait_for_majority: true, skip_superseded: true, keep_ballot: true }
     }
 }
--- a/crates/core/src/replication/proposer/event.rs
+++ b/crates/core/src/replication/proposer/event.rs
@@ -50,7 +50,7 @@
 
 /// Why records were not taken; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AppendRefusal {
+pub enum AppendError {
     /// The proposer does not lead: still taking over, or ended.
     #[error("the shard is not taken over; wait for it or take it over again")]
     NotLeading,
--- a/crates/core/src/replication/proposer/take_over.rs
+++ b/crates/core/src/replication/proposer/take_over.rs
@@ -58,7 +58,7 @@
             member.start_from(log.decided_through);
         }
         let payloads = log.decided.into_iter().chain(log.undecided);
-        let recovered = assemble(payloads, self.known, self.checks.skip_overtaken);
+        let recovered = assemble(payloads, self.known, self.checks.skip_superseded);
         self.phase = Phase::Confirming { through: self.window.last(), recovered };
         self.finish_confirming();
     }
@@ -89,7 +89,7 @@
     /// Another proposer is ahead: outbid it while preparing, since its epoch may be an old one; stop afterwards.
     pub(super) fn outbid(&mut self, highest: Epoch) {
         match &mut self.phase {
-            Phase::Preparing { raises } if *raises < self.config.maximum_raises => {
+            Phase::Preparing { raises } if *raises < self.config.maximum_epoch_raises => {
                 *raises += 1;
                 self.ballot.epoch = highest.next();
                 for member in self.members.values_mut() {
--- a/crates/core/src/replication/reconfigurer.rs
+++ b/crates/core/src/replication/reconfigurer.rs
@@ -54,7 +54,7 @@
     /// All of the next set takes part in it.
     Complete,
     /// A still later set is known: this change was finished before.
-    Overtaken(ReplicaSet),
+    AlreadyReplaced(ReplicaSet),
     /// The owner for whom it was run was superseded: nothing more is sent.
     Superseded {
         /// The epoch of the owner that is ahead.
@@ -201,7 +201,7 @@
         match refusal {
             StoreRefusal::NewerGeneration { current } if current == self.next => self.found_installed(store),
             StoreRefusal::NewerGeneration { current } if current.generation > self.next.generation => {
-                self.end(ReconfigurerEvent::Overtaken(current));
+                self.end(ReconfigurerEvent::AlreadyReplaced(current));
             }
             StoreRefusal::NotInstalled if self.may_begin_old => self.not_installed(store),
             StoreRefusal::OutOfOrder => {
--- a/crates/core/src/replication/storage.rs
+++ b/crates/core/src/replication/storage.rs
@@ -117,7 +117,7 @@
     }
 
     /// Counts an entry of these bytes; `false` where the page ends before it.
-    pub const fn takes(&mut self, bytes: usize) -> bool {
+    pub const fn try_add(&mut self, bytes: usize) -> bool {
         let is_first = self.used_bytes == 0;
         self.used_bytes = self.used_bytes.saturating_add(bytes);
         is_first || self.used_bytes <= self.maximum_bytes
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -5,7 +5,7 @@
 use super::acceptor::AcceptorChecks;
 use super::claims;
 use super::entry::{IndexedEntry, LogIndex};
-use super::group::{AcceptedRun, CopyProgress, GroupPhase, GroupRecord, LogPosition, SourceProgress};
+use super::group::{AcceptedRange, CopyProgress, GroupPhase, GroupRecord, LogPosition, SourceProgress};
 use super::message::{
     CopiedSource, CopyPage, Install, InstallBasis, PagePosition, ReplicaAnswer, StatePage, StoreRefusal,
     TransferId,
@@ -120,13 +120,13 @@
     }
     // What was accepted under a ballot that is still the highest one stays what its owner proposed.
     if record.position.promised != promised {
-        record.run = AcceptedRun { from: LogIndex::FIRST, through: LogIndex::ZERO };
+        record.run = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
     }
     record.set = install.set;
     record.phase = GroupPhase::Active;
     record.copying.clear();
     storage.remove_entries_before(shard, record.position.first())?;
-    storage.remove_claims_issued_before(shard, record.position.claims_forgotten_before_unix_ms)?;
+    storage.remove_claims_issued_before(shard, record.position.claims_removed_before_unix_ms)?;
     storage.put_group(shard, &record)?;
     Ok(ReplicaAnswer::Installed(generation))
 }
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -17,7 +17,7 @@
 use lichenpulley_core::replication::claims::{ClaimRecord, ClaimVote};
 use lichenpulley_core::replication::entry::{Entry, IndexedEntry, LogIndex, Payload};
 use lichenpulley_core::replication::group::{
-    AcceptedRun, CopyProgress, GroupPhase, GroupRecord, LogPosition, SourceProgress,
+    AcceptedRange, CopyProgress, GroupPhase, GroupRecord, LogPosition, SourceProgress,
 };
 use lichenpulley_core::replication::message::{
     Accept, ClaimRequest, ClaimedRequest, CopiedSource, CopyPage, Install, InstallBasis, Operation,
@@ -93,7 +93,7 @@
         promised: ballot(),
         base: LogIndex(2),
         decided_through: LogIndex(9),
-        claims_forgotten_before_unix_ms: 1_700_000_000_000,
+        claims_removed_before_unix_ms: 1_700_000_000_000,
     }
 }
 
@@ -215,7 +215,7 @@
         set: set(1),
         phase,
         position: position(),
-        run: AcceptedRun { from: LogIndex(3), through: LogIndex(9) },
+        run: AcceptedRange { from: LogIndex(3), through: LogIndex(9) },
         copying: vec![progress.clone()],
     };
     check(&record(GroupPhase::Active), STORED[0]);
--- a/crates/core/tests/overtaken_records.rs
+++ b/crates/core/tests/overtaken_records.rs
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_record_left_behind_comes_back_without_the_check() {
-    let checks = ProposerChecks { skip_overtaken: false, ..ProposerChecks::default() };
+    let checks = ProposerChecks { skip_superseded: false, ..ProposerChecks::default() };
     let expected = ["kept", "kept by the second", "left behind too"];
     assert_eq!(third_owner_recovers(checks), expected);
 }
--- a/crates/core/tests/replication_placement.rs
+++ b/crates/core/tests/replication_placement.rs
@@ -214,7 +214,7 @@
         let size = ToleranceTarget::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
         let (policy, candidates) = (layout.policy(size, home), layout.stores());
         let Ok(set) = policy.first_set(&ShardId::new("batch/main"), &candidates) else {
-            prop_assert!(candidates.len() < size.least_members());
+            prop_assert!(candidates.len() < size.minimum_members());
             return Ok(());
         };
         let counts = layout.counts(&set);
--- a/crates/core/tests/replication_reconfiguration.rs
+++ b/crates/core/tests/replication_reconfiguration.rs
@@ -173,7 +173,7 @@
 
     let later = NOW_UNIX_MS + 3_600_000;
     let (acceptor, storage) = stores.acceptors.get_mut(&StoreId::new("a")).expect("a store");
-    let Ok(()) = acceptor.forget_expired_claims(storage, later, &set.shard);
+    let Ok(()) = acceptor.remove_expired_claims(storage, later, &set.shard);
     // The clock is back where it was, and the claim is gone: granting now would be granting twice.
     assert_eq!(vote(stores.claim(&set, "a", "other", NOW_UNIX_MS)), ClaimVote::Expired);
 }
@@ -251,7 +251,7 @@
     stores.own(&set, "first", &[b"one", b"two"]).expect("taken over");
     // Positions count from 1: the first owner's records are 1 and 2.
     stores.own(&set, "second", &[b"three"]).expect("taken over");
-    let config = ProposerConfig { maximum_raises: 10, ..ProposerConfig::default() };
+    let config = ProposerConfig { maximum_epoch_raises: 10, ..ProposerConfig::default() };
     let known = LogIndex(2);
     let mut proposer = Proposer::new(set, ProposerId::new("third"), Epoch(1), config)
         .with_known(KnownLog { through: known, ..KnownLog::default() });
--- a/crates/core/tests/replication_same_ballot.rs
+++ b/crates/core/tests/replication_same_ballot.rs
@@ -99,8 +99,10 @@
                     self.append();
                 }
                 ReconfigurerEvent::Installed | ReconfigurerEvent::Complete => self.begin_anew(&next),
-                ReconfigurerEvent::Overtaken(later) if !self.leads => self.begin_anew(&later),
-                ReconfigurerEvent::Overtaken(_) | ReconfigurerEvent::Superseded { .. } => self.ended = true,
+                ReconfigurerEvent::AlreadyReplaced(later) if !self.leads => self.begin_anew(&later),
+                ReconfigurerEvent::AlreadyReplaced(_) | ReconfigurerEvent::Superseded { .. } => {
+                    self.ended = true
+                }
             }
         }
     }
@@ -193,7 +195,7 @@
 fn proposer(name: &str, set: &ReplicaSet, at_least: Epoch, checks: ProposerChecks) -> Proposer {
     let config = ProposerConfig {
         retransmit_after: RETRANSMIT_AFTER,
-        maximum_raises: 10,
+        maximum_epoch_raises: 10,
         ..ProposerConfig::default()
     };
     Proposer::new(set.clone(), ProposerId::new(name), at_least, config).with_checks(checks)
--- a/crates/core/tests/replication_support/mod.rs
+++ b/crates/core/tests/replication_support/mod.rs
@@ -53,7 +53,7 @@
 
     /// Takes the shard over and appends; gives what was found, or nothing where it did not get that far.
     pub fn own(&mut self, set: &ReplicaSet, owner: &str, records: &[&[u8]]) -> Option<Vec<Vec<u8>>> {
-        let config = ProposerConfig { maximum_raises: 10, ..ProposerConfig::default() };
+        let config = ProposerConfig { maximum_epoch_raises: 10, ..ProposerConfig::default() };
         let mut proposer = Proposer::new(set.clone(), ProposerId::new(owner), Epoch(1), config);
         let mut found = None;
         while let Some(transmit) = proposer.poll_transmit(Timestamp::ORIGIN) {
--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -174,7 +174,7 @@
     /// replaced since.
     async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<ObservedLeader>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
-        let least = context.settings.store.set_size.least_members();
+        let least = context.settings.store.set_size.minimum_members();
         let needed_of = |set: Option<&ReplicaSet>| set.map_or(least, ReplicaSet::majority);
         let mut set = replica_sets::find_among_stores(context, shard).await;
         if set.is_some() && answers.counted(set.as_ref()).len() < needed_of(set.as_ref()) {
--- a/crates/daemon/src/ownership/scope.rs
+++ b/crates/daemon/src/ownership/scope.rs
@@ -93,7 +93,7 @@
         let (coordinators, stores) = (self.coordinators().len(), self.stores().len());
         let stands = self.known_owner().is_some() || self.context.replica_sets.get(&self.shard).is_some();
         // What a set that stands has lost is for its owner to replace.
-        let needed = if stands { 1 } else { self.context.settings.store.set_size.least_members() };
+        let needed = if stands { 1 } else { self.context.settings.store.set_size.minimum_members() };
         (coordinators == 0 || stores < needed).then_some(Shortage { coordinators, stores, needed })
     }
 
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -8,7 +8,7 @@
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{AttemptId, RequestId, ShardId};
-use lichenpulley_core::replication::claim_tally::{ClaimTally, ClaimVerdict};
+use lichenpulley_core::replication::claim_tally::{ClaimTally, TallyResult};
 use lichenpulley_core::replication::message::{
     ClaimRequest, Operation, ReplicaAnswer, ReplicaRequest, StoreRefusal,
 };
@@ -140,11 +140,11 @@
             }
             _ => send_after(VOTE_RETRY_PAUSE, &exchange, set, &store, &operations),
         }
-        match tally.verdict() {
-            ClaimVerdict::Granted => return Votes::Decided(ClaimOutcome::Granted),
-            ClaimVerdict::Held => return Votes::Decided(ClaimOutcome::Held),
-            ClaimVerdict::OutsideWindow => return Votes::Decided(ClaimOutcome::Expired),
-            ClaimVerdict::Open => {}
+        match tally.result() {
+            TallyResult::Granted => return Votes::Decided(ClaimOutcome::Granted),
+            TallyResult::Held => return Votes::Decided(ClaimOutcome::Held),
+            TallyResult::OutsideWindow => return Votes::Decided(ClaimOutcome::Expired),
+            TallyResult::Pending => {}
         }
     }
 }
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -246,7 +246,7 @@
             Some(ReconfigurerEvent::Installed) if extent == Extent::Majority => return Ok(None),
             Some(ReconfigurerEvent::Installed) => has_majority = true,
             Some(ReconfigurerEvent::Complete) => return Ok(None),
-            Some(ReconfigurerEvent::Overtaken(later)) => return Ok(Some(later)),
+            Some(ReconfigurerEvent::AlreadyReplaced(later)) => return Ok(Some(later)),
             Some(ReconfigurerEvent::Superseded { highest }) => {
                 return Err(ReconfigurationError::Superseded { highest });
             }
--- a/crates/daemon/src/store/shard_log.rs
+++ b/crates/daemon/src/store/shard_log.rs
@@ -12,7 +12,7 @@
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{Epoch, ShardId};
 pub use lichenpulley_core::replication::log::{KnownLog, RecoveredLog};
-use lichenpulley_core::replication::proposer::{AppendRefusal, EndReason, Proposer};
+use lichenpulley_core::replication::proposer::{AppendError, EndReason, Proposer};
 use lichenpulley_core::replication::replica_set::ReplicaSet;
 use tokio::time::Instant;
 
@@ -88,15 +88,15 @@
         self.decide(through).await
     }
 
-    fn refused(&self, refusal: AppendRefusal) -> ShardLogError {
+    fn refused(&self, refusal: AppendError) -> ShardLogError {
         match refusal {
-            AppendRefusal::DiskFull => {
+            AppendError::DiskFull => {
                 let decision =
                     Decision::new(Component::Replication, "append_refused", "disk_full", &self.shard);
                 self.context.decisions.record(decision.with("epoch", self.epoch()));
                 ShardLogError::DiskFull { shard: self.shard.clone() }
             }
-            AppendRefusal::NotLeading | AppendRefusal::Undecided => self.no_majority(),
+            AppendError::NotLeading | AppendError::Undecided => self.no_majority(),
         }
     }
 
--- a/crates/daemon/src/store/transaction.rs
+++ b/crates/daemon/src/store/transaction.rs
@@ -134,7 +134,7 @@
         for row in self.entries.range((shard.as_str(), from.0)..=(shard.as_str(), u64::MAX))? {
             let (key, value) = row?;
             let entry: Entry = decode(value.value())?;
-            if !budget.takes(entry.cost()) {
+            if !budget.try_add(entry.cost()) {
                 break;
             }
             entries.push(IndexedEntry { index: LogIndex(key.value().1), entry });
--- a/crates/daemon/src/store/worker.rs
+++ b/crates/daemon/src/store/worker.rs
@@ -226,7 +226,7 @@
         }
         Work::ForgetExpiredClaims => {
             for shard in transaction.shards()? {
-                acceptor.forget_expired_claims(transaction, now_unix_ms, &shard)?;
+                acceptor.remove_expired_claims(transaction, now_unix_ms, &shard)?;
             }
             Ok(Done::Forgotten)
         }
--- a/crates/lab/src/simulations/replication/change.rs
+++ b/crates/lab/src/simulations/replication/change.rs
@@ -82,7 +82,7 @@
                 }
                 ReconfigurerEvent::Installed => self.installed = true,
                 ReconfigurerEvent::Complete => return Some(ChangeEnd::InForce(next)),
-                ReconfigurerEvent::Overtaken(set) => {
+                ReconfigurerEvent::AlreadyReplaced(set) => {
                     return Some(ChangeEnd::InForce(set));
                 }
                 ReconfigurerEvent::Superseded { .. } => return Some(ChangeEnd::GivenUp),
--- a/crates/lab/src/simulations/replication/claimant.rs
+++ b/crates/lab/src/simulations/replication/claimant.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::{AttemptId, RequestId, ShardId};
-use lichenpulley_core::replication::claim_tally::{ClaimTally, ClaimVerdict};
+use lichenpulley_core::replication::claim_tally::{ClaimTally, TallyResult};
 use lichenpulley_core::replication::message::{
     ClaimRequest, Operation, ReplicaAnswer, ReplicaRequest, ReplicaResponse, StoreRefusal,
 };
@@ -154,9 +154,9 @@
                 if request == claiming.claim.request && attempt == claiming.claim.attempt =>
             {
                 claiming.tally.add(&response.store, &vote);
-                match claiming.tally.verdict() {
-                    ClaimVerdict::Open => {}
-                    verdict => self.finish(now, verdict == ClaimVerdict::Granted),
+                match claiming.tally.result() {
+                    TallyResult::Pending => {}
+                    verdict => self.finish(now, verdict == TallyResult::Granted),
                 }
             }
             ReplicaAnswer::Refused(StoreRefusal::SealedFor { next }) => self.replaced(now, next),
--- a/crates/lab/src/simulations/replication/store.rs
+++ b/crates/lab/src/simulations/replication/store.rs
@@ -156,7 +156,7 @@
         let groups: Vec<GroupRecord> = self.disk.groups().cloned().collect();
         let unix_ms = self.unix_ms(now);
         for group in groups {
-            let Ok(()) = self.acceptor.forget_expired_claims(&mut self.disk, unix_ms, &group.set.shard);
+            let Ok(()) = self.acceptor.remove_expired_claims(&mut self.disk, unix_ms, &group.set.shard);
             if group.phase == GroupPhase::Active {
                 self.ask_for_repair(&group, outbox);
             }
--- a/crates/lab/tests/replication_linearizability.rs
+++ b/crates/lab/tests/replication_linearizability.rs
@@ -185,7 +185,7 @@
 #[test]
 fn without_refusing_forgotten_ids_a_history_is_not_linearizable() {
     let mut mechanisms = Mechanisms::default();
-    mechanisms.acceptor.refuse_forgotten_claims = false;
+    mechanisms.acceptor.refuse_expired_claims = false;
     let mut runs = SEEDS.map(|seed| simulate(seed, mechanisms));
     assert!(runs.any(|report| !is_linearizable(&report)));
 }
--- a/crates/lab/tests/simulate_replication.rs
+++ b/crates/lab/tests/simulate_replication.rs
@@ -64,7 +64,7 @@
 #[test]
 fn without_refusing_forgotten_ids_a_request_is_granted_twice() {
     let mut mechanisms = Mechanisms::default();
-    mechanisms.acceptor.refuse_forgotten_claims = false;
+    mechanisms.acceptor.refuse_expired_claims = false;
     violation_without(mechanisms);
 }
 
