--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -32,7 +32,7 @@
         /// How it is known that a majority of the quorum set holds it.
         confirmation: Confirmation,
     },
-    /// Read the platform once and hand the document to [`Disseminator::read_from_platform`].
+    /// Read the platform once and hand the document to [`Disseminator::receive_platform_document`].
     ReadOnce,
     /// Keep watching the platform, and hand over each document.
     StartReading,
@@ -134,7 +134,7 @@
     }
 
     /// A heartbeat says that a revision is in force on a member.
-    pub fn note_announcement(&mut self, revision: Revision, holder: NodeId, now: Timestamp) {
+    pub fn receive_announcement(&mut self, revision: Revision, holder: NodeId, now: Timestamp) {
         if self.announced.as_ref().is_some_and(|(highest, _)| *highest > revision) {
             return;
         }
@@ -143,7 +143,7 @@
     }
 
     /// The platform gave this document, by a read that began after this node had started, or by a write.
-    pub fn read_from_platform(&mut self, document: Document, now: Timestamp) {
+    pub fn receive_platform_document(&mut self, document: Document, now: Timestamp) {
         let revision = document.revision();
         if self.is_news(revision) || self.is_unconfirmed(revision) {
             self.gather(Arc::new(document), now);
@@ -157,7 +157,7 @@
             Message::Query => self.send_holds(from, now),
             Message::Holds { revision, settled } => self.receive_holds(from, revision, settled),
             Message::Offer { revision } => self.receive_offer(from, revision, now),
-            Message::Announce { revision } => return self.note_announcement(revision, from, now),
+            Message::Announce { revision } => return self.receive_announcement(revision, from, now),
             Message::Pull { after, offered } => self.answer_pull(from, after, offered, now),
             Message::Update { update, in_force } => self.receive_update(from, update, in_force, now),
         }
--- a/crates/core/src/configuration/dissemination/pull.rs
+++ b/crates/core/src/configuration/dissemination/pull.rs
@@ -101,6 +101,6 @@
         let staged = self.staged.as_ref().map(|staged| staged.document.as_ref());
         let in_force = self.in_force.as_deref();
         let bases = [staged, in_force, Some(&empty)].into_iter().flatten();
-        bases.filter_map(|base| base.updated(update.clone()).ok()).next()
+        bases.filter_map(|base| base.with_update(update.clone()).ok()).next()
     }
 }
--- a/crates/core/src/configuration/document.rs
+++ b/crates/core/src/configuration/document.rs
@@ -101,7 +101,7 @@
 
     /// The document after some changes, at a later revision.
     #[must_use]
-    pub fn changed(&self, revision: Revision, changes: Vec<EntryChange>) -> Self {
+    pub fn with_changes(&self, revision: Revision, changes: Vec<EntryChange>) -> Self {
         let mut next = self.clone();
         next.append(ChangeRecord { base: self.revision, revision, changes });
         next
@@ -109,12 +109,12 @@
 
     /// The document with exactly these entries, at a later revision; what differs is remembered as changes.
     #[must_use]
-    pub fn replaced(&self, revision: Revision, entries: &BTreeMap<String, String>) -> Self {
+    pub fn with_entries(&self, revision: Revision, entries: &BTreeMap<String, String>) -> Self {
         let set = entries.iter().filter(|(key, value)| self.entries.get(*key) != Some(value));
         let set = set.map(|(key, value)| EntryChange { key: key.clone(), value: Some(value.clone()) });
         let removed = self.entries.keys().filter(|key| !entries.contains_key(*key));
         let removed = removed.map(|key| EntryChange { key: key.clone(), value: None });
-        self.changed(revision, set.chain(removed).collect())
+        self.with_changes(revision, set.chain(removed).collect())
     }
 
     /// What brings a copy at `after` up to date; `None` where it is not behind.
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// When a delta does not fit this copy.
-    pub fn updated(&self, update: Update) -> Result<Self, UpdateError> {
+    pub fn with_update(&self, update: Update) -> Result<Self, UpdateError> {
         let (records, digest) = match update {
             Update::Snapshot(document) => return Ok(document),
             Update::Delta { records, digest } => (records, digest),
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -133,7 +133,7 @@
         }
         let mut next = self.clone();
         let revision = current.next();
-        next.document = self.document.changed(revision, vec![entry]);
+        next.document = self.document.with_changes(revision, vec![entry]);
         let change_id = change.change_id.clone();
         next.applied.push_back(AppliedChange { change_id, revision, fingerprint: change.fingerprint() });
         if next.applied.len() > REMEMBERED_CHANGE_IDS {
--- a/crates/core/src/membership/detect.rs
+++ b/crates/core/src/membership/detect.rs
@@ -13,8 +13,8 @@
 
 use super::event::Cause;
 use super::machine::Membership;
-use super::member::Standing;
-use super::message::{Body, ClaimedStanding};
+use super::member::MemberState;
+use super::message::{Body, ClaimedState};
 use super::probe::{PendingProbe, Turn, TurnReason};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -63,7 +63,7 @@
                 peers.map(|record| record.info.node.clone()).collect()
             };
             let turn = self.order.next(&mut self.random, candidates)?;
-            let record = self.table.get(&turn.node).filter(|record| record.claim.standing.is_live());
+            let record = self.table.get(&turn.node).filter(|record| record.claim.state.is_live());
             if let Some(record) = record {
                 return Some((turn, record.info.address));
             }
@@ -99,12 +99,12 @@
     fn end_unanswered_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.pending.take() else { return };
         self.counters.probes_unanswered += 1;
-        let standing = self.table.get(&probe.target).map(|record| record.claim.standing);
-        if standing == Some(Standing::Alive) && probe.is_second {
+        let state = self.table.get(&probe.target).map(|record| record.claim.state);
+        if state == Some(MemberState::Alive) && probe.is_second {
             self.counters.suspicions_raised += 1;
-            self.declare(now, &probe.target, ClaimedStanding::Suspect, Cause::ProbeUnanswered);
+            self.declare(now, &probe.target, ClaimedState::Suspect, Cause::ProbeUnanswered);
         }
-        if standing.is_some_and(Standing::is_live) {
+        if state.is_some_and(MemberState::is_live) {
             self.order.probe_again(&probe.target);
         }
     }
--- a/crates/core/src/membership/documents.rs
+++ b/crates/core/src/membership/documents.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use super::event::HeardRevision;
+use super::event::AnnouncedRevision;
 use super::message::DocumentRevision;
 use crate::identity::{NodeId, Revision};
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Documents {
     held: BTreeMap<String, Revision>,
-    announced: BTreeMap<String, HeardRevision>,
+    announced: BTreeMap<String, AnnouncedRevision>,
 }
 
 impl Documents {
@@ -73,11 +73,11 @@
         if is_new && !has_room {
             return false;
         }
-        self.announced.insert(document.to_owned(), HeardRevision { revision, holder: sender.clone() });
+        self.announced.insert(document.to_owned(), AnnouncedRevision { revision, holder: sender.clone() });
         true
     }
 
-    pub(super) fn announced(&self) -> &BTreeMap<String, HeardRevision> {
+    pub(super) fn announced(&self) -> &BTreeMap<String, AnnouncedRevision> {
         &self.announced
     }
 }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -47,18 +47,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// A message of the member itself said so.
-    Itself,
+    SelfReported,
     /// Other members said so.
-    Members,
+    Gossip,
     /// It was in the list that this node got when it joined.
-    Listed,
+    JoinList,
     /// It answered neither this node's probe nor those of the members that this node asked.
     ProbeUnanswered,
     /// It did not refute the suspicion in time.
     SuspicionExpired,
     /// Another process claims this node's id with a later incarnation: an earlier run with a clock ahead, or a
     /// second node with the same id.
-    OtherLife,
+    DuplicateId,
 }
 
 impl EventKind {
@@ -80,19 +80,19 @@
     /// The word in the decision stream.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Itself => "said_itself",
-            Self::Members => "heard_from_members",
-            Self::Listed => "listed_at_join",
+            Self::SelfReported => "said_itself",
+            Self::Gossip => "heard_from_members",
+            Self::JoinList => "listed_at_join",
             Self::ProbeUnanswered => "probe_unanswered",
             Self::SuspicionExpired => "suspicion_expired",
-            Self::OtherLife => "id_in_use_elsewhere",
+            Self::DuplicateId => "id_in_use_elsewhere",
         }
     }
 }
 
 /// The highest revision of a document that was heard, and who holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardRevision {
+pub struct AnnouncedRevision {
     /// The revision.
     pub revision: Revision,
     /// A member that said it holds it.
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -11,8 +11,8 @@
 
 use super::config::{Config, ConfigError, MAX_NAME_BYTES};
 use super::documents::Documents;
-use super::event::{Counters, Event, HeardRevision};
-use super::member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing};
+use super::event::{AnnouncedRevision, Counters, Event};
+use super::member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, MemberState};
 use super::message::{Body, Message, Update};
 use super::probe::{PendingProbe, ProbeOrder, Relays};
 use super::repair::Join;
@@ -135,7 +135,7 @@
             transmits: VecDeque::new(),
             config,
         };
-        let claim = MemberClaim { incarnation, standing: Standing::Alive };
+        let claim = MemberClaim { incarnation, state: MemberState::Alive };
         membership.updates.push(Update::alive(&info, incarnation));
         membership.table.insert(MemberRecord { info, claim, since: now });
         Ok(membership)
@@ -220,11 +220,11 @@
     }
 
     /// The highest revision of each document that was heard.
-    pub fn heard_revisions(&self) -> &BTreeMap<String, HeardRevision> {
+    pub fn announced_revisions(&self) -> &BTreeMap<String, AnnouncedRevision> {
         self.documents.announced()
     }
 
-    /// Goes up whenever [`Self::heard_revisions`] changes.
+    /// Goes up whenever [`Self::announced_revisions`] changes.
     pub fn documents_version(&self) -> u64 {
         self.documents_version
     }
@@ -297,7 +297,7 @@
 
     fn mark_left(&mut self, now: Timestamp) {
         let Some(mut record) = self.table.get(&self.own).cloned() else { return };
-        record.claim.standing = Standing::Left;
+        record.claim.state = MemberState::Left;
         record.since = now;
         self.table.insert(record);
         self.view_version += 1;
@@ -309,13 +309,13 @@
     }
 
     fn is_alive(&self, node: &NodeId) -> bool {
-        self.table.get(node).is_some_and(|record| record.claim.standing == Standing::Alive)
+        self.table.get(node).is_some_and(|record| record.claim.state == MemberState::Alive)
     }
 
     /// The claim to tell a member that is not held to be alive.
     fn doubt_about(&self, receiver: &NodeId) -> Option<Update> {
         let record = self.table.get(receiver)?;
-        let in_doubt = record.claim.standing != Standing::Alive;
+        let in_doubt = record.claim.state != MemberState::Alive;
         in_doubt.then(|| Update::from_claim(&record.info, record.claim))
     }
 
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -23,7 +23,7 @@
 /// How a member stands. Of two claims with the same incarnation the later in this order counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// A probe failed; it still counts as live until it is declared failed.
@@ -34,7 +34,7 @@
     Left,
 }
 
-impl Standing {
+impl MemberState {
     /// Whether the member counts as live.
     pub(crate) const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
@@ -50,7 +50,7 @@
     /// Which run of the member, and which refutation in it, the claim is about.
     pub incarnation: Incarnation,
     /// How it stands.
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 /// Orders the runs of a node and its refutations in one run: starts at the Unix time in milliseconds and is
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -5,7 +5,7 @@
 use speedy::{LittleEndian, Readable, Writable};
 
 use super::config::MAX_NAME_BYTES;
-use super::member::{Incarnation, MemberClaim, MemberInfo, Standing, WireAddress};
+use super::member::{Incarnation, MemberClaim, MemberInfo, MemberState, WireAddress};
 use crate::identity::{NodeId, Revision, ZoneName};
 
 /// The first byte of every datagram; goes up when the encoding changes.
@@ -91,13 +91,13 @@
     /// The incarnation that the update is about.
     pub incarnation: Incarnation,
     /// How it stands.
-    pub standing: ClaimedStanding,
+    pub state: ClaimedState,
 }
 
 /// How a member stands, with what is needed to reach it where it is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
-pub enum ClaimedStanding {
+pub enum ClaimedState {
     /// It is alive.
     Alive {
         /// Its zone.
@@ -174,39 +174,39 @@
 impl Update {
     /// An update by which a member is alive.
     pub fn alive(info: &MemberInfo, incarnation: Incarnation) -> Self {
-        let standing = ClaimedStanding::Alive {
+        let state = ClaimedState::Alive {
             zone: info.zone.clone(),
             address: info.address.into(),
             attributes: info.attributes,
         };
-        Self { node: info.node.clone(), incarnation, standing }
+        Self { node: info.node.clone(), incarnation, state }
     }
 
     /// The claim about a member as an update.
     pub(crate) fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
-        let standing = match claim.standing {
-            Standing::Alive => return Self::alive(info, claim.incarnation),
-            Standing::Suspect => ClaimedStanding::Suspect,
-            Standing::Failed => ClaimedStanding::Failed,
-            Standing::Left => ClaimedStanding::Left,
+        let state = match claim.state {
+            MemberState::Alive => return Self::alive(info, claim.incarnation),
+            MemberState::Suspect => ClaimedState::Suspect,
+            MemberState::Failed => ClaimedState::Failed,
+            MemberState::Left => ClaimedState::Left,
         };
-        Self { node: info.node.clone(), incarnation: claim.incarnation, standing }
+        Self { node: info.node.clone(), incarnation: claim.incarnation, state }
     }
 
     /// The claim that the update makes.
     pub fn claim(&self) -> MemberClaim {
-        let standing = match self.standing {
-            ClaimedStanding::Alive { .. } => Standing::Alive,
-            ClaimedStanding::Suspect => Standing::Suspect,
-            ClaimedStanding::Failed => Standing::Failed,
-            ClaimedStanding::Left => Standing::Left,
+        let state = match self.state {
+            ClaimedState::Alive { .. } => MemberState::Alive,
+            ClaimedState::Suspect => MemberState::Suspect,
+            ClaimedState::Failed => MemberState::Failed,
+            ClaimedState::Left => MemberState::Left,
         };
-        MemberClaim { incarnation: self.incarnation, standing }
+        MemberClaim { incarnation: self.incarnation, state }
     }
 
     /// What the member says of itself, where the update carries it.
     pub fn info(&self) -> Option<MemberInfo> {
-        let ClaimedStanding::Alive { zone, address, attributes } = &self.standing else { return None };
+        let ClaimedState::Alive { zone, address, attributes } = &self.state else { return None };
         Some(MemberInfo {
             node: self.node.clone(),
             zone: zone.clone(),
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -33,7 +33,7 @@
 mod updates;
 
 pub use config::{Config, ConfigError, Mechanisms};
-pub use event::{Cause, Counters, Event, EventKind, HeardRevision};
+pub use event::{AnnouncedRevision, Cause, Counters, Event, EventKind};
 pub use machine::{Membership, StartError, Transmit};
-pub use member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, Standing, WireAddress};
-pub use message::{Body, ClaimedStanding, DecodeError, DocumentRevision, Message, Update};
+pub use member::{Incarnation, MemberClaim, MemberInfo, MemberRecord, MemberState, WireAddress};
+pub use message::{Body, ClaimedState, DecodeError, DocumentRevision, Message, Update};
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -6,8 +6,8 @@
 
 use super::event::Cause;
 use super::machine::Membership;
-use super::member::Standing;
-use super::message::{Body, ClaimedStanding, Message, Update};
+use super::member::MemberState;
+use super::message::{Body, ClaimedState, Message, Update};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
@@ -27,7 +27,7 @@
         self.hear_documents(&message);
         let mut corrections = Vec::new();
         for update in &message.updates {
-            let cause = if update.node == message.sender { Cause::Itself } else { Cause::Members };
+            let cause = if update.node == message.sender { Cause::SelfReported } else { Cause::Gossip };
             self.apply(now, update, cause);
             corrections.extend(self.correction_of(update));
         }
@@ -43,8 +43,8 @@
     /// hear of the refutation.
     fn correction_of(&self, update: &Update) -> Option<Update> {
         let known = self.table.get(&update.node)?;
-        let is_doubt = matches!(update.standing, ClaimedStanding::Suspect | ClaimedStanding::Failed);
-        let is_refuted = known.claim.standing == Standing::Alive && known.claim > update.claim();
+        let is_doubt = matches!(update.state, ClaimedState::Suspect | ClaimedState::Failed);
+        let is_refuted = known.claim.state == MemberState::Alive && known.claim > update.claim();
         (is_doubt && is_refuted).then(|| Update::from_claim(&known.info, known.claim))
     }
 
@@ -87,7 +87,7 @@
 
     fn hear_documents(&mut self, message: &Message) {
         let table = &self.table;
-        let is_live = |node: &_| table.get(node).is_some_and(|record| record.claim.standing.is_live());
+        let is_live = |node: &_| table.get(node).is_some_and(|record| record.claim.state.is_live());
         if self.documents.hear(&message.sender, &message.documents, is_live) {
             self.documents_version += 1;
         }
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -9,8 +9,8 @@
 
 use super::event::Cause;
 use super::machine::Membership;
-use super::member::{MemberRecord, Standing};
-use super::message::{Body, ClaimedStanding, Update};
+use super::member::{MemberRecord, MemberState};
+use super::message::{Body, ClaimedState, Update};
 use super::table::DIGEST_BUCKETS;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -109,7 +109,7 @@
         next: Option<NodeId>,
     ) {
         for entry in entries {
-            self.apply(now, entry, Cause::Listed);
+            self.apply(now, entry, Cause::JoinList);
         }
         if self.join.sequence != Some(sequence) {
             return;
@@ -197,7 +197,7 @@
     }
 
     fn try_failed_member(&mut self, now: Timestamp) {
-        let failed = self.table.with_standing(Standing::Failed).choose(&mut self.random);
+        let failed = self.table.with_state(MemberState::Failed).choose(&mut self.random);
         let Some((node, address)) = failed.map(|record| (record.info.node.clone(), record.info.address))
         else {
             return;
@@ -259,7 +259,7 @@
         };
         let is_better = |record: &&MemberRecord| match their_claim(record) {
             Some(claim) => bucket_entry(record).claim() > claim,
-            None => record.claim.standing.is_live(),
+            None => record.claim.state.is_live(),
         };
         let records = indexes.iter().flat_map(|index| self.table.bucket(*index));
         records.filter(is_better).map(bucket_entry).collect()
@@ -293,15 +293,15 @@
     /// holds the other's members for failed.
     fn apply_entry(&mut self, now: Timestamp, entry: &Update) {
         let known = self.table.get(&entry.node).map(|record| record.claim);
-        let claims_failure = entry.standing == ClaimedStanding::Failed;
+        let claims_failure = entry.state == ClaimedState::Failed;
         if claims_failure && entry.node != self.own {
-            let contradicts = known.is_some_and(|known| known.standing.is_live() && entry.claim() > known);
+            let contradicts = known.is_some_and(|known| known.state.is_live() && entry.claim() > known);
             if contradicts {
                 self.order.probe_claimed(entry.clone());
             }
             return;
         }
-        self.apply(now, entry, Cause::Members);
+        self.apply(now, entry, Cause::Gossip);
     }
 
     /// Sends a page in one datagram, or in more where a bucket has outgrown it.
@@ -328,8 +328,8 @@
 /// A member as it goes into a comparison: suspicions stay out of it.
 fn bucket_entry(record: &MemberRecord) -> Update {
     let mut claim = record.claim;
-    if claim.standing == Standing::Suspect {
-        claim.standing = Standing::Alive;
+    if claim.state == MemberState::Suspect {
+        claim.state = MemberState::Alive;
     }
     Update::from_claim(&record.info, claim)
 }
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -6,8 +6,8 @@
 
 use super::event::{Cause, Event, EventKind};
 use super::machine::Membership;
-use super::member::{Incarnation, MemberClaim, Standing};
-use super::message::{ClaimedStanding, Update};
+use super::member::{Incarnation, MemberClaim, MemberState};
+use super::message::{ClaimedState, Update};
 use super::table::Applied;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -36,7 +36,7 @@
 
     fn added(&mut self, update: &Update, cause: Cause) {
         // What stands in the list of a seed is known to the others.
-        if cause != Cause::Listed {
+        if cause != Cause::JoinList {
             self.updates.push(update.clone());
         }
         self.order.insert(&mut self.random, update.node.clone());
@@ -48,33 +48,33 @@
         now: Timestamp,
         update: &Update,
         cause: Cause,
-        (previous, after): (Standing, Duration),
+        (previous, after): (MemberState, Duration),
         info_changed: bool,
     ) {
         self.updates.push(update.clone());
         self.suspicions.remove(&update.node);
-        let standing = update.claim().standing;
-        if standing == Standing::Suspect {
+        let state = update.claim().state;
+        if state == MemberState::Suspect {
             let expires_at = now + self.config.suspicion_timeout(self.table.live_count());
             self.suspicions.insert(update.node.clone(), Suspicion { expires_at });
         }
-        if standing.is_live() && !previous.is_live() {
+        if state.is_live() && !previous.is_live() {
             return self.rejoined(now, update, cause, after);
         }
-        match standing {
-            Standing::Alive if info_changed => {
+        match state {
+            MemberState::Alive if info_changed => {
                 self.changed_view(update, EventKind::Changed, cause, None);
             }
-            Standing::Alive if previous == Standing::Suspect => {
+            MemberState::Alive if previous == MemberState::Suspect => {
                 self.report(update, EventKind::Refuted, cause, Some(after));
             }
-            Standing::Alive => {}
-            Standing::Suspect => self.report(update, EventKind::Suspected, cause, None),
-            Standing::Failed => {
-                let suspected_for = (previous == Standing::Suspect).then_some(after);
+            MemberState::Alive => {}
+            MemberState::Suspect => self.report(update, EventKind::Suspected, cause, None),
+            MemberState::Failed => {
+                let suspected_for = (previous == MemberState::Suspect).then_some(after);
                 self.changed_view(update, EventKind::Failed, cause, suspected_for);
             }
-            Standing::Left => self.changed_view(update, EventKind::Left, cause, None),
+            MemberState::Left => self.changed_view(update, EventKind::Left, cause, None),
         }
     }
 
@@ -98,13 +98,13 @@
         let refutation = Update::alive(&record.info, incarnation);
         let own_record = super::member::MemberRecord {
             info: record.info.clone(),
-            claim: MemberClaim { incarnation, standing: Standing::Alive },
+            claim: MemberClaim { incarnation, state: MemberState::Alive },
             since: now,
         };
         self.table.insert(own_record);
         self.updates.push(refutation.clone());
-        let is_other_life = matches!(update.standing, ClaimedStanding::Alive { .. });
-        let cause = if is_other_life { Cause::OtherLife } else { Cause::Members };
+        let is_other_life = matches!(update.state, ClaimedState::Alive { .. });
+        let cause = if is_other_life { Cause::DuplicateId } else { Cause::Gossip };
         self.report(&refutation, EventKind::Refuted, cause, None);
     }
 
@@ -124,15 +124,15 @@
             .collect();
         for node in expired {
             self.suspicions.remove(&node);
-            self.declare(now, &node, ClaimedStanding::Failed, Cause::SuspicionExpired);
+            self.declare(now, &node, ClaimedState::Failed, Cause::SuspicionExpired);
             self.counters.failures_declared += 1;
         }
     }
 
     /// Makes a claim about a member at the incarnation that is known of it.
-    pub(super) fn declare(&mut self, now: Timestamp, node: &NodeId, standing: ClaimedStanding, cause: Cause) {
+    pub(super) fn declare(&mut self, now: Timestamp, node: &NodeId, state: ClaimedState, cause: Cause) {
         let Some(record) = self.table.get(node) else { return };
-        let update = Update { node: node.clone(), incarnation: record.claim.incarnation, standing };
+        let update = Update { node: node.clone(), incarnation: record.claim.incarnation, state };
         self.apply(now, &update, cause);
     }
 
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::member::{MemberClaim, MemberRecord, Standing};
+use super::member::{MemberClaim, MemberRecord, MemberState};
 use super::message::Update;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -34,7 +34,7 @@
     /// A greater claim about a known member.
     Raised {
         /// How it stood before.
-        previous: Standing,
+        previous: MemberState,
         /// When it began to stand so.
         since: Timestamp,
         /// Whether its address or attributes changed.
@@ -44,9 +44,9 @@
 
 impl MemberTable {
     pub(super) fn insert(&mut self, record: MemberRecord) {
-        let is_live = record.claim.standing.is_live();
+        let is_live = record.claim.state.is_live();
         let previous = self.records.insert(record.info.node.clone(), record);
-        let was_live = previous.is_some_and(|previous| previous.claim.standing.is_live());
+        let was_live = previous.is_some_and(|previous| previous.claim.state.is_live());
         self.count_change(was_live, is_live);
     }
 
@@ -59,11 +59,11 @@
     }
 
     pub(super) fn live(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.records.values().filter(|record| record.claim.standing.is_live())
+        self.records.values().filter(|record| record.claim.state.is_live())
     }
 
-    pub(super) fn with_standing(&self, standing: Standing) -> impl Iterator<Item = &MemberRecord> {
-        self.records.values().filter(move |record| record.claim.standing == standing)
+    pub(super) fn with_state(&self, state: MemberState) -> impl Iterator<Item = &MemberRecord> {
+        self.records.values().filter(move |record| record.claim.state == state)
     }
 
     /// Live members that follow one in the order of ids.
@@ -73,7 +73,7 @@
     ) -> impl Iterator<Item = &'a MemberRecord> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let records = self.records.range::<NodeId, _>((from, Bound::Unbounded));
-        records.map(|(_, record)| record).filter(|record| record.claim.standing.is_live())
+        records.map(|(_, record)| record).filter(|record| record.claim.state.is_live())
     }
 
     /// Takes an update over where its claim is greater than what is known.
@@ -85,9 +85,9 @@
         if claim <= record.claim {
             return Applied::Nothing;
         }
-        let previous = record.claim.standing;
+        let previous = record.claim.state;
         let since = record.since;
-        if previous != claim.standing {
+        if previous != claim.state {
             record.since = now;
         }
         record.claim = claim;
@@ -96,7 +96,7 @@
         if let Some(info) = info {
             record.info = info;
         }
-        self.count_change(previous.is_live(), claim.standing.is_live());
+        self.count_change(previous.is_live(), claim.state.is_live());
         Applied::Raised { previous, since, info_changed }
     }
 
@@ -109,10 +109,10 @@
 
     /// Removes members that failed or left long ago.
     pub(super) fn forget(&mut self, now: Timestamp, failed_after: Duration, left_after: Duration) {
-        self.records.retain(|_, record| match record.claim.standing {
-            Standing::Alive | Standing::Suspect => true,
-            Standing::Failed => now.saturating_since(record.since) < failed_after,
-            Standing::Left => now.saturating_since(record.since) < left_after,
+        self.records.retain(|_, record| match record.claim.state {
+            MemberState::Alive | MemberState::Suspect => true,
+            MemberState::Failed => now.saturating_since(record.since) < failed_after,
+            MemberState::Left => now.saturating_since(record.since) < left_after,
         });
     }
 
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::config::Config;
-use super::message::{ClaimedStanding, Message, Update};
+use super::message::{ClaimedState, Message, Update};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
@@ -78,7 +78,7 @@
 
 /// Sorts updates: less comes first.
 fn urgency<'a>((node, queued): (&'a NodeId, &QueuedUpdate)) -> (u32, bool, &'a NodeId) {
-    let is_doubt = !matches!(queued.update.standing, ClaimedStanding::Alive { .. });
+    let is_doubt = !matches!(queued.update.state, ClaimedState::Alive { .. });
     (queued.transmissions, is_doubt, node)
 }
 
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -21,7 +21,7 @@
     pub readers: usize,
     /// With fewer nodes each reads for itself. A setting. Chosen, not measured: four times the readers, so
     /// that following saves most of the calls.
-    pub least_nodes: usize,
+    pub min_nodes: usize,
     /// A copy that the platform last confirmed longer ago than this is not relied upon. Chosen, not measured:
     /// shorter leaves readers that only wait for a held watch, longer lets a follower act on what has
     /// changed.
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             readers: 6,
-            least_nodes: 24,
+            min_nodes: 24,
             stale_after: Duration::from_millis(1_500),
             direct_for: Duration::from_secs(3),
             tolerated_failures: 1,
@@ -70,7 +70,7 @@
 /// Invariant: no node follows behind a platform that it could reach for itself for longer than `stale_after`,
 /// the time of the tolerated answers, and that of the probes.
 #[derive(Clone, Debug)]
-pub struct RelayChoice {
+pub struct ReadSourceSelector {
     config: RelayConfig,
     direct_until: Option<Timestamp>,
     /// Readers in a row that gave nothing fresh.
@@ -80,7 +80,7 @@
     probes: u32,
 }
 
-impl RelayChoice {
+impl ReadSourceSelector {
     /// A node that has not read yet.
     pub fn new(config: RelayConfig) -> Self {
         Self { config, direct_until: None, failures: 0, probed_at: None, probes: 0 }
@@ -88,7 +88,7 @@
 
     /// The source for a node of this rank (0 for the first) among so many.
     pub fn source(&self, now: Timestamp, rank: usize, nodes: usize) -> ReadSource {
-        let reads_always = nodes < self.config.least_nodes || rank < self.config.readers;
+        let reads_always = nodes < self.config.min_nodes || rank < self.config.readers;
         let was_let_down = self.direct_until.is_some_and(|until| now < until);
         if reads_always || was_let_down {
             return ReadSource::Platform;
@@ -102,19 +102,19 @@
     }
 
     /// A reader answered with a copy of this age. Returns whether that is fresh.
-    pub fn answered(&mut self, now: Timestamp, age: Duration) -> bool {
+    pub fn record_answer(&mut self, now: Timestamp, age: Duration) -> bool {
         let is_fresh = age <= self.config.stale_after;
         if is_fresh {
             self.failures = 0;
             self.probes = 0;
         } else {
-            self.failed(now);
+            self.record_failure(now);
         }
         is_fresh
     }
 
     /// A reader gave no answer, or nothing fresh. After enough probes this node reads for itself.
-    pub fn failed(&mut self, now: Timestamp) {
+    pub fn record_failure(&mut self, now: Timestamp) {
         self.failures = self.failures.saturating_add(1);
         if self.probes >= self.config.needed_probes {
             self.probes = 0;
@@ -124,7 +124,7 @@
     }
 
     /// The platform answered a probe, or did not.
-    pub const fn probed(&mut self, now: Timestamp, is_reached: bool) {
+    pub const fn record_probe(&mut self, now: Timestamp, is_reached: bool) {
         self.probed_at = Some(now);
         self.probes = if is_reached { self.probes + 1 } else { 0 };
     }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -128,7 +128,7 @@
     let mut document = Document::default();
     for revision in 1..=REMEMBERED_CHANGES as u64 + 10 {
         let entry = EntryChange { key: "key".to_owned(), value: Some(revision.to_string()) };
-        document = document.changed(Revision(revision), vec![entry]);
+        document = document.with_changes(Revision(revision), vec![entry]);
     }
     assert!(matches!(document.update_after(Revision(9)), Some(Update::Snapshot(_))));
     assert!(matches!(document.update_after(Revision(10)), Some(Update::Delta { .. })));
@@ -139,11 +139,11 @@
 fn a_delta_on_a_different_copy_is_refused() {
     let sender = Document::new(Revision(1), BTreeMap::from([("a".to_owned(), "1".to_owned())]));
     let entry = EntryChange { key: "b".to_owned(), value: Some("2".to_owned()) };
-    let update = sender.changed(Revision(2), vec![entry]).update_after(Revision(1)).expect("behind");
+    let update = sender.with_changes(Revision(2), vec![entry]).update_after(Revision(1)).expect("behind");
     let other = Document::new(Revision(1), BTreeMap::from([("a".to_owned(), "9".to_owned())]));
-    assert!(other.updated(update.clone()).is_err());
-    assert!(Document::default().updated(update.clone()).is_err());
-    assert!(sender.updated(update).is_ok());
+    assert!(other.with_update(update.clone()).is_err());
+    assert!(Document::default().with_update(update.clone()).is_err());
+    assert!(sender.with_update(update).is_ok());
 }
 
 proptest! {
@@ -156,7 +156,7 @@
         let mut versions = vec![Document::default()];
         for (revision, (key, value)) in (1..).zip(changes) {
             let entry = EntryChange { key: key.to_string(), value: value.map(|value| value.to_string()) };
-            let next = versions.last().expect("one").changed(Revision(revision), vec![entry]);
+            let next = versions.last().expect("one").with_changes(Revision(revision), vec![entry]);
             versions.push(next);
         }
         let newest = versions.last().expect("one");
@@ -168,7 +168,7 @@
             prop_assert_eq!(copy.revision(), newest.revision());
             return Ok(());
         };
-        let updated = copy.updated(update).expect("fits");
+        let updated = copy.with_update(update).expect("fits");
         prop_assert_eq!(updated.entries(), newest.entries());
         prop_assert_eq!(updated.digest(), newest.digest());
     }
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -11,7 +11,7 @@
     WeightVersion, ZoneName,
 };
 use lichenpulley_core::membership::{
-    Body, ClaimedStanding, DocumentRevision, Incarnation, MemberInfo, Message, Update,
+    Body, ClaimedState, DocumentRevision, Incarnation, MemberInfo, Message, Update,
 };
 use lichenpulley_core::replication::ballot::{Ballot, ProposerId};
 use lichenpulley_core::replication::claims::{ClaimRecord, ClaimVote};
@@ -234,12 +234,12 @@
         attributes: 5,
     };
     let incarnation = Incarnation(1_700_000_000_002);
-    let about = |standing| Update { node: NodeId::new("n2"), incarnation, standing };
+    let about = |state| Update { node: NodeId::new("n2"), incarnation, state };
     let updates = vec![
         Update::alive(&info, incarnation),
-        about(ClaimedStanding::Suspect),
-        about(ClaimedStanding::Failed),
-        about(ClaimedStanding::Left),
+        about(ClaimedState::Suspect),
+        about(ClaimedState::Failed),
+        about(ClaimedState::Left),
     ];
     let target = NodeId::new("n2");
     let bodies = vec![
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -124,7 +124,7 @@
 fn pull_what_was_heard(cluster: &mut Cluster) -> usize {
     let ids: Vec<_> = cluster.ids().filter(|id| id.0 != 7).collect();
     let pulled = ids.into_iter().filter(|id| {
-        let heard = cluster.process(*id).membership.heard_revisions().get(DOCUMENT).cloned();
+        let heard = cluster.process(*id).membership.announced_revisions().get(DOCUMENT).cloned();
         heard.is_some_and(|heard| {
             cluster.interact(*id, |node, _, _| node.membership.announce(DOCUMENT, heard.revision));
             heard.revision == Revision(9)
--- a/crates/core/tests/membership_faults.rs
+++ b/crates/core/tests/membership_faults.rs
@@ -205,7 +205,7 @@
 fn a_member_that_was_listed_at_the_join_is_reported_as_such() {
     let cluster = introduced(5, 11, &Config::default());
     let listed =
-        |event: &_| matches!(event, lichenpulley_core::membership::Event { cause: Cause::Listed, .. });
+        |event: &_| matches!(event, lichenpulley_core::membership::Event { cause: Cause::JoinList, .. });
     assert_eq!(count_events(&cluster, &[ProcessId(0)], listed), 4);
 }
 
--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -140,7 +140,7 @@
                     self.disseminator.receive(from.clone(), message, now);
                 }
             }
-            Event::FromPlatform(document) => self.disseminator.read_from_platform(document, now),
+            Event::FromPlatform(document) => self.disseminator.receive_platform_document(document, now),
             Event::ReadEnded => self.reads_once = false,
         }
     }
@@ -148,7 +148,7 @@
     fn take_heard(&mut self, revisions: &HeardRevisions) {
         let Some(announced) = revisions.get(self.document.as_str()) else { return };
         let now = self.now();
-        self.disseminator.note_announcement(announced.revision, announced.holder.node.clone(), now);
+        self.disseminator.receive_announcement(announced.revision, announced.holder.node.clone(), now);
     }
 
     fn update_members(&mut self) {
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -140,7 +140,7 @@
     match latest {
         Some(latest) if latest.revision() == list.revision => latest.clone(),
         Some(latest) if latest.revision() < list.revision && latest.revision() > Revision(0) => {
-            latest.replaced(list.revision, &entries)
+            latest.with_entries(list.revision, &entries)
         }
         _ => Document::new(list.revision, entries),
     }
--- a/crates/daemon/src/membership/driver.rs
+++ b/crates/daemon/src/membership/driver.rs
@@ -164,12 +164,12 @@
         let documents_version = Some(self.membership.documents_version());
         if view_changed || self.published_documents != documents_version {
             self.published_documents = documents_version;
-            self.context.membership.publish_heard(self.heard_revisions());
+            self.context.membership.publish_heard(self.announced_revisions());
         }
     }
 
-    fn heard_revisions(&self) -> BTreeMap<String, AnnouncedRevision> {
-        let heard = self.membership.heard_revisions().iter();
+    fn announced_revisions(&self) -> BTreeMap<String, AnnouncedRevision> {
+        let heard = self.membership.announced_revisions().iter();
         let reachable = heard.filter_map(|(document, heard)| {
             let record = self.membership.member(&heard.holder)?;
             let holder = member(&record.info);
--- a/crates/daemon/src/membership/report.rs
+++ b/crates/daemon/src/membership/report.rs
@@ -22,7 +22,7 @@
     let node = &event.node;
     let live = event.live_members;
     match (event.kind, event.cause) {
-        (EventKind::Refuted, Cause::OtherLife) => log::warn!(
+        (EventKind::Refuted, Cause::DuplicateId) => log::warn!(
             target: "membership",
             "Another process claims the id {node}; give each node its own id, or wait if it has just restarted."
         ),
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::NodeId;
-use lichenpulley_core::relay::{ReadSource, RelayChoice, RelayConfig};
+use lichenpulley_core::relay::{ReadSource, ReadSourceSelector, RelayConfig};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::internal::{MetadataKind, MetadataRequest, MetadataResponse};
 use tokio::time::Instant;
@@ -28,7 +28,7 @@
     context: Context,
     kind: MetadataKind,
     config: RelayConfig,
-    choice: RelayChoice,
+    choice: ReadSourceSelector,
     origin: Instant,
     /// Readers that gave nothing fresh: the next one is another.
     turn: usize,
@@ -40,9 +40,9 @@
     /// A follower that has not read yet.
     pub(super) fn new(context: Context, kind: MetadataKind) -> Self {
         let settings = &context.settings.configuration;
-        let (readers, least_nodes) = (settings.readers, settings.follow_from_nodes);
-        let config = RelayConfig { readers, least_nodes, ..RelayConfig::default() };
-        let choice = RelayChoice::new(config.clone());
+        let (readers, min_nodes) = (settings.readers, settings.follow_from_nodes);
+        let config = RelayConfig { readers, min_nodes, ..RelayConfig::default() };
+        let choice = ReadSourceSelector::new(config.clone());
         Self { context, kind, config, choice, origin: Instant::now(), turn: 0, was_let_down: false }
     }
 
@@ -72,7 +72,7 @@
             Ok(response) => {
                 let age = Duration::from_millis(response.age_ms);
                 self.context.metadata.freshness.confirm(self.kind, age);
-                let is_fresh = self.choice.answered(now, age);
+                let is_fresh = self.choice.record_answer(now, age);
                 if !is_fresh && !self.was_let_down {
                     log::info!(target: "metadata", "{:?} of {} is {} ms old: asking another.", self.kind, reader.node, response.age_ms);
                 }
@@ -86,7 +86,7 @@
             Err(error) => {
                 self.turn += 1;
                 self.was_let_down = true;
-                self.choice.failed(now);
+                self.choice.record_failure(now);
                 log::info!(target: "metadata", "{} gave no {:?}: {error}.", reader.node, self.kind);
                 None
             }
@@ -96,7 +96,7 @@
     /// Sees whether the platform answers this node while readers give nothing fresh.
     pub(super) async fn probe(&mut self, client: &MetadataClient) {
         let is_reached = client.probe().await.is_ok();
-        self.choice.probed(self.now(), is_reached);
+        self.choice.record_probe(self.now(), is_reached);
     }
 
     /// The reader whose turn it is. Followers begin with different ones.
--- a/crates/lab/src/simulations/configuration/node.rs
+++ b/crates/lab/src/simulations/configuration/node.rs
@@ -145,7 +145,7 @@
 
     fn hear(&mut self, from: ProcessId, revision: Option<Revision>, now: Timestamp) {
         if let (Some(sender), Some(revision)) = (self.name_of(from), revision) {
-            self.disseminator.note_announcement(revision, sender, now);
+            self.disseminator.receive_announcement(revision, sender, now);
         }
     }
 
@@ -182,7 +182,7 @@
         match (purpose, answer) {
             (Purpose::Change(number), answer) => self.changes.take_answer(number, Some(answer), now),
             (_, PlatformAnswer::Register { version, register }) => {
-                self.disseminator.read_from_platform(register.document().clone(), now);
+                self.disseminator.receive_platform_document(register.document().clone(), now);
                 if purpose != Purpose::ReadOnce && self.reading {
                     self.watch_after = Some(version.unwrap_or_default());
                 }
@@ -223,7 +223,7 @@
                 return;
             }
             for document in step.written {
-                self.disseminator.read_from_platform(document, now);
+                self.disseminator.receive_platform_document(document, now);
             }
         }
     }
