--- a/crates/core/src/membership/detect.rs
+++ b/crates/core/src/membership/detect.rs
@@ -1,11 +1,8 @@
-//! When a member counts as dead: the one place that probes, suspects and declares failed.
+//! Failure detector: probes members and raises suspicions.
 //!
-//! Inputs: answers to direct and indirect probes, claims of others, this node's time awake. A member is
-//! suspected after two unanswered probes in a row, and declared failed where it has not refuted within
-//! [`Config::suspicion_timeout`](super::Config::suspicion_timeout) (probe intervals times log10 of the
-//! members). Measured on the simulated network with 200 nodes and 30 % loss over two minutes: 1,881
-//! suspicions and 3,285 views of a healthy member lost with one unanswered probe, 66 and none with two; it
-//! costs about a second of detection.
+//! A member is suspected after two consecutive unanswered probes, and declared failed if it does not refute
+//! the suspicion within [`Config::suspicion_timeout`](super::Config::suspicion_timeout). Requiring a second
+//! probe delays detection by about a second and avoids most false suspicions on lossy networks.
 
 use std::net::SocketAddr;
 
@@ -15,12 +12,12 @@
 use super::machine::Membership;
 use super::member::MemberState;
 use super::message::{Body, ClaimedState};
-use super::probe::{PendingProbe, Turn, TurnReason};
+use super::probe::{PendingProbe, ProbeReason, ScheduledProbe};
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
 impl Membership {
-    /// Ends the probe of this period where it is over, and starts the next.
+    /// Retries or ends the current probe when its deadlines have passed, and starts the next one.
     pub(super) fn advance_probe(&mut self, now: Timestamp) {
         self.retry_probe(now);
         if self.pending.as_ref().is_some_and(|probe| probe.ends_at <= now) {
@@ -33,59 +30,59 @@
 
     fn start_probe(&mut self, now: Timestamp) {
         self.next_probe_at = now + self.config.probe_interval;
-        let Some((turn, address)) = self.next_turn() else { return };
+        let Some((scheduled, address)) = self.next_scheduled_probe() else { return };
         let sequence = self.next_sequence();
         self.counters.probes += 1;
         self.pending = Some(PendingProbe {
-            target: turn.node.clone(),
+            target: scheduled.node.clone(),
             address,
             sequence,
             retry_at: now + self.config.probe_timeout,
-            asked_others: false,
-            is_second: matches!(turn.reason, TurnReason::Unanswered),
+            indirect_sent: false,
+            is_second: matches!(scheduled.reason, ProbeReason::Unanswered),
             ends_at: self.next_probe_at,
         });
-        let claim = match turn.reason {
-            TurnReason::Claimed(claim) => Some(claim),
-            TurnReason::Round | TurnReason::Unanswered => None,
+        let claim = match scheduled.reason {
+            ProbeReason::VerifyFailure(claim) => Some(claim),
+            ProbeReason::RoundRobin | ProbeReason::Unanswered => None,
         };
-        let body = Body::Ping { target: turn.node.clone() };
-        self.send(now, address, Some(&turn.node), sequence, body, claim);
+        let body = Body::Ping { target: scheduled.node.clone() };
+        self.send(now, address, Some(&scheduled.node), sequence, body, claim);
     }
 
-    /// The next member in turn that is still live.
-    fn next_turn(&mut self) -> Option<(Turn, SocketAddr)> {
-        let own = self.own.clone();
+    /// Returns the next scheduled probe whose target is still live, with the target's address.
+    fn next_scheduled_probe(&mut self) -> Option<(ScheduledProbe, SocketAddr)> {
+        let own_id = self.own_id.clone();
         for _ in 0..self.table.live_count() {
             let table = &self.table;
             let candidates = || {
-                let peers = table.live().filter(|record| record.info.node != own);
+                let peers = table.live().filter(|record| record.info.node != own_id);
                 peers.map(|record| record.info.node.clone()).collect()
             };
-            let turn = self.order.next(&mut self.random, candidates)?;
-            let record = self.table.get(&turn.node).filter(|record| record.claim.state.is_live());
+            let scheduled = self.order.next(&mut self.random, candidates)?;
+            let record = self.table.get(&scheduled.node).filter(|record| record.claim.state.is_live());
             if let Some(record) = record {
-                return Some((turn, record.info.address));
+                return Some((scheduled, record.info.address));
             }
         }
         None
     }
 
-    /// Tries a probe that is late once more directly, and through other members the first time.
+    /// Repeats an overdue probe directly; the first time, requests indirect probes too.
     fn retry_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.pending.as_mut().filter(|probe| probe.retry_at <= now) else { return };
-        let is_first_retry = !probe.asked_others;
-        probe.asked_others = true;
+        let is_first_retry = !probe.indirect_sent;
+        probe.indirect_sent = true;
         probe.retry_at = now + self.config.probe_timeout;
         let probe = probe.clone();
-        let again = Body::Ping { target: probe.target.clone() };
-        self.send_bare(probe.address, &probe.target, probe.sequence, again);
+        let retry = Body::Ping { target: probe.target.clone() };
+        self.send_without_updates(probe.address, &probe.target, probe.sequence, retry);
         if is_first_retry {
-            self.ask_others(now, &probe);
+            self.send_indirect_probes(now, &probe);
         }
     }
 
-    fn ask_others(&mut self, now: Timestamp, probe: &PendingProbe) {
+    fn send_indirect_probes(&mut self, now: Timestamp, probe: &PendingProbe) {
         let helpers = self.random_peers(self.config.indirect_probes + 1);
         let helpers = helpers.into_iter().filter(|(node, _)| *node != probe.target);
         for (helper, address) in helpers.take(self.config.indirect_probes) {
@@ -94,8 +91,8 @@
         }
     }
 
-    /// A member is suspected only once two probes in a row were not answered: a suspicion is spread to all and
-    /// refuted to all, so under loss a hasty one costs more than the half second that it saves.
+    /// Suspects the target if this was its second consecutive unanswered probe; otherwise schedules that second
+    /// probe. A false suspicion and its refutation are both disseminated to all members.
     fn end_unanswered_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.pending.take() else { return };
         self.counters.probes_unanswered += 1;
@@ -114,37 +111,44 @@
         if self.pending.take_if(answers_probe).is_some() {
             return;
         }
-        if let Some(relay) = self.relays.take(sequence, sender) {
+        if let Some(forwarded) = self.forwarded_probes.take(sequence, sender) {
             let body = Body::ForwardedAcknowledge;
-            self.send(now, relay.asker_address, Some(&relay.asker), relay.asker_sequence, body, None);
+            self.send(
+                now,
+                forwarded.requester_address,
+                Some(&forwarded.requester),
+                forwarded.requester_sequence,
+                body,
+                None,
+            );
         }
     }
 
     pub(super) fn receive_forwarded(&mut self, sequence: u32) {
-        // The sequence number was told to nobody but the members that were asked about this target.
+        // Only members asked to probe this target know the sequence number.
         self.pending.take_if(|probe| probe.sequence == sequence);
     }
 
-    /// Probes a member in another's place.
-    pub(super) fn relay_probe(
+    /// Probes a member on behalf of another node.
+    pub(super) fn forward_probe(
         &mut self,
         now: Timestamp,
-        asker: (NodeId, SocketAddr, u32),
+        requester: (NodeId, SocketAddr, u32),
         target: NodeId,
         address: SocketAddr,
     ) {
         let sequence = self.next_sequence();
         let expires_at = now + self.config.probe_interval * 2;
-        if self.relays.add(now, sequence, asker, target.clone(), expires_at) {
+        if self.forwarded_probes.add(now, sequence, requester, target.clone(), expires_at) {
             let body = Body::Ping { target: target.clone() };
             self.send(now, address, Some(&target), sequence, body, None);
         }
     }
 
-    /// Some live members other than this node, with their addresses.
+    /// Returns up to `count` random live members other than this node, with their addresses.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<(NodeId, SocketAddr)> {
-        let own = &self.own;
-        let peers = self.table.live().filter(|record| record.info.node != *own);
+        let own_id = &self.own_id;
+        let peers = self.table.live().filter(|record| record.info.node != *own_id);
         let sample = peers.sample(&mut self.random, count);
         sample.into_iter().map(|record| (record.info.node.clone(), record.info.address)).collect()
     }
--- a/crates/core/src/membership/documents.rs
+++ b/crates/core/src/membership/documents.rs
@@ -1,6 +1,6 @@
-//! Revisions of the documents that every node holds, as members announce them.
+//! Document revisions announced by members.
 //!
-//! Owns the highest revision of each document and a live member that holds it.
+//! Tracks the highest announced revision of each document and a member that holds it.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,15 @@
 use super::message::DocumentRevision;
 use crate::identity::{NodeId, Revision};
 
-/// Documents that are remembered; more come only from a broken or hostile sender. Five are in use; chosen
-/// above that so that memory stays bounded.
+/// Maximum number of tracked documents. Bounds memory against a faulty or hostile sender.
 const MAX_DOCUMENTS: usize = 8;
 
-/// The longest document name, in bytes. Chosen, not measured: longer takes room of each datagram, shorter refuses names.
+/// Maximum length of a document name, in bytes.
 const MAX_DOCUMENT_NAME_BYTES: usize = 32;
 
-/// What this node holds and what it announced.
+/// Revisions held by this node and revisions announced by members.
 ///
-/// A member announces only what it holds itself, so whoever is named as holder can be pulled from.
+/// A member announces only revisions that it holds, so the recorded holder can serve them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Documents {
     held: BTreeMap<String, Revision>,
@@ -25,13 +24,13 @@
 }
 
 impl Documents {
-    /// Announces a revision from now on. A lower one than before changes nothing.
+    /// Sets the revision to announce for a document. Ignores a revision lower than the current one.
     pub(super) fn announce(&mut self, document: &str, revision: Revision) {
         let held = self.held.entry(document.to_owned()).or_default();
         *held = revision.max(*held);
     }
 
-    /// What rides on every message.
+    /// Returns the revisions to attach to every message.
     pub(super) fn announcements(&self) -> Vec<DocumentRevision> {
         let announcements = self.held.iter().take(MAX_DOCUMENTS);
         announcements
@@ -39,8 +38,8 @@
             .collect()
     }
 
-    /// Takes in what a member announced. Returns whether a holder or a revision changed.
-    pub(super) fn hear(
+    /// Records a member's announcements. Returns whether a holder or a revision changed.
+    pub(super) fn record_announcements(
         &mut self,
         sender: &NodeId,
         announced: &[DocumentRevision],
@@ -48,12 +47,12 @@
     ) -> bool {
         let mut changed = false;
         for DocumentRevision { document, revision } in announced {
-            changed |= self.hear_one(sender, document, *revision, &is_live);
+            changed |= self.record_announcement(sender, document, *revision, &is_live);
         }
         changed
     }
 
-    fn hear_one(
+    fn record_announcement(
         &mut self,
         sender: &NodeId,
         document: &str,
@@ -61,16 +60,16 @@
         is_live: impl Fn(&NodeId) -> bool,
     ) -> bool {
         let Some(known) = self.announced.get(document) else {
-            return self.remember(sender, document, revision);
+            return self.store(sender, document, revision);
         };
-        let is_news = revision > known.revision || (revision == known.revision && !is_live(&known.holder));
-        is_news && self.remember(sender, document, revision)
+        let is_newer = revision > known.revision || (revision == known.revision && !is_live(&known.holder));
+        is_newer && self.store(sender, document, revision)
     }
 
-    fn remember(&mut self, sender: &NodeId, document: &str, revision: Revision) -> bool {
+    fn store(&mut self, sender: &NodeId, document: &str, revision: Revision) -> bool {
         let is_new = !self.announced.contains_key(document);
-        let has_room = self.announced.len() < MAX_DOCUMENTS && document.len() <= MAX_DOCUMENT_NAME_BYTES;
-        if is_new && !has_room {
+        let has_capacity = self.announced.len() < MAX_DOCUMENTS && document.len() <= MAX_DOCUMENT_NAME_BYTES;
+        if is_new && !has_capacity {
             return false;
         }
         self.announced.insert(document.to_owned(), AnnouncedRevision { revision, holder: sender.clone() });
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,68 +1,69 @@
-//! What the protocol tells its embedder.
+//! Events and counters that the protocol reports to its embedder.
 //!
-//! Events carry what a decision in the log names; counters become metrics.
+//! Events are recorded in the decision log; counters are exported as metrics.
 
 use std::time::Duration;
 
 use super::member::Incarnation;
 use crate::identity::{NodeId, Revision};
 
-/// Something that happened to a member, with why.
+/// A change in a member's state, with its cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The member.
     pub node: NodeId,
-    /// The incarnation it is about.
+    /// The incarnation that the event refers to.
     pub incarnation: Incarnation,
-    /// What happened.
+    /// Kind of change.
     pub kind: EventKind,
-    /// Why.
+    /// Cause of the change.
     pub cause: Cause,
-    /// How long it took to find out, where that is known: since the suspicion for a failure or refutation.
+    /// Time spent in the previous state: since the suspicion for a failure or refutation, since the failure or
+    /// departure for a rejoin; `None` otherwise.
     pub after: Option<Duration>,
-    /// Live members, this node included, once it had happened.
+    /// Number of live members after the change, including this node.
     pub live_members: usize,
 }
 
-/// What happened to a member.
+/// The kind of a member event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EventKind {
-    /// A member that was not known joined.
+    /// A previously unknown member joined.
     Joined,
-    /// A member that had failed or left is back.
+    /// A member that had failed or left is live again.
     Rejoined,
-    /// A live member came with a new address or new attributes.
+    /// The address or attributes of a live member changed.
     Changed,
-    /// It is suspected.
+    /// The member is suspected of having failed.
     Suspected,
-    /// It refuted the suspicion; for this node itself, what was claimed about it.
+    /// The member refuted a suspicion. For the local node: it refuted a claim about itself.
     Refuted,
-    /// It is declared failed.
+    /// The member was declared failed.
     Failed,
-    /// It left.
+    /// The member left the cluster.
     Left,
 }
 
-/// Why it happened.
+/// The cause of a member event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// A message of the member itself said so.
+    /// A message from the member itself.
     SelfReported,
-    /// Other members said so.
+    /// An update from another member.
     Gossip,
-    /// It was in the list that this node got when it joined.
+    /// The member list that this node received when joining.
     JoinList,
-    /// It answered neither this node's probe nor those of the members that this node asked.
+    /// The member did not answer direct or indirect probes.
     ProbeUnanswered,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     SuspicionExpired,
-    /// Another process claims this node's id with a later incarnation: an earlier run with a clock ahead, or a
+    /// Another process uses this node's id with a higher incarnation: a previous run whose clock was ahead, or a
     /// second node with the same id.
     DuplicateId,
 }
 
 impl EventKind {
-    /// The word in the decision stream.
+    /// Returns the name used in the decision log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Joined => "joined",
@@ -77,7 +78,7 @@
 }
 
 impl Cause {
-    /// The word in the decision stream.
+    /// Returns the name used in the decision log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::SelfReported => "said_itself",
@@ -90,36 +91,36 @@
     }
 }
 
-/// The highest revision of a document that was heard, and who holds it.
+/// The highest announced revision of a document and a member that holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnnouncedRevision {
     /// The revision.
     pub revision: Revision,
-    /// A member that said it holds it.
+    /// A member that announced it.
     pub holder: NodeId,
 }
 
-/// Counts since the start.
+/// Counters since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Their payload bytes.
+    /// Payload bytes sent.
     pub bytes_sent: u64,
     /// Datagrams received.
     pub datagrams_received: u64,
-    /// Their payload bytes.
+    /// Payload bytes received.
     pub bytes_received: u64,
     /// Datagrams dropped because they could not be decoded.
     pub undecodable: u64,
     /// Probes started.
     pub probes: u64,
-    /// Probes that nothing answered.
+    /// Probes that ended without a direct or indirect answer.
     pub probes_unanswered: u64,
-    /// Suspicions that this node raised itself.
+    /// Suspicions raised by this node.
     pub suspicions_raised: u64,
-    /// Members that this node declared failed itself.
+    /// Members declared failed by this node.
     pub failures_declared: u64,
-    /// Microseconds of own stall that were credited to others.
+    /// Time that this node was stalled and that was added to its deadlines for other members, in microseconds.
     pub stall_credit_us: u64,
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known about one member, and which of two claims about it counts.
+//! Member records and the precedence of claims about a member.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,77 +7,80 @@
 use crate::identity::{NodeId, ZoneName};
 use crate::time::Timestamp;
 
-/// What a member says of itself.
+/// Properties that a member reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// The member.
+    /// Node id of the member.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: ZoneName,
-    /// Where it receives datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Eight bits that the embedder gives a meaning to, such as roles.
+    /// Application-defined bits, such as roles.
     pub attributes: u8,
 }
 
-/// How a member stands. Of two claims with the same incarnation the later in this order counts.
+/// The state of a member. Among claims with the same incarnation, a later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// A probe failed; it still counts as live until it is declared failed.
+    /// Probes failed. The member counts as live until it is declared failed.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
-    /// It said itself that it leaves.
+    /// The member announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member counts as live.
+    /// Returns whether the member counts as live.
     pub(crate) const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// A claim about a member.
+/// A claim about the state of a member.
 ///
-/// Invariant: a claim replaces another only where it is greater, by incarnation first, then by standing. Only
-/// the member itself raises its incarnation, so nobody else can undo its failure (Das et al. 2002, section 4.2).
+/// Invariant: a claim replaces another only if it is greater, by incarnation first and then by state. Only the
+/// member itself raises its incarnation, so no other node can revoke its failure (Das et al. 2002, section
+/// 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberClaim {
-    /// Which run of the member, and which refutation in it, the claim is about.
+    /// Incarnation of the member that the claim refers to.
     pub incarnation: Incarnation,
-    /// How it stands.
+    /// Claimed state.
     pub state: MemberState,
 }
 
-/// Orders the runs of a node and its refutations in one run: starts at the Unix time in milliseconds and is
-/// raised past whatever is claimed about the node.
+/// Incarnation number of a member.
+///
+/// Starts at the Unix time in milliseconds, so that a restart gets a higher number, and is raised above the
+/// incarnation of a claim to refute it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation that outranks this one.
+    /// Returns the next higher incarnation.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// A member as this node knows it.
+/// This node's record of a member.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// What it says of itself.
+    /// Properties that the member reported.
     pub info: MemberInfo,
-    /// The greatest claim heard.
+    /// The greatest claim received.
     pub claim: MemberClaim,
-    /// When its standing last changed, by this node's time awake.
+    /// When the state last changed, in protocol time.
     pub since: Timestamp,
 }
 
-/// A socket address as it goes over the wire.
+/// Wire representation of a socket address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct WireAddress {
     ip: IpAddr,
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,6 +1,7 @@
-//! The datagrams of the protocol, encoded by `speedy`.
+//! Datagram format of the protocol, encoded by `speedy`.
 //!
-//! The order of fields and variants is the encoding: a change of it raises the version of the protocol.
+//! The encoding depends on the order of fields and variants. A change of that order must increase
+//! `PROTOCOL_VERSION`.
 
 use speedy::{LittleEndian, Readable, Writable};
 
@@ -8,151 +9,153 @@
 use super::member::{Incarnation, MemberClaim, MemberInfo, MemberState, WireAddress};
 use crate::identity::{NodeId, Revision, ZoneName};
 
-/// The first byte of every datagram; goes up when the encoding changes.
+/// Version of the encoding, the first byte of every datagram.
 const PROTOCOL_VERSION: u8 = 1;
 
-/// One datagram.
+/// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Message {
     version: u8,
-    /// Who sends it.
+    /// Node id of the sender.
     pub sender: NodeId,
-    /// Names an exchange; an answer carries the number of its question.
+    /// Sequence number of a request; a response carries the number of its request.
     pub sequence: u32,
-    /// What it is for.
+    /// Request, response or notice.
     pub body: Body,
-    /// Updates about members.
+    /// Piggybacked member updates.
     #[speedy(length_type = u16)]
     pub updates: Vec<Update>,
-    /// Revisions that the sender holds.
+    /// Document revisions that the sender holds.
     #[speedy(length_type = u8)]
     pub documents: Vec<DocumentRevision>,
 }
 
-/// What a datagram is for.
+/// The kind and content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Body {
-    /// Asks a member whether it is alive. Names it, since its address may have passed to another.
+    /// Probes a member. Includes its id, because another node may have taken over its address.
     Ping {
-        /// Who should answer.
+        /// The member that should answer.
         target: NodeId,
     },
     /// Answers a ping.
     Acknowledge,
-    /// Asks to ping a member in the sender's place.
+    /// Asks the receiver to ping a member on behalf of the sender.
     PingRequest {
-        /// Whom to ping.
+        /// The member to ping.
         target: NodeId,
-        /// Where.
+        /// Address of the member.
         address: WireAddress,
     },
-    /// Says that the target of a [`Body::PingRequest`] answered.
+    /// Reports that the target of a [`Body::PingRequest`] answered.
     ForwardedAcknowledge,
-    /// Asks for the live members that follow one in the order of ids.
+    /// Requests a page of live members, ordered by id.
     ListRequest {
-        /// The last member of the page before.
+        /// The last member of the previous page; `None` for the first page.
         after: Option<NodeId>,
     },
-    /// A page of live members.
+    /// A page of live members, in response to a [`Body::ListRequest`].
     ListPage {
         /// The members.
         #[speedy(length_type = u16)]
         entries: Vec<Update>,
-        /// Ask for the next page after this member; `None` on the last page.
+        /// Value of `after` for the next request; `None` on the last page.
         next: Option<NodeId>,
     },
-    /// A digest of the sender's live members, by bucket.
+    /// Digests of the sender's live members, per bucket.
     Digest {
-        /// One for each bucket.
+        /// One digest per bucket.
         #[speedy(length_type = u16)]
         buckets: Vec<u32>,
     },
-    /// Every member that the sender knows in some buckets that differ.
+    /// The members that the sender knows in some of the buckets that differ.
     Buckets {
-        /// Which buckets.
+        /// Indexes of the buckets.
         #[speedy(length_type = u8)]
         indexes: Vec<u8>,
-        /// Their members.
+        /// Members of these buckets.
         #[speedy(length_type = u16)]
         entries: Vec<Update>,
-        /// Whether the receiver should send back what it knows better.
+        /// Whether the receiver should reply with its newer claims.
         exchange: bool,
     },
-    /// Carries updates only.
+    /// Carries only updates; needs no response.
     Notice,
 }
 
-/// What is claimed of one member.
+/// A claim about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Update {
     /// The member.
     pub node: NodeId,
-    /// The incarnation that the update is about.
+    /// The incarnation that the claim refers to.
     pub incarnation: Incarnation,
-    /// How it stands.
+    /// Claimed state.
     pub state: ClaimedState,
 }
 
-/// How a member stands, with what is needed to reach it where it is alive.
+/// The claimed state of a member, with its properties if it is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum ClaimedState {
-    /// It is alive.
+    /// The member is alive.
     Alive {
-        /// Its zone.
+        /// Zone of the member.
         zone: ZoneName,
-        /// Where it receives datagrams.
+        /// Address at which it receives datagrams.
         address: WireAddress,
-        /// The embedder's bits.
+        /// Application-defined bits.
         attributes: u8,
     },
-    /// It is suspected.
+    /// The member is suspected of having failed.
     Suspect,
-    /// It is declared failed.
+    /// The member was declared failed.
     Failed,
-    /// It left.
+    /// The member left.
     Left,
 }
 
 /// A revision of a document that the sender of a datagram holds.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct DocumentRevision {
-    /// The document.
+    /// Name of the document.
     #[speedy(length_type = u8)]
     pub document: String,
-    /// The revision.
+    /// Revision held by the sender.
     pub revision: Revision,
 }
 
-/// Why a datagram was dropped.
+/// Why a datagram can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It does not follow the encoding.
+    /// The payload is not a valid message.
     #[error("the datagram can't be decoded; check that only nodes of this cluster send to this port")]
     Malformed,
-    /// It was encoded by another version of the protocol.
-    #[error("the datagram has another protocol version; run one version of lichenpulleyd on all nodes")]
+    /// The sender uses another protocol version.
+    #[error(
+        "the datagram has a different protocol version; run the same version of lichenpulleyd on all nodes"
+    )]
     OtherVersion,
 }
 
 impl Message {
-    /// A message without updates.
+    /// Creates a message without updates.
     pub fn new(sender: NodeId, sequence: u32, body: Body, documents: Vec<DocumentRevision>) -> Self {
         Self { version: PROTOCOL_VERSION, sender, sequence, body, updates: Vec::new(), documents }
     }
 
-    /// The datagram's payload.
+    /// Encodes the message as a datagram payload.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing into memory fails only where a length does not fit its type; names and counts are bounded by
+        // Encoding into memory fails only if a length does not fit its type. Names and counts are bounded by
         // `Config::validate` and the payload limit.
         self.write_to_vec_with_ctx(LittleEndian::default()).unwrap_or_default()
     }
 
-    /// Reads a payload.
+    /// Decodes a datagram payload.
     ///
     /// # Errors
-    /// When it is not a message of this protocol version.
+    /// Returns an error if the payload is not a valid message of this protocol version.
     pub fn decode(payload: &[u8]) -> Result<Self, DecodeError> {
         if payload.first().is_some_and(|version| *version != PROTOCOL_VERSION) {
             return Err(DecodeError::OtherVersion);
@@ -165,14 +168,14 @@
         Ok(message)
     }
 
-    /// The bytes of the payload.
+    /// Returns the size of the encoded payload, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         encoded_bytes(self)
     }
 }
 
 impl Update {
-    /// An update by which a member is alive.
+    /// Creates an update that claims a member is alive.
     pub fn alive(info: &MemberInfo, incarnation: Incarnation) -> Self {
         let state = ClaimedState::Alive {
             zone: info.zone.clone(),
@@ -182,7 +185,7 @@
         Self { node: info.node.clone(), incarnation, state }
     }
 
-    /// The claim about a member as an update.
+    /// Creates an update from a claim about a member.
     pub(crate) fn from_claim(info: &MemberInfo, claim: MemberClaim) -> Self {
         let state = match claim.state {
             MemberState::Alive => return Self::alive(info, claim.incarnation),
@@ -193,7 +196,7 @@
         Self { node: info.node.clone(), incarnation: claim.incarnation, state }
     }
 
-    /// The claim that the update makes.
+    /// Returns the claim of the update.
     pub fn claim(&self) -> MemberClaim {
         let state = match self.state {
             ClaimedState::Alive { .. } => MemberState::Alive,
@@ -204,7 +207,7 @@
         MemberClaim { incarnation: self.incarnation, state }
     }
 
-    /// What the member says of itself, where the update carries it.
+    /// Returns the properties of the member if the update contains them.
     pub fn info(&self) -> Option<MemberInfo> {
         let ClaimedState::Alive { zone, address, attributes } = &self.state else { return None };
         Some(MemberInfo {
@@ -215,7 +218,7 @@
         })
     }
 
-    /// Its bytes inside a payload.
+    /// Returns the encoded size of the update, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         encoded_bytes(self)
     }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,21 +1,21 @@
-//! Which nodes are live, without a server that knows: SWIM (Das, Gupta and Motivala, "SWIM: Scalable
-//! Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002).
+//! Decentralized cluster membership and failure detection, based on SWIM (Das, Gupta and Motivala, "SWIM:
+//! Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002).
 //!
-//! Each period a node probes one member, round by round in a random order, so a node's load does not grow with
-//! the cluster. A member that answers neither directly nor through others is suspected; unless it refutes by
-//! raising its incarnation it is declared failed. Updates ride on the probes themselves, each a bounded number
-//! of times. Beyond the paper:
+//! In each period a node probes one member, in a randomized round-robin order, so the load per node does not
+//! grow with the cluster. A member that answers neither direct nor indirect probes is suspected. It is declared
+//! failed unless it refutes the suspicion by raising its incarnation. Updates are piggybacked on the protocol
+//! messages, each a bounded number of times. Extensions to the paper:
 //!
-//! - whole tables are compared now and then, by digests, and failed members are tried again, so that a healed
-//!   partition merges without an operator;
-//! - a node's own stalls don't count against others (the `stall` module);
-//! - a suspicion raised here is probed again until it ends, and whoever is in doubt is told so by whoever
-//!   speaks to it;
-//! - bytes of updates have a budget;
-//! - revisions of documents ride along (the `documents` module).
+//! - Members periodically compare full tables by digest and retry failed members, so that partitions merge
+//!   automatically after they heal.
+//! - Stalls of the local node do not count against other members (the `stall` module).
+//! - A node keeps probing a member that it suspects, and every message to a suspected or failed member includes
+//!   the claim about it, so that the member can refute it.
+//! - A byte budget limits the updates sent.
+//! - Messages announce the document revisions that the sender holds (the `documents` module).
 //!
-//! [`Membership`] is a state machine without I/O: datagrams and the time in, datagrams, events and the next
-//! wake-up out.
+//! [`Membership`] is a state machine without I/O. Its inputs are datagrams and the current time; its outputs are
+//! datagrams, events and the next timeout.
 
 mod config;
 mod detect;
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -1,6 +1,6 @@
-//! Whom to probe next, and the probe that waits for its answer.
+//! Probe scheduling, and the state of pending and forwarded probes.
 //!
-//! Owns the order of a round and probes made for others; `detect` decides by what comes of them.
+//! The `detect` module acts on the results of the probes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,131 +14,136 @@
 
 use std::net::SocketAddr;
 
-/// Probes that this node makes for others at a time; more are refused by silence. Chosen, not measured: it
-/// bounds memory; too few refuse indirect probes while many members are in doubt.
-const MAX_RELAYS: usize = 64;
+/// Maximum number of concurrent probes on behalf of other nodes. Further requests are dropped.
+const MAX_FORWARDED_PROBES: usize = 64;
 
-/// The probe of this period.
+/// The current probe of this node.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProbe {
     pub(super) target: NodeId,
     pub(super) address: SocketAddr,
     pub(super) sequence: u32,
-    /// When the target is asked again.
+    /// When the direct probe is repeated.
     pub(super) retry_at: Timestamp,
-    /// Whether other members have been asked.
-    pub(super) asked_others: bool,
-    /// Whether the probe before this one was not answered either.
+    /// Whether indirect probes have been requested.
+    pub(super) indirect_sent: bool,
+    /// Whether the previous probe of the target was unanswered too.
     pub(super) is_second: bool,
-    /// When the target is suspected.
+    /// When the probe counts as unanswered.
     pub(super) ends_at: Timestamp,
 }
 
-/// A member to be probed.
+/// A member to probe, and the reason.
 #[derive(Clone, Debug)]
-pub(super) struct Turn {
+pub(super) struct ScheduledProbe {
     pub(super) node: NodeId,
-    pub(super) reason: TurnReason,
+    pub(super) reason: ProbeReason,
 }
 
-/// Why it is its turn.
+/// Why a member is probed.
 #[derive(Clone, Debug)]
-pub(super) enum TurnReason {
-    /// The round has come to it.
-    Round,
-    /// It did not answer a probe of this node.
+pub(super) enum ProbeReason {
+    /// It is next in the current round.
+    RoundRobin,
+    /// It did not answer this node's previous probe.
     Unanswered,
-    /// Others claim it has failed; the claim is sent to it, for it to refute.
-    Claimed(Update),
+    /// Another member claims that it failed. The probe includes the claim, so that it can be refuted.
+    VerifyFailure(Update),
 }
 
-/// The order of probes: each member once in a round, in a random order, so that the time until a failed one is
-/// probed is bounded (Das et al. 2002, section 4.3). Every second probe may go to a member in doubt instead.
+/// Schedules probes: each member once per round in random order, so that the time until a failed member is
+/// probed is bounded (Das et al. 2002, section 4.3). Up to every second probe is taken from a priority queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeOrder {
     round: Vec<NodeId>,
-    in_doubt: VecDeque<Turn>,
-    last_was_in_doubt: bool,
+    priority: VecDeque<ScheduledProbe>,
+    last_was_priority: bool,
 }
 
 impl ProbeOrder {
-    /// The next member to probe; `candidates` are the live ones without this node.
+    /// Returns the next probe. `candidates` returns the live members other than this node.
     pub(super) fn next(
         &mut self,
         random: &mut Pcg64Mcg,
         candidates: impl FnOnce() -> Vec<NodeId>,
-    ) -> Option<Turn> {
-        if !self.last_was_in_doubt
-            && let Some(turn) = self.in_doubt.pop_front()
+    ) -> Option<ScheduledProbe> {
+        if !self.last_was_priority
+            && let Some(scheduled) = self.priority.pop_front()
         {
-            self.last_was_in_doubt = true;
-            return Some(turn);
+            self.last_was_priority = true;
+            return Some(scheduled);
         }
-        self.last_was_in_doubt = false;
+        self.last_was_priority = false;
         if self.round.is_empty() {
             self.round = candidates();
             self.round.shuffle(random);
         }
-        self.round.pop().map(|node| Turn { node, reason: TurnReason::Round })
+        self.round.pop().map(|node| ScheduledProbe { node, reason: ProbeReason::RoundRobin })
     }
 
-    /// Puts a new member at a random place of this round.
+    /// Inserts a new member at a random position of the current round.
     pub(super) fn insert(&mut self, random: &mut Pcg64Mcg, node: NodeId) {
-        let place = random.random_range(0..=self.round.len());
-        self.round.insert(place, node);
+        let position = random.random_range(0..=self.round.len());
+        self.round.insert(position, node);
     }
 
-    /// Probes a member again that did not answer.
+    /// Schedules a second probe of a member that did not answer.
     pub(super) fn probe_again(&mut self, node: &NodeId) {
-        self.in_doubt.push_front(Turn { node: node.clone(), reason: TurnReason::Unanswered });
+        self.priority.push_front(ScheduledProbe { node: node.clone(), reason: ProbeReason::Unanswered });
     }
 
-    /// Probes a member before its turn, with a claim for it to refute.
-    pub(super) fn probe_claimed(&mut self, claim: Update) {
-        if self.in_doubt.iter().all(|turn| turn.node != claim.node) {
-            self.in_doubt.push_back(Turn { node: claim.node.clone(), reason: TurnReason::Claimed(claim) });
+    /// Schedules a priority probe that asks a member to refute a claim about it.
+    pub(super) fn verify_failure(&mut self, claim: Update) {
+        if self.priority.iter().all(|scheduled| scheduled.node != claim.node) {
+            self.priority.push_back(ScheduledProbe {
+                node: claim.node.clone(),
+                reason: ProbeReason::VerifyFailure(claim),
+            });
         }
     }
 }
 
-/// A probe that this node makes for another.
+/// A probe that this node performs on behalf of another node.
 #[derive(Clone, Debug)]
-pub(super) struct Relay {
-    pub(super) asker: NodeId,
-    pub(super) asker_address: SocketAddr,
-    pub(super) asker_sequence: u32,
+pub(super) struct ForwardedProbe {
+    pub(super) requester: NodeId,
+    pub(super) requester_address: SocketAddr,
+    pub(super) requester_sequence: u32,
     pub(super) target: NodeId,
     expires_at: Timestamp,
 }
 
-/// Probes that this node makes for others, by its own sequence number.
+/// Probes on behalf of other nodes, by this node's sequence number.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Relays {
-    relays: BTreeMap<u32, Relay>,
+pub(super) struct ForwardedProbes {
+    forwarded_probes: BTreeMap<u32, ForwardedProbe>,
 }
 
-impl Relays {
-    /// Remembers a probe for another node. Returns whether there was room.
+impl ForwardedProbes {
+    /// Registers a probe on behalf of another node. Returns whether there was capacity.
     pub(super) fn add(
         &mut self,
         now: Timestamp,
         sequence: u32,
-        asker: (NodeId, SocketAddr, u32),
+        requester: (NodeId, SocketAddr, u32),
         target: NodeId,
         expires_at: Timestamp,
     ) -> bool {
-        self.relays.retain(|_, relay| relay.expires_at > now);
-        if self.relays.len() >= MAX_RELAYS {
+        self.forwarded_probes.retain(|_, forwarded| forwarded.expires_at > now);
+        if self.forwarded_probes.len() >= MAX_FORWARDED_PROBES {
             return false;
         }
-        let (asker, asker_address, asker_sequence) = asker;
-        self.relays.insert(sequence, Relay { asker, asker_address, asker_sequence, target, expires_at });
+        let (requester, requester_address, requester_sequence) = requester;
+        self.forwarded_probes.insert(
+            sequence,
+            ForwardedProbe { requester, requester_address, requester_sequence, target, expires_at },
+        );
         true
     }
 
-    /// The asker of the probe that `responder` has answered.
-    pub(super) fn take(&mut self, sequence: u32, responder: &NodeId) -> Option<Relay> {
-        self.relays.get(&sequence).filter(|relay| relay.target == *responder)?;
-        self.relays.remove(&sequence)
+    /// Removes and returns the probe that `responder` answered.
+    pub(super) fn take(&mut self, sequence: u32, responder: &NodeId) -> Option<ForwardedProbe> {
+        self.forwarded_probes.get(&sequence).filter(|forwarded| forwarded.target == *responder)?;
+        self.forwarded_probes.remove(&sequence)
     }
 }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -1,6 +1,5 @@
-//! What each kind of datagram leads to.
-//!
-//! Owns nothing; hands updates to `spread`, answers to `detect` and pages to `repair`.
+//! Dispatch of received messages: updates to `spread`, probe answers to `detect`, and member lists and table
+//! comparisons to `repair`.
 
 use std::net::SocketAddr;
 
@@ -11,20 +10,20 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Corrections sent in answer to one message; the rest follows when the doubts are heard again. Chosen, not
-/// measured: it bounds what one datagram can make this node send.
+/// Maximum number of corrections sent in response to one message. Bounds amplification; omitted corrections are
+/// sent when the outdated claims are received again.
 const MAX_CORRECTIONS: usize = 8;
 
 impl Membership {
-    /// Takes in a decoded message.
+    /// Processes a decoded message.
     pub(super) fn receive(&mut self, now: Timestamp, from: SocketAddr, message: Message) {
-        if message.sender == self.own {
+        if message.sender == self.own_id {
             return;
         }
         if self.leaving {
             return self.send_left(now, from, &message.sender);
         }
-        self.hear_documents(&message);
+        self.receive_announcements(&message);
         let mut corrections = Vec::new();
         for update in &message.updates {
             let cause = if update.node == message.sender { Cause::SelfReported } else { Cause::Gossip };
@@ -37,15 +36,16 @@
         self.receive_body(now, from, message);
     }
 
-    /// What to tell a sender that doubts a member which has refuted, this node itself included.
+    /// Returns the newer alive claim if the update repeats a suspicion or failure that the member, possibly this
+    /// node, has already refuted.
     ///
-    /// Without it a node that hears of a suspicion after the refutation has been sent often enough would never
-    /// hear of the refutation.
+    /// A node that receives a suspicion after the refutation has reached its retransmission limit would otherwise
+    /// never receive the refutation.
     fn correction_of(&self, update: &Update) -> Option<Update> {
         let known = self.table.get(&update.node)?;
-        let is_doubt = matches!(update.state, ClaimedState::Suspect | ClaimedState::Failed);
+        let is_adverse = matches!(update.state, ClaimedState::Suspect | ClaimedState::Failed);
         let is_refuted = known.claim.state == MemberState::Alive && known.claim > update.claim();
-        (is_doubt && is_refuted).then(|| Update::from_claim(&known.info, known.claim))
+        (is_adverse && is_refuted).then(|| Update::from_claim(&known.info, known.claim))
     }
 
     fn send_corrections(
@@ -63,17 +63,17 @@
     fn receive_body(&mut self, now: Timestamp, from: SocketAddr, message: Message) {
         let Message { sender, sequence, body, .. } = message;
         match body {
-            Body::Ping { target } if target == self.own => {
+            Body::Ping { target } if target == self.own_id => {
                 self.send(now, from, Some(&sender), sequence, Body::Acknowledge, None);
                 if self.table.get(&sender).is_none() {
-                    self.inquire(now, from);
+                    self.sync_with_unknown_sender(now, from);
                 }
             }
-            // The address has passed from another node to this one.
+            // The ping is for a node that previously used this address.
             Body::Ping { .. } | Body::Notice => {}
             Body::Acknowledge => self.receive_acknowledge(now, &sender, sequence),
             Body::PingRequest { target, address } => {
-                self.relay_probe(now, (sender, from, sequence), target, address.into());
+                self.forward_probe(now, (sender, from, sequence), target, address.into());
             }
             Body::ForwardedAcknowledge => self.receive_forwarded(sequence),
             Body::ListRequest { after } => self.send_page(now, from, &sender, sequence, after.as_ref()),
@@ -85,10 +85,10 @@
         }
     }
 
-    fn hear_documents(&mut self, message: &Message) {
+    fn receive_announcements(&mut self, message: &Message) {
         let table = &self.table;
         let is_live = |node: &_| table.get(node).is_some_and(|record| record.claim.state.is_live());
-        if self.documents.hear(&message.sender, &message.documents, is_live) {
+        if self.documents.record_announcements(&message.sender, &message.documents, is_live) {
             self.documents_version += 1;
         }
     }
--- a/crates/core/src/membership/repair.rs
+++ b/crates/core/src/membership/repair.rs
@@ -1,6 +1,4 @@
-//! Joining through seeds, comparing whole tables, and trying failed members again.
-//!
-//! Owns the times of these three; relies on the table for digests and on the seeds that the embedder named.
+//! Joining through seeds, anti-entropy between member tables, and reconnecting to failed members and seeds.
 
 use std::net::SocketAddr;
 
@@ -15,29 +13,28 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Room left in a page for what every message carries besides its entries, in bytes. An upper bound on
-/// names and document revisions by their limits; too little makes a datagram exceed its payload.
+/// Space reserved in a page for the other parts of a message, in bytes. An upper bound, given the limits on
+/// names and document revisions.
 const PAGE_OVERHEAD_BYTES: usize = 300;
 
-/// While comparisons find differences, the next follows after so many probe intervals on average. Chosen,
-/// not measured: more delays the merging of tables after a partition, fewer costs bytes while it heals.
-const BUSY_SYNC_PROBES: u32 = 4;
+/// Mean delay, in probe intervals, until the next comparison after one that found differences.
+const BUSY_SYNC_PROBE_INTERVALS: u32 = 4;
 
-/// Members of some buckets.
+/// The members of a set of buckets.
 #[derive(Clone, Debug, Default)]
 struct BucketPage {
     indexes: Vec<u8>,
     entries: Vec<Update>,
 }
 
-/// How far the join has come.
+/// Progress of the join.
 #[derive(Clone, Debug)]
 pub(super) struct Join {
-    /// The last member of the last page; the next page follows it.
+    /// The last member of the last page received.
     after: Option<NodeId>,
-    /// The question that waits for its page.
+    /// Sequence number of the pending page request.
     sequence: Option<u32>,
-    /// When to ask the next seed.
+    /// When to try the next seed.
     retry_at: Timestamp,
     next_seed: usize,
     finished: bool,
@@ -50,7 +47,7 @@
 }
 
 impl Membership {
-    /// When to ask a seed; `None` where the list is whole or there is no seed.
+    /// Returns when to try the next seed, or `None` if the member list is complete or there are no seeds.
     pub(super) fn join_due(&self) -> Option<Timestamp> {
         let is_alone = self.table.live_count() <= 1;
         let is_wanted = is_alone || !self.join.finished;
@@ -71,11 +68,11 @@
         self.join.sequence = Some(sequence);
         self.join.retry_at = now + self.config.join_retry;
         let body = Body::ListRequest { after: self.join.after.clone() };
-        let introduction = self.own_update();
-        self.send(now, address, None, sequence, body, introduction);
+        let own_update = self.own_update();
+        self.send(now, address, None, sequence, body, own_update);
     }
 
-    /// Sends the live members that follow `after`, as many as one datagram holds.
+    /// Sends one page of the live members after `after`, limited to one datagram.
     pub(super) fn send_page(
         &mut self,
         now: Timestamp,
@@ -84,17 +81,17 @@
         sequence: u32,
         after: Option<&NodeId>,
     ) {
-        let mut room = self.page_room();
+        let mut capacity = self.page_capacity();
         let mut entries = Vec::new();
         let mut next = None;
         for record in self.table.live_after(after) {
             let entry = Update::alive(&record.info, record.claim.incarnation);
             let bytes = entry.encoded_bytes();
-            if bytes > room {
+            if bytes > capacity {
                 next = entries.last().map(|entry: &Update| entry.node.clone());
                 break;
             }
-            room -= bytes;
+            capacity -= bytes;
             entries.push(entry);
         }
         self.send(now, to, Some(receiver), sequence, Body::ListPage { entries, next }, None);
@@ -118,13 +115,13 @@
         self.join.finished = next.is_none();
         self.join.after = next;
         if self.join.finished {
-            self.sync_soon(now);
+            self.schedule_early_sync(now);
         } else {
             self.request_page(now, from);
         }
     }
 
-    /// When to compare tables or to try a failed member.
+    /// Returns when to compare tables or to reconnect next, or `None` if anti-entropy is disabled.
     pub(super) fn repair_due(&self) -> Option<Timestamp> {
         let due = self.next_sync_at.min(self.next_reconnect_at);
         self.config.mechanisms.anti_entropy.then_some(due)
@@ -139,42 +136,45 @@
         }
         if self.next_reconnect_at <= now {
             self.next_reconnect_at = now + self.config.reconnect_interval;
-            self.try_failed_member(now);
-            self.try_silent_seed(now);
+            self.probe_failed_member(now);
+            self.sync_with_unknown_seed(now);
         }
     }
 
-    /// Compares tables with a seed that is not known as a live member. Where all seeds were restarted, they
-    /// find only each other, and whoever was not restarted holds them for left: only this brings the two
-    /// together.
-    fn try_silent_seed(&mut self, now: Timestamp) {
-        if let Some(seed) = self.silent_seed() {
-            self.introduce_and_compare(now, seed);
+    /// Compares tables with a seed that is not a known live member.
+    ///
+    /// If all seeds restart, they find only each other, while the other nodes record them as left. Without this
+    /// comparison the two groups would stay separate.
+    fn sync_with_unknown_seed(&mut self, now: Timestamp) {
+        if let Some(seed) = self.seed_without_member() {
+            self.send_digest_with_own_update(now, seed);
         }
     }
 
-    /// Compares tables with a member that is not known here and probes this node: to all others it is a
-    /// member like any, so that no update about it need ever come again.
-    pub(super) fn inquire(&mut self, now: Timestamp, from: SocketAddr) {
-        if !self.config.mechanisms.anti_entropy || self.next_inquiry_at > now {
+    /// Compares tables with an unknown sender that probed this node.
+    ///
+    /// The other members may know the sender already, in which case no further update about it is disseminated.
+    pub(super) fn sync_with_unknown_sender(&mut self, now: Timestamp, from: SocketAddr) {
+        if !self.config.mechanisms.anti_entropy || self.next_unknown_sender_sync_at > now {
             return;
         }
-        self.next_inquiry_at = now + self.config.probe_interval;
-        self.introduce_and_compare(now, from);
+        self.next_unknown_sender_sync_at = now + self.config.probe_interval;
+        self.send_digest_with_own_update(now, from);
     }
 
-    /// Compares tables with whoever is at an address, who may not know this node.
-    fn introduce_and_compare(&mut self, now: Timestamp, to: SocketAddr) {
+    /// Starts a table comparison with the node at an address. Includes this node's own update, because the
+    /// receiver may not know this node.
+    fn send_digest_with_own_update(&mut self, now: Timestamp, to: SocketAddr) {
         let body = Body::Digest { buckets: self.table.digest() };
         let sequence = self.next_sequence();
-        let introduction = self.own_update();
-        self.send(now, to, None, sequence, body, introduction);
+        let own_update = self.own_update();
+        self.send(now, to, None, sequence, body, own_update);
     }
 
     fn start_sync(&mut self, now: Timestamp) {
-        let spread = self.random.random_range(0.5..1.5);
-        self.next_sync_at = now + self.config.sync_interval.mul_f64(spread);
-        self.table.forget(now, self.config.forget_failed_after, self.config.forget_left_after);
+        let jitter = self.random.random_range(0.5..1.5);
+        self.next_sync_at = now + self.config.sync_interval.mul_f64(jitter);
+        self.table.remove_expired(now, self.config.forget_failed_after, self.config.forget_left_after);
         let body = Body::Digest { buckets: self.table.digest() };
         let sequence = self.next_sequence();
         if let Some((peer, address)) = self.random_peers(1).pop() {
@@ -182,33 +182,34 @@
         }
     }
 
-    /// One difference is a sign of more, as after a start of the whole cluster or a healed partition.
-    pub(super) fn sync_soon(&mut self, now: Timestamp) {
-        let spread = self.random.random_range(0.5..1.5);
-        let soon = now + (self.config.probe_interval * BUSY_SYNC_PROBES).mul_f64(spread);
+    /// Brings the next comparison forward. A difference suggests further ones, for example after a cluster start
+    /// or a healed partition.
+    pub(super) fn schedule_early_sync(&mut self, now: Timestamp) {
+        let jitter = self.random.random_range(0.5..1.5);
+        let soon = now + (self.config.probe_interval * BUSY_SYNC_PROBE_INTERVALS).mul_f64(jitter);
         self.next_sync_at = self.next_sync_at.min(soon);
     }
 
-    /// A seed at whose address no live member is known.
-    fn silent_seed(&mut self) -> Option<SocketAddr> {
+    /// Returns a random seed address that belongs to no known live member.
+    fn seed_without_member(&mut self) -> Option<SocketAddr> {
         let table = &self.table;
-        let is_silent = |seed: &&SocketAddr| table.live().all(|record| record.info.address != **seed);
-        self.seeds.iter().filter(is_silent).choose(&mut self.random).copied()
+        let has_no_member = |seed: &&SocketAddr| table.live().all(|record| record.info.address != **seed);
+        self.seeds.iter().filter(has_no_member).choose(&mut self.random).copied()
     }
 
-    fn try_failed_member(&mut self, now: Timestamp) {
+    fn probe_failed_member(&mut self, now: Timestamp) {
         let failed = self.table.with_state(MemberState::Failed).choose(&mut self.random);
         let Some((node, address)) = failed.map(|record| (record.info.node.clone(), record.info.address))
         else {
             return;
         };
         let sequence = self.next_sequence();
-        let introduction = self.own_update();
+        let own_update = self.own_update();
         let body = Body::Ping { target: node.clone() };
-        self.send(now, address, Some(&node), sequence, body, introduction);
+        self.send(now, address, Some(&node), sequence, body, own_update);
     }
 
-    /// Sends some of the buckets in which the tables differ, at random, so that a few rounds cover all.
+    /// Sends a random selection of the buckets that differ. Repeated comparisons cover all of them.
     pub(super) fn receive_digest(
         &mut self,
         now: Timestamp,
@@ -238,42 +239,42 @@
         theirs: &[Update],
         exchange: bool,
     ) {
-        let better = self.better_than(indexes, theirs);
+        let newer = self.newer_entries(indexes, theirs);
         let known = self.view_version;
         for entry in theirs {
-            self.apply_entry(now, entry);
+            self.apply_sync_entry(now, entry);
         }
         if self.view_version != known {
-            self.sync_soon(now);
+            self.schedule_early_sync(now);
         }
-        if exchange && !better.is_empty() {
-            let page = BucketPage { indexes: indexes.to_vec(), entries: better };
+        if exchange && !newer.is_empty() {
+            let page = BucketPage { indexes: indexes.to_vec(), entries: newer };
             self.send_buckets(now, from, sender, page, false);
         }
     }
 
-    /// What this node knows in some buckets and the other does not.
-    fn better_than(&self, indexes: &[u8], theirs: &[Update]) -> Vec<Update> {
+    /// Returns the members of the given buckets for which this node has newer claims than the remote entries.
+    fn newer_entries(&self, indexes: &[u8], theirs: &[Update]) -> Vec<Update> {
         let their_claim = |record: &MemberRecord| {
             theirs.iter().find(|entry| entry.node == record.info.node).map(Update::claim)
         };
-        let is_better = |record: &&MemberRecord| match their_claim(record) {
+        let is_newer = |record: &&MemberRecord| match their_claim(record) {
             Some(claim) => bucket_entry(record).claim() > claim,
             None => record.claim.state.is_live(),
         };
         let records = indexes.iter().flat_map(|index| self.table.bucket(*index));
-        records.filter(is_better).map(bucket_entry).collect()
+        records.filter(is_newer).map(bucket_entry).collect()
     }
 
-    /// The members of some buckets in as many pages as one comparison may take, the first buckets first.
+    /// Packs the members of the given buckets into at most `sync_pages` pages, in the order of `indexes`.
     fn bucket_pages(&self, indexes: &[u8]) -> Vec<BucketPage> {
-        let room = self.page_room();
+        let capacity = self.page_capacity();
         let mut pages: Vec<BucketPage> = Vec::new();
-        let mut used = room;
+        let mut used = capacity;
         for index in indexes {
             let entries: Vec<Update> = self.table.bucket(*index).map(bucket_entry).collect();
             let bytes: usize = entries.iter().map(Update::encoded_bytes).sum();
-            if used + bytes > room {
+            if used + bytes > capacity {
                 if pages.len() >= self.config.sync_pages {
                     break;
                 }
@@ -289,22 +290,22 @@
         pages
     }
 
-    /// A failure that is known elsewhere only is looked into rather than believed: after a partition each side
-    /// holds the other's members for failed.
-    fn apply_entry(&mut self, now: Timestamp, entry: &Update) {
+    /// Applies an entry of a table comparison. A claimed failure of a member that is live here is verified by a
+    /// probe instead of applied, because after a partition each side records the other's members as failed.
+    fn apply_sync_entry(&mut self, now: Timestamp, entry: &Update) {
         let known = self.table.get(&entry.node).map(|record| record.claim);
         let claims_failure = entry.state == ClaimedState::Failed;
-        if claims_failure && entry.node != self.own {
+        if claims_failure && entry.node != self.own_id {
             let contradicts = known.is_some_and(|known| known.state.is_live() && entry.claim() > known);
             if contradicts {
-                self.order.probe_claimed(entry.clone());
+                self.order.verify_failure(entry.clone());
             }
             return;
         }
         self.apply(now, entry, Cause::Gossip);
     }
 
-    /// Sends a page in one datagram, or in more where a bucket has outgrown it.
+    /// Sends a page, split into several datagrams if a bucket does not fit into one.
     fn send_buckets(
         &mut self,
         now: Timestamp,
@@ -313,19 +314,19 @@
         page: BucketPage,
         exchange: bool,
     ) {
-        for entries in pages(page.entries, self.page_room()) {
+        for entries in split_into_pages(page.entries, self.page_capacity()) {
             let sequence = self.next_sequence();
             let body = Body::Buckets { indexes: page.indexes.clone(), entries, exchange };
             self.send(now, to, Some(receiver), sequence, body, None);
         }
     }
 
-    fn page_room(&self) -> usize {
+    fn page_capacity(&self) -> usize {
         self.config.maximum_payload_bytes.saturating_sub(PAGE_OVERHEAD_BYTES)
     }
 }
 
-/// A member as it goes into a comparison: suspicions stay out of it.
+/// Returns the entry of a member in a table comparison. Suspects are reported as alive.
 fn bucket_entry(record: &MemberRecord) -> Update {
     let mut claim = record.claim;
     if claim.state == MemberState::Suspect {
@@ -334,13 +335,13 @@
     Update::from_claim(&record.info, claim)
 }
 
-/// Splits entries into pages of at most `room` bytes; at least one page, which may be empty.
-fn pages(entries: Vec<Update>, room: usize) -> Vec<Vec<Update>> {
+/// Splits entries into pages of at most `capacity` bytes. Returns at least one page, which may be empty.
+fn split_into_pages(entries: Vec<Update>, capacity: usize) -> Vec<Vec<Update>> {
     let mut pages = vec![Vec::new()];
     let mut used = 0;
     for entry in entries {
         let bytes = entry.encoded_bytes();
-        if used + bytes > room && used > 0 {
+        if used + bytes > capacity && used > 0 {
             pages.push(Vec::new());
             used = 0;
         }
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/spread.rs
@@ -1,6 +1,6 @@
-//! Taking in updates about members, and passing them on.
+//! Application and dissemination of member updates, including refutations of claims about this node.
 //!
-//! Decides what is believed by the order of claims, and refutes what is claimed of this node.
+//! Updates are accepted by the precedence of their claims.
 
 use std::time::Duration;
 
@@ -8,42 +8,42 @@
 use super::machine::Membership;
 use super::member::{Incarnation, MemberClaim, MemberState};
 use super::message::{ClaimedState, Update};
-use super::table::Applied;
+use super::table::ApplyOutcome;
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// A member that has until `expires_at` to refute.
+/// A suspicion that the member can refute until `expires_at`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Suspicion {
     pub(super) expires_at: Timestamp,
 }
 
 impl Membership {
-    /// Takes in one update.
+    /// Applies an update to the member table and reports the resulting event.
     pub(super) fn apply(&mut self, now: Timestamp, update: &Update, cause: Cause) {
-        if update.node == self.own {
-            return self.hear_about_self(now, update);
+        if update.node == self.own_id {
+            return self.refute_claim(now, update);
         }
         match self.table.apply(now, update) {
-            Applied::Nothing => {}
-            Applied::Added => self.added(update, cause),
-            Applied::Raised { previous, since, info_changed } => {
+            ApplyOutcome::Ignored => {}
+            ApplyOutcome::Added => self.handle_added(update, cause),
+            ApplyOutcome::Superseded { previous, since, info_changed } => {
                 let after = now.saturating_since(since);
-                self.raised(now, update, cause, (previous, after), info_changed);
+                self.handle_superseded(now, update, cause, (previous, after), info_changed);
             }
         }
     }
 
-    fn added(&mut self, update: &Update, cause: Cause) {
-        // What stands in the list of a seed is known to the others.
+    fn handle_added(&mut self, update: &Update, cause: Cause) {
+        // Members listed by a seed are already known to the other members.
         if cause != Cause::JoinList {
             self.updates.push(update.clone());
         }
         self.order.insert(&mut self.random, update.node.clone());
-        self.changed_view(update, EventKind::Joined, cause, None);
+        self.report_view_change(update, EventKind::Joined, cause, None);
     }
 
-    fn raised(
+    fn handle_superseded(
         &mut self,
         now: Timestamp,
         update: &Update,
@@ -59,11 +59,11 @@
             self.suspicions.insert(update.node.clone(), Suspicion { expires_at });
         }
         if state.is_live() && !previous.is_live() {
-            return self.rejoined(now, update, cause, after);
+            return self.handle_rejoined(now, update, cause, after);
         }
         match state {
             MemberState::Alive if info_changed => {
-                self.changed_view(update, EventKind::Changed, cause, None);
+                self.report_view_change(update, EventKind::Changed, cause, None);
             }
             MemberState::Alive if previous == MemberState::Suspect => {
                 self.report(update, EventKind::Refuted, cause, Some(after));
@@ -72,23 +72,26 @@
             MemberState::Suspect => self.report(update, EventKind::Suspected, cause, None),
             MemberState::Failed => {
                 let suspected_for = (previous == MemberState::Suspect).then_some(after);
-                self.changed_view(update, EventKind::Failed, cause, suspected_for);
+                self.report_view_change(update, EventKind::Failed, cause, suspected_for);
             }
-            MemberState::Left => self.changed_view(update, EventKind::Left, cause, None),
+            MemberState::Left => self.report_view_change(update, EventKind::Left, cause, None),
         }
     }
 
-    /// One member that is back is a sign that more can be reached: the next is tried soon.
-    fn rejoined(&mut self, now: Timestamp, update: &Update, cause: Cause, after: Duration) {
+    /// Handles the return of a member. Brings the next reconnect forward, since other failed members may be
+    /// reachable again too.
+    fn handle_rejoined(&mut self, now: Timestamp, update: &Update, cause: Cause, after: Duration) {
         self.order.insert(&mut self.random, update.node.clone());
         let soon = now + self.config.probe_interval / 2;
         self.next_reconnect_at = self.next_reconnect_at.min(soon);
-        self.changed_view(update, EventKind::Rejoined, cause, Some(after));
+        self.report_view_change(update, EventKind::Rejoined, cause, Some(after));
     }
 
-    /// Invariant: while this node takes part, no claim that is known here outranks its own claim to be alive.
-    fn hear_about_self(&mut self, now: Timestamp, update: &Update) {
-        let Some(record) = self.table.get(&self.own) else { return };
+    /// Refutes a claim about this node that takes precedence over its own.
+    ///
+    /// Invariant: until this node leaves, no claim that it knows takes precedence over its own alive claim.
+    fn refute_claim(&mut self, now: Timestamp, update: &Update) {
+        let Some(record) = self.table.get(&self.own_id) else { return };
         let own_claim = record.claim;
         let claimed = update.claim();
         if claimed <= own_claim || self.leaving || !self.config.mechanisms.refutation {
@@ -103,17 +106,17 @@
         };
         self.table.insert(own_record);
         self.updates.push(refutation.clone());
-        let is_other_life = matches!(update.state, ClaimedState::Alive { .. });
-        let cause = if is_other_life { Cause::DuplicateId } else { Cause::Gossip };
+        let is_duplicate_id = matches!(update.state, ClaimedState::Alive { .. });
+        let cause = if is_duplicate_id { Cause::DuplicateId } else { Cause::Gossip };
         self.report(&refutation, EventKind::Refuted, cause, None);
     }
 
-    /// This node's present incarnation.
+    /// Returns the current incarnation of this node.
     pub fn incarnation(&self) -> Incarnation {
-        self.table.get(&self.own).map_or(Incarnation(0), |record| record.claim.incarnation)
+        self.table.get(&self.own_id).map_or(Incarnation(0), |record| record.claim.incarnation)
     }
 
-    /// Declares failed whoever did not refute in time.
+    /// Declares members failed whose suspicion has expired.
     pub(super) fn expire_suspicions(&mut self, now: Timestamp) {
         let is_expired = |suspicion: &Suspicion| suspicion.expires_at <= now;
         let expired: Vec<NodeId> = self
@@ -129,14 +132,20 @@
         }
     }
 
-    /// Makes a claim about a member at the incarnation that is known of it.
+    /// Applies a claim about a member at its known incarnation.
     pub(super) fn declare(&mut self, now: Timestamp, node: &NodeId, state: ClaimedState, cause: Cause) {
         let Some(record) = self.table.get(node) else { return };
         let update = Update { node: node.clone(), incarnation: record.claim.incarnation, state };
         self.apply(now, &update, cause);
     }
 
-    fn changed_view(&mut self, update: &Update, kind: EventKind, cause: Cause, after: Option<Duration>) {
+    fn report_view_change(
+        &mut self,
+        update: &Update,
+        kind: EventKind,
+        cause: Cause,
+        after: Option<Duration>,
+    ) {
         self.view_version += 1;
         self.report(update, kind, cause, after);
     }
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -1,48 +1,45 @@
-//! Time as far as this node was awake to see it.
+//! Protocol time: the driver's clock without the stalls of this process.
 //!
-//! A process that is frozen for a while wakes to find every deadline past and every answer unread in its socket.
-//! Taken at its word the clock would make it declare healthy members failed. So the protocol runs on the time
-//! awake: what a timer was late by is this node's own stall and does not count against others. The idea of
-//! crediting timer lateness comes from "Terminal Transport & Resume (Hive)", section on host-load-aware
-//! liveness; the second signal there, memory pressure of the machine, is not used.
+//! After a process has been suspended, all its deadlines have passed while answers are still unread in its
+//! socket. With the driver's clock it would declare healthy members failed. Protocol time therefore excludes
+//! the lateness of timers, which is attributed to this node and not to other members. Based on the timer
+//! lateness credit in "Terminal Transport & Resume (Hive)", section on host-load-aware liveness.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Turns the driver's clock into time awake.
+/// Converts between the driver's clock and protocol time.
 #[derive(Clone, Debug)]
-pub(super) struct AwakeClock {
-    stalled: Duration,
+pub(super) struct ProtocolClock {
+    total_stall: Duration,
     tolerance: Option<Duration>,
 }
 
-impl AwakeClock {
-    /// A clock that credits stalls longer than `tolerance`; `None` credits none.
+impl ProtocolClock {
+    /// Creates a clock that excludes stalls longer than `tolerance`, or none if it is `None`.
     pub(super) fn new(tolerance: Option<Duration>) -> Self {
-        Self { stalled: Duration::ZERO, tolerance }
+        Self { total_stall: Duration::ZERO, tolerance }
     }
 
-    /// Time awake, given that the node should have been woken at `due` (in time awake).
-    ///
-    /// Returns it with the stall that was credited just now.
-    pub(super) fn read(&mut self, clock: Timestamp, due: Option<Timestamp>) -> (Timestamp, Duration) {
-        let awake = self.awake(clock);
-        let late = due.map_or(Duration::ZERO, |due| awake.saturating_since(due));
-        if self.tolerance.is_none_or(|tolerance| late <= tolerance) {
-            return (awake, Duration::ZERO);
+    /// Returns the protocol time and the newly excluded stall. `due` is the next deadline, in protocol time.
+    pub(super) fn read(&mut self, driver_time: Timestamp, due: Option<Timestamp>) -> (Timestamp, Duration) {
+        let protocol_time = self.protocol_time(driver_time);
+        let lateness = due.map_or(Duration::ZERO, |due| protocol_time.saturating_since(due));
+        if self.tolerance.is_none_or(|tolerance| lateness <= tolerance) {
+            return (protocol_time, Duration::ZERO);
         }
-        self.stalled += late;
-        (self.awake(clock), late)
+        self.total_stall += lateness;
+        (self.protocol_time(driver_time), lateness)
     }
 
-    /// A point of time awake on the driver's clock.
-    pub(super) fn to_clock(&self, awake: Timestamp) -> Timestamp {
-        awake + self.stalled
+    /// Converts protocol time to the driver's clock.
+    pub(super) fn to_driver_time(&self, protocol_time: Timestamp) -> Timestamp {
+        protocol_time + self.total_stall
     }
 
-    fn awake(&self, clock: Timestamp) -> Timestamp {
-        let stalled = u64::try_from(self.stalled.as_micros()).unwrap_or(u64::MAX);
-        Timestamp::from_micros(clock.as_micros().saturating_sub(stalled))
+    fn protocol_time(&self, driver_time: Timestamp) -> Timestamp {
+        let total_stall = u64::try_from(self.total_stall.as_micros()).unwrap_or(u64::MAX);
+        Timestamp::from_micros(driver_time.as_micros().saturating_sub(total_stall))
     }
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,6 +1,6 @@
-//! Every member that this node knows, itself included.
+//! Table of all members that this node knows, including itself.
 //!
-//! Owns the records and the count of live ones; claims decide which update is taken over.
+//! Applies updates by the precedence of their claims and computes digests for table comparison.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,31 +13,30 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Buckets that a table is compared by. Part of the protocol, the same on all nodes. Chosen, not measured:
-/// with fewer, a difference costs a larger page.
+/// Number of buckets in a table digest. Part of the protocol; must be the same on all nodes.
 pub(crate) const DIGEST_BUCKETS: u8 = 64;
 
-/// Members by id.
+/// Member records by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     records: BTreeMap<NodeId, MemberRecord>,
     live: usize,
 }
 
-/// What an update did to the table.
+/// Effect of an update on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Applied {
-    /// Nothing: it was known, or less than what is known.
-    Nothing,
-    /// A member that was not known.
+pub(super) enum ApplyOutcome {
+    /// The claim was not greater than the recorded one, or did not contain an unknown member's address.
+    Ignored,
+    /// An unknown member was added.
     Added,
-    /// A greater claim about a known member.
-    Raised {
-        /// How it stood before.
+    /// A greater claim about a known member replaced the recorded one.
+    Superseded {
+        /// The previous state.
         previous: MemberState,
-        /// When it began to stand so.
+        /// When the previous state began.
         since: Timestamp,
-        /// Whether its address or attributes changed.
+        /// Whether the member's zone, address or attributes changed.
         info_changed: bool,
     },
 }
@@ -47,7 +46,7 @@
         let is_live = record.claim.state.is_live();
         let previous = self.records.insert(record.info.node.clone(), record);
         let was_live = previous.is_some_and(|previous| previous.claim.state.is_live());
-        self.count_change(was_live, is_live);
+        self.update_live_count(was_live, is_live);
     }
 
     pub(super) fn get(&self, node: &NodeId) -> Option<&MemberRecord> {
@@ -66,7 +65,7 @@
         self.records.values().filter(move |record| record.claim.state == state)
     }
 
-    /// Live members that follow one in the order of ids.
+    /// Returns the live members after `after` in id order, or all of them.
     pub(super) fn live_after<'a>(
         &'a self,
         after: Option<&'a NodeId>,
@@ -76,14 +75,14 @@
         records.map(|(_, record)| record).filter(|record| record.claim.state.is_live())
     }
 
-    /// Takes an update over where its claim is greater than what is known.
-    pub(super) fn apply(&mut self, now: Timestamp, update: &Update) -> Applied {
+    /// Applies an update if its claim is greater than the recorded one.
+    pub(super) fn apply(&mut self, now: Timestamp, update: &Update) -> ApplyOutcome {
         let claim = update.claim();
         let Some(record) = self.records.get_mut(&update.node) else {
             return self.add(now, update);
         };
         if claim <= record.claim {
-            return Applied::Nothing;
+            return ApplyOutcome::Ignored;
         }
         let previous = record.claim.state;
         let since = record.since;
@@ -96,19 +95,19 @@
         if let Some(info) = info {
             record.info = info;
         }
-        self.count_change(previous.is_live(), claim.state.is_live());
-        Applied::Raised { previous, since, info_changed }
+        self.update_live_count(previous.is_live(), claim.state.is_live());
+        ApplyOutcome::Superseded { previous, since, info_changed }
     }
 
-    /// Only an update with an address can add a member: a failure of somebody unknown helps nobody.
-    fn add(&mut self, now: Timestamp, update: &Update) -> Applied {
-        let Some(info) = update.info() else { return Applied::Nothing };
+    /// Adds an unknown member if the update contains its address. Other claims about unknown members are ignored.
+    fn add(&mut self, now: Timestamp, update: &Update) -> ApplyOutcome {
+        let Some(info) = update.info() else { return ApplyOutcome::Ignored };
         self.insert(MemberRecord { info, claim: update.claim(), since: now });
-        Applied::Added
+        ApplyOutcome::Added
     }
 
-    /// Removes members that failed or left long ago.
-    pub(super) fn forget(&mut self, now: Timestamp, failed_after: Duration, left_after: Duration) {
+    /// Removes members that failed or left longer ago than the given durations.
+    pub(super) fn remove_expired(&mut self, now: Timestamp, failed_after: Duration, left_after: Duration) {
         self.records.retain(|_, record| match record.claim.state {
             MemberState::Alive | MemberState::Suspect => true,
             MemberState::Failed => now.saturating_since(record.since) < failed_after,
@@ -116,8 +115,9 @@
         });
     }
 
-    /// One digest for each bucket, over ids and incarnations of live members. Suspicions come and go too fast
-    /// to be compared, and what has failed is forgotten at different times on different nodes.
+    /// Returns one digest per bucket over the ids and incarnations of live members.
+    ///
+    /// Excludes suspicions, which are short-lived, and failed members, which nodes remove at different times.
     pub(super) fn digest(&self) -> Vec<u32> {
         let mut buckets = vec![0; usize::from(DIGEST_BUCKETS)];
         for record in self.live() {
@@ -127,24 +127,24 @@
         buckets
     }
 
-    /// Every member of a bucket, the failed ones too.
+    /// Returns all members of a bucket, live or not.
     pub(super) fn bucket(&self, index: u8) -> impl Iterator<Item = &MemberRecord> {
         self.records.values().filter(move |record| bucket_of(&record.info.node) == index)
     }
 
-    fn count_change(&mut self, was_live: bool, is_live: bool) {
+    fn update_live_count(&mut self, was_live: bool, is_live: bool) {
         self.live = self.live + usize::from(is_live) - usize::from(was_live);
     }
 }
 
 fn bucket_of(node: &NodeId) -> u8 {
     let hash = xxh3_64(node.as_str().as_bytes()) % u64::from(DIGEST_BUCKETS);
-    // Never fails: the remainder is below the number of buckets, which fits.
+    // Never fails: the remainder is less than the number of buckets, a `u8`.
     u8::try_from(hash).unwrap_or_default()
 }
 
 fn fingerprint(node: &NodeId, claim: MemberClaim) -> u32 {
     let hash = xxh3_64(format!("{node}\n{}", claim.incarnation.0).as_bytes());
-    // Never fails: the upper half is masked off.
+    // Never fails: the upper half is masked out.
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Updates that ride on messages: each on a bounded number of them, and within a budget of bytes.
+//! Queue of updates to piggyback on messages, with a limit on transmissions per update and a byte budget.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The bytes of the shortest update: a node id of one letter, an incarnation and a tag.
+/// Minimum encoded size of an update, in bytes: a node id of one letter, an incarnation and a tag.
 const MIN_UPDATE_BYTES: usize = 14;
 
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     transmissions: u32,
 }
 
-/// Updates that have not been sent often enough, at most one for each member: the greatest.
+/// Updates below their transmission limit, at most one per member: the one with the greatest claim.
 #[derive(Clone, Debug)]
 pub(super) struct UpdateQueue {
     queued: BTreeMap<NodeId, QueuedUpdate>,
@@ -31,28 +31,28 @@
         Self { queued: BTreeMap::new(), budget: ByteBudget::new(config, now) }
     }
 
-    /// Queues an update in place of an earlier one about the same member.
+    /// Queues an update, replacing an earlier one about the same member.
     pub(super) fn push(&mut self, update: Update) {
         let bytes = update.encoded_bytes();
         self.queued.insert(update.node.clone(), QueuedUpdate { update, bytes, transmissions: 0 });
     }
 
-    /// Fills a message with updates as far as its room and the byte budget go. An update that has been sent `limit`
-    /// times is dropped.
-    pub(super) fn fill(&mut self, now: Timestamp, message: &mut Message, room: usize, limit: u32) {
+    /// Adds updates to a message within its remaining space and the byte budget. Removes an update from the queue
+    /// once it has been sent `limit` times.
+    pub(super) fn fill(&mut self, now: Timestamp, message: &mut Message, remaining_bytes: usize, limit: u32) {
         self.budget.refill(now);
-        let mut room = room;
-        for node in self.most_urgent(room.min(self.budget.available())) {
+        let mut remaining_bytes = remaining_bytes;
+        for node in self.highest_priority(remaining_bytes.min(self.budget.available())) {
             let Some(queued) = self.queued.get_mut(&node) else { continue };
-            if queued.bytes > room || message.updates.iter().any(|update| update.node == node) {
+            if queued.bytes > remaining_bytes || message.updates.iter().any(|update| update.node == node) {
                 continue;
             }
-            // Nothing smaller overtakes an update that must wait for the budget, or refutations would starve
-            // behind suspicions, which are shorter.
+            // Stops at the first update that exceeds the budget. Otherwise suspicions, which are shorter, would
+            // starve refutations.
             if queued.bytes > self.budget.available() {
                 return;
             }
-            room -= queued.bytes;
+            remaining_bytes -= queued.bytes;
             self.budget.spend(queued.bytes);
             message.updates.push(queued.update.clone());
             queued.transmissions += 1;
@@ -62,27 +62,27 @@
         }
     }
 
-    /// The updates that could fill `room` bytes and one more: the least sent first, refutations and joins before
-    /// doubts.
-    fn most_urgent(&self, room: usize) -> Vec<NodeId> {
-        let mut nodes: Vec<_> = self.queued.iter().map(urgency).collect();
-        let wanted = room / MIN_UPDATE_BYTES + 1;
-        if wanted < nodes.len() {
-            nodes.select_nth_unstable(wanted);
-            nodes.truncate(wanted);
+    /// Returns the members with the highest-priority updates, enough to fill `remaining_bytes`: fewest
+    /// transmissions first, then alive claims before other claims.
+    fn highest_priority(&self, remaining_bytes: usize) -> Vec<NodeId> {
+        let mut nodes: Vec<_> = self.queued.iter().map(priority_key).collect();
+        let count = remaining_bytes / MIN_UPDATE_BYTES + 1;
+        if count < nodes.len() {
+            nodes.select_nth_unstable(count);
+            nodes.truncate(count);
         }
         nodes.sort_unstable();
         nodes.into_iter().map(|(_, _, node)| node.clone()).collect()
     }
 }
 
-/// Sorts updates: less comes first.
-fn urgency<'a>((node, queued): (&'a NodeId, &QueuedUpdate)) -> (u32, bool, &'a NodeId) {
-    let is_doubt = !matches!(queued.update.state, ClaimedState::Alive { .. });
-    (queued.transmissions, is_doubt, node)
+/// Returns the sort key of an update; lower keys are sent first.
+fn priority_key<'a>((node, queued): (&'a NodeId, &QueuedUpdate)) -> (u32, bool, &'a NodeId) {
+    let is_adverse = !matches!(queued.update.state, ClaimedState::Alive { .. });
+    (queued.transmissions, is_adverse, node)
 }
 
-/// A token bucket of bytes, kept in millionths of a byte so that no refill is rounded away.
+/// A token bucket for bytes, counted in millionths of a byte so that small refills are not lost to rounding.
 #[derive(Clone, Debug)]
 struct ByteBudget {
     micro_bytes: u64,
@@ -104,8 +104,8 @@
 
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.as_micros().saturating_sub(self.refilled_at.as_micros());
-        let earned = elapsed.saturating_mul(self.bytes_per_second);
-        self.micro_bytes = self.micro_bytes.saturating_add(earned).min(self.maximum_micro_bytes);
+        let refilled = elapsed.saturating_mul(self.bytes_per_second);
+        self.micro_bytes = self.micro_bytes.saturating_add(refilled).min(self.maximum_micro_bytes);
         self.refilled_at = now;
     }
 
