--- a/crates/core/src/request/execution/events.rs
+++ b/crates/core/src/request/execution/events.rs
@@ -3,7 +3,7 @@
 
 use rand::Rng;
 
-use super::{ClaimVerdict, Current, EngineEvent, Execution, RefusalCause, ReleaseCause, State};
+use super::{ClaimResult, Current, EngineEvent, Execution, RefusalCause, ReleaseCause, State};
 use crate::identity::AttemptId;
 use crate::request::answer::FinishReason;
 use crate::request::assembly::{Acceptance, Chunk};
@@ -13,18 +13,18 @@
 
 impl Execution {
     /// Handles the result of the claim.
-    pub fn claimed(&mut self, verdict: ClaimVerdict, now: Timestamp) {
+    pub fn claimed(&mut self, result: ClaimResult, now: Timestamp) {
         if self.state != State::Claiming {
             return;
         }
-        self.state = match verdict {
-            ClaimVerdict::Granted => {
+        self.state = match result {
+            ClaimResult::Granted => {
                 self.ledger.claimed(ClaimGranted::by_majority());
                 State::Choosing(now)
             }
-            ClaimVerdict::Held => State::GivenUp(GiveUpReason::AlreadyClaimed),
-            ClaimVerdict::Expired => State::GivenUp(GiveUpReason::ClaimExpired),
-            ClaimVerdict::NoMajority => State::GivenUp(GiveUpReason::ClaimUnavailable),
+            ClaimResult::Held => State::GivenUp(GiveUpReason::AlreadyClaimed),
+            ClaimResult::Expired => State::GivenUp(GiveUpReason::ClaimExpired),
+            ClaimResult::NoMajority => State::GivenUp(GiveUpReason::ClaimUnavailable),
         };
     }
 
--- a/crates/core/src/request/execution/mod.rs
+++ b/crates/core/src/request/execution/mod.rs
@@ -22,7 +22,7 @@
 use crate::request::outcome::{GiveUpReason, Ledger, RefusalReason};
 use crate::routing::pool::Pool;
 use crate::time::Timestamp;
-pub use step::{ClaimVerdict, EngineEvent, ExecutionSpec, RefusalCause, Step};
+pub use step::{ClaimResult, EngineEvent, ExecutionSpec, RefusalCause, Step};
 
 /// How long an engine may take to answer a dispatch or a resume with its first event.
 pub const ENGINE_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -84,7 +84,7 @@
 
 /// Result of the claim on a request's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimResult {
     /// This execution holds the claim.
     Granted,
     /// Another execution holds the claim, or may hold it.
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -7,7 +7,7 @@
 
 use lichenpulley_core::identity::{AttemptId, ReplicaId};
 use lichenpulley_core::request::assembly::Chunk;
-use lichenpulley_core::request::execution::{ClaimVerdict, Execution, ExecutionSpec, Step};
+use lichenpulley_core::request::execution::{ClaimResult, Execution, ExecutionSpec, Step};
 use lichenpulley_core::request::outcome::RequestOutcome;
 use lichenpulley_core::routing::Pool;
 use lichenpulley_core::routing::prefix::prefix_group;
@@ -103,10 +103,10 @@
         let claim = claims::claim(&self.shared.context, request, issued_at_unix_ms, attempt);
         let limit = self.shared.clock.instant(self.deadline);
         let verdict = match timeout_at(limit, claim).await {
-            Ok(ClaimOutcome::Granted) => ClaimVerdict::Granted,
-            Ok(ClaimOutcome::Held) => ClaimVerdict::Held,
-            Ok(ClaimOutcome::Expired) => ClaimVerdict::Expired,
-            Ok(ClaimOutcome::NoMajority) | Err(_) => ClaimVerdict::NoMajority,
+            Ok(ClaimOutcome::Granted) => ClaimResult::Granted,
+            Ok(ClaimOutcome::Held) => ClaimResult::Held,
+            Ok(ClaimOutcome::Expired) => ClaimResult::Expired,
+            Ok(ClaimOutcome::NoMajority) | Err(_) => ClaimResult::NoMajority,
         };
         self.advance(|execution, now, _, _| execution.claimed(verdict, now));
     }
--- a/crates/lab/src/simulations/requests/gateway/mod.rs
+++ b/crates/lab/src/simulations/requests/gateway/mod.rs
@@ -11,7 +11,7 @@
 use lichenpulley_core::identity::{AttemptId, NodeId, ReplicaId, RequestId};
 use lichenpulley_core::request::assembly::Chunk;
 use lichenpulley_core::request::execution::{
-    ClaimVerdict, ENGINE_ANSWER_TIMEOUT, EngineEvent, Execution, ExecutionSpec,
+    ClaimResult, ENGINE_ANSWER_TIMEOUT, EngineEvent, Execution, ExecutionSpec,
 };
 use lichenpulley_core::request::outcome::EngineRefusal;
 use lichenpulley_core::routing::Pool;
@@ -161,7 +161,7 @@
             Waiting::Connecting { .. } => {
                 run.execution.nothing_written(now, &mut self.pool, &mut self.random);
             }
-            Waiting::Claiming { .. } => run.execution.claimed(ClaimVerdict::NoMajority, now),
+            Waiting::Claiming { .. } => run.execution.claimed(ClaimResult::NoMajority, now),
             Waiting::Event if !self.mechanisms.proof_of_not_run => self.answer_not_run(number, now),
             Waiting::Event => run.execution.stream_stalled(now, &mut self.pool, &mut self.random),
             Waiting::Time => {}
@@ -229,9 +229,9 @@
             }
             let against = votes.len() - *granted;
             if *granted >= majority {
-                run.execution.claimed(ClaimVerdict::Granted, now);
+                run.execution.claimed(ClaimResult::Granted, now);
             } else if against >= majority {
-                run.execution.claimed(ClaimVerdict::Held, now);
+                run.execution.claimed(ClaimResult::Held, now);
             } else {
                 continue;
             }
--- a/crates/lab/src/simulations/requests/gateway/steps.rs
+++ b/crates/lab/src/simulations/requests/gateway/steps.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use lichenpulley_core::identity::{AttemptId, ReplicaId};
-use lichenpulley_core::request::execution::{ClaimVerdict, Step};
+use lichenpulley_core::request::execution::{ClaimResult, Step};
 use lichenpulley_core::request::outcome::{RefusalReason, RequestOutcome, refuse_at_once};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::Outbox;
@@ -71,7 +71,7 @@
             Step::Claim { attempt } if self.mechanisms.claims => self.claim(run, attempt, now, outbox),
             Step::Claim { .. } => {
                 let is_new = self.sent_ids.insert(run.submission.request.clone());
-                let verdict = if is_new { ClaimVerdict::Granted } else { ClaimVerdict::Held };
+                let verdict = if is_new { ClaimResult::Granted } else { ClaimResult::Held };
                 run.execution.claimed(verdict, now);
                 RunProgress::Continues
             }
