--- a/crates/core/src/batch/controller/action.rs
+++ b/crates/core/src/batch/controller/action.rs
@@ -1,4 +1,4 @@
-//! What goes into the owner's state machine and what comes out.
+//! Inputs and outputs of the owner's state machine.
 
 use crate::batch::job::{BatchItem, OutputEvent};
 use crate::batch::record::Record;
@@ -10,50 +10,50 @@
 use crate::ingress::replicas::ReplicaRecord;
 use crate::quarantine::Fingerprint;
 
-/// Names one run of one item within the time of one owner.
+/// Identifies one run of one item during one ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// A run to begin.
+/// A run to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunStart {
     /// The run.
     pub run: RunId,
-    /// Where.
+    /// The replica that runs the item.
     pub replica: ReplicaRecord,
-    /// The host of the job's route.
+    /// The host name under which the job was submitted.
     pub host: String,
-    /// Whose job it is.
+    /// The tenant that owns the job; `None` where callers need no key.
     pub tenant: Option<TenantName>,
-    /// The item.
+    /// The item to run.
     pub item: BatchItem,
-    /// What all its runs have in common.
+    /// Fingerprint of the request, the same for all runs of the item.
     pub fingerprint: Fingerprint,
-    /// The last event that is kept: the run begins after it.
+    /// Number of the last event received so far; the run resumes after it. `None` starts from the beginning.
     pub last_event: Option<u64>,
-    /// How urgent it is: 0 to 9, 0 first.
+    /// Urgency from 0 (highest) to 9.
     pub urgency: u8,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The answer came whole.
+    /// The answer is complete.
     Complete,
-    /// The replica stated that it did not run it.
+    /// The replica reported that it did not run the item.
     Rejected,
-    /// Another replica has the address now.
+    /// The address now belongs to another replica.
     OtherReplica,
-    /// The replica answered that the run failed.
+    /// The replica reported that the run failed.
     Failed,
-    /// The replica answered that the item can never be done.
+    /// The replica reported that the item can never succeed.
     Unprocessable,
-    /// Nothing was sent, or the answer broke off.
+    /// The request was not sent, or the answer was truncated.
     Broken,
 }
 
 impl RunEnd {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -66,45 +66,46 @@
     }
 }
 
-/// What a run gives while it goes on.
+/// A progress report of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEvent {
-    /// An event of its answer.
+    /// An event of the answer.
     Event(OutputEvent),
-    /// It has ended.
+    /// The run has ended.
     Ended(RunEnd),
 }
 
-/// What the driver is to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Append to the shard's log; call [`super::Controller::appended`] once it is decided, in the same order.
+    /// Append to the shard's log. The driver calls [`super::Controller::appended`] once the append is
+    /// committed, in the same order.
     Append(Vec<Record>),
-    /// Begin a run.
+    /// Start a run.
     Start(Box<RunStart>),
-    /// Stop a run; nothing more of it is wanted.
+    /// Stop a run; further output of it is ignored.
     Stop(RunId),
-    /// Send a score request; tell its end by [`super::Controller::score_ended`].
+    /// Send a score request. The driver reports its end through [`super::Controller::score_ended`].
     Score(Box<ScoreStart>),
-    /// Give a score request up; nothing more of it is wanted.
+    /// Cancel a score request; its answer is ignored.
     StopScore(ScoreId),
     /// Order a replica to load a version.
     Load(Load),
-    /// Call the platform; tell how it ended by [`super::Controller::duty_ended`].
+    /// Call the platform. The driver reports the result through [`super::Controller::duty_ended`].
     Duty(DutyCall),
-    /// Show a decision.
+    /// Record a decision in the decision log.
     Decide(Decision),
 }
 
-/// What comes of handing a job in.
+/// Result of submitting a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submission {
-    /// It is kept already.
+    /// The job is already committed.
     Committed,
-    /// It will be kept once its record is decided.
+    /// The job is accepted once its record is committed.
     Pending,
-    /// There is no room for it; nothing of it runs.
+    /// The job exceeds the capacity and is refused.
     Full,
-    /// Another tenant's job has its id; nothing of it runs.
+    /// Another tenant's job has the same id; the job is refused.
     IdTaken,
 }
--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -1,9 +1,10 @@
-//! The duties towards the platform, which go with the ownership of the batch jobs: when a call may leave.
+//! Calls to the platform that the owner of the batch jobs makes: usage reports and scaling orders.
 //!
-//! Relies on `usage::reporter` and `scaling` for what is due. What a call is stands in `core::duties`.
+//! `usage::reporter` and `scaling` determine what is due, and `core::duties` defines the calls. This module
+//! decides when a call may be sent.
 //!
-//! Invariants: a call leaves only after a majority of stores keeps that it is about to, and only once the
-//! lease of the holder before has run out; a window is reported only as the log holds it.
+//! Invariants: a call is sent only after a record of it is committed and the lease of the previous holder has
+//! expired; a usage window is reported exactly as the log holds it.
 
 use std::collections::BTreeMap;
 
@@ -21,8 +22,8 @@
 use crate::usage::window::WallTime;
 
 impl Controller {
-    /// Takes what a node counted. It is kept once [`crate::usage::account::UsageAccount::through`] has
-    /// reached its end.
+    /// Adds the usage that a node counted. It is committed once
+    /// [`crate::usage::account::UsageAccount::through`] has reached the end of the report.
     pub fn take_usage(&mut self, now: Timestamp, report: &UsageReport) {
         let Some(usage) = &mut self.duties.usage else { return };
         let Some(added) = usage.accept(self.ledger.usage(), report, now) else { return };
@@ -31,13 +32,13 @@
         for (requests, reason) in [(late, "counted_later"), (discarded, "left_out")] {
             if requests > 0 {
                 let decision = Decision::new(Component::Duty, "usage_late", reason, &source);
-                self.decide(decision.with("requests", requests));
+                self.record_decision(decision.with("requests", requests));
             }
         }
         self.append(now, vec![Record::UsageCounted { source, through, counts }]);
     }
 
-    /// Begins the calls to the platform that are due.
+    /// Starts the calls to the platform that are due.
     pub fn tick_duties(&mut self, now: Timestamp, wall: WallTime) {
         if let Some(usage) = &mut self.duties.usage {
             usage.observe_own_clock(self.lease.holder.as_str(), wall, now);
@@ -46,7 +47,7 @@
             return;
         }
         self.close_windows(now);
-        self.tell_usage(now);
+        self.report_usage(now);
         self.order_replicas(now);
     }
 
@@ -56,7 +57,7 @@
         self.append(now, vec![Record::UsageClosed(window)]);
     }
 
-    fn tell_usage(&mut self, now: Timestamp) {
+    fn report_usage(&mut self, now: Timestamp) {
         let clock_ms = self.clock_ms(now);
         let Some(usage) = &mut self.duties.usage else { return };
         if !self.lease.allows(self.ledger.last_order(USAGE_SUBJECT), clock_ms) {
@@ -87,7 +88,7 @@
                 let decision = decision.with("zone", &zone).with("desired", desired).with("ready", ready);
                 let renewable =
                     observed.renewable.map_or_else(|| "unknown".to_owned(), |count| count.to_string());
-                self.decide(
+                self.record_decision(
                     decision
                         .with("demand", observed.demand)
                         .with("slots", observed.slots)
@@ -97,7 +98,8 @@
                 if self.lease.allows(self.ledger.last_order(&call.subject()), clock_ms) {
                     self.begin_duty(now, clock_ms, call, vec![Record::Scaled { service, zone, desired }]);
                 } else if let DutyCall::Scale(order) = call {
-                    // The holder before may still be heard: the order is given once its lease is over.
+                    // The previous holder's order may still be in effect: this one is sent when its lease has
+                    // expired.
                     plan.order_ended(&order, bounds.start_time, false, now);
                 }
             }
@@ -107,14 +109,14 @@
 
     fn begin_duty(&mut self, now: Timestamp, clock_ms: u64, call: DutyCall, mut records: Vec<Record>) {
         let (replica, holder) = (call.subject(), self.lease.holder.clone());
-        self.calling.insert(replica.clone(), call);
+        self.pending_calls.insert(replica.clone(), call);
         records.push(Record::Ordered { replica, holder, at_ms: clock_ms });
         self.append(now, records);
     }
 
-    /// What is seen of a service; `None` while no replica of it is listed where work may be sent. Evacuated
-    /// zones count for nothing: what they had is ordered elsewhere as far as it is wanted, and nothing is
-    /// ordered there.
+    /// Returns the replicas and the demand of a service, or `None` while no replica outside evacuated zones
+    /// is listed. Evacuated zones are left out: their capacity is ordered in other zones where it is needed,
+    /// and nothing is ordered in them.
     fn observed(&self, routes: &RouteTable, service: &str) -> Option<ObservedService> {
         let is_open = |state: &&ReplicaState| !self.gate.is_evacuated(&state.record);
         let members = self.replicas.values().filter(|state| state.record.service == service).filter(is_open);
@@ -149,14 +151,14 @@
         Some(ObservedService { ready, slots, demand, renewable })
     }
 
-    /// A call has ended.
+    /// Handles the end of a call.
     pub fn duty_ended(&mut self, now: Timestamp, call: &DutyCall, end: DutyOutcome) {
         let is_taken = end == DutyOutcome::Taken;
         match call {
             DutyCall::Usage { window, counts } => {
                 let requests: u64 = counts.values().sum();
                 let decision = Decision::new(Component::Duty, "usage_told", end.as_str(), window);
-                self.decide(decision.with("tenants", counts.len()).with("requests", requests));
+                self.record_decision(decision.with("tenants", counts.len()).with("requests", requests));
                 if let Some(usage) = &mut self.duties.usage {
                     usage.report_answered(*window, is_taken, now);
                 }
@@ -167,7 +169,7 @@
             DutyCall::Scale(order) => {
                 let decision =
                     Decision::new(Component::Duty, "replicas_order_ended", end.as_str(), &order.service);
-                self.decide(decision.with("zone", &order.zone).with("desired", order.desired));
+                self.record_decision(decision.with("zone", &order.zone).with("desired", order.desired));
                 let bounds = self
                     .routes
                     .as_ref()
@@ -180,8 +182,8 @@
         }
     }
 
-    /// The record of a call is kept: it may leave.
+    /// Sends a call whose record is committed.
     pub(super) fn call_duty(&mut self, subject: &str) {
-        self.actions.extend(self.calling.remove(subject).map(Action::Duty));
+        self.actions.extend(self.pending_calls.remove(subject).map(Action::Duty));
     }
 }
--- a/crates/core/src/batch/controller/handover.rs
+++ b/crates/core/src/batch/controller/handover.rs
@@ -1,4 +1,4 @@
-//! Leaving the jobs to another owner without losing what was taken.
+//! Hands the jobs over to the next owner without losing events that were received.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::time::Timestamp;
 
 impl Controller {
-    /// Writes all progress down, so that the next owner goes on from there.
+    /// Appends all progress, so that the next owner resumes there.
     pub fn flush_progress(&mut self, now: Timestamp) {
         let mut records = Vec::new();
         let keys: Vec<ItemKey> = self.items.keys().cloned().collect();
@@ -20,7 +20,7 @@
                 continue;
             }
             let Some(live) = self.items.get_mut(&(batch.clone(), item)) else { continue };
-            if live.stage != ItemStage::Generating || live.is_anew || live.written == live.events.len() {
+            if live.stage != ItemStage::Generating || live.is_restarted || live.written == live.events.len() {
                 continue;
             }
             let events = live.take_unwritten();
@@ -31,40 +31,41 @@
         }
     }
 
-    /// Whether all that was appended is decided.
+    /// Returns whether all appends are committed.
     pub fn is_settled(&self) -> bool {
-        self.appending.is_empty()
+        self.pending_appends.is_empty()
     }
 
-    /// What this owner took under `epoch` and doesn't know to be kept.
+    /// Returns the events that this owner received under `epoch` and that are not known to be committed.
     pub fn progress_offer(&self, epoch: Epoch) -> ProgressOffer {
-        let mut taken: BTreeMap<ItemKey, Vec<OutputEvent>> = BTreeMap::new();
-        for record in self.appending.iter().flatten() {
+        let mut pending_events: BTreeMap<ItemKey, Vec<OutputEvent>> = BTreeMap::new();
+        for record in self.pending_appends.iter().flatten() {
             match record {
                 Record::Progress { batch, item, events }
                 | Record::Completed { batch, item, events }
                 | Record::Generated { batch, item, events, replaces: false } => {
-                    taken.entry((batch.clone(), *item)).or_default().extend(events.iter().cloned());
+                    pending_events.entry((batch.clone(), *item)).or_default().extend(events.iter().cloned());
                 }
                 _ => {}
             }
         }
         for ((batch, item), live) in &self.items {
-            if live.stage == ItemStage::Generating && !live.is_anew {
+            if live.stage == ItemStage::Generating && !live.is_restarted {
                 let unwritten = live.events[live.written..].iter().cloned();
-                taken.entry((batch.clone(), *item)).or_default().extend(unwritten);
+                pending_events.entry((batch.clone(), *item)).or_default().extend(unwritten);
             }
         }
-        let items = taken.into_iter().filter(|(_, events)| !events.is_empty());
+        let items = pending_events.into_iter().filter(|(_, events)| !events.is_empty());
         let items = items.filter_map(|((batch, item), events)| {
-            let kept = self.ledger.job(&batch)?.items.get(item as usize)?.last_event();
-            Some(ItemProgress { batch, item, after: kept, events })
+            let last_committed = self.ledger.job(&batch)?.items.get(item as usize)?.last_event();
+            Some(ItemProgress { batch, item, after: last_committed, events })
         });
         ProgressOffer { epoch, items: items.collect() }
     }
 
-    /// Takes over what the owner before offers. To be called before anything runs; `latest` is the epoch of
-    /// the last owner that appended. Returns how many events were taken.
+    /// Adopts the events that the previous owner offers. Must be called before any item is started. `latest`
+    /// is the epoch of the last owner that appended; an offer of any other epoch is ignored. Returns the
+    /// number of adopted events.
     pub fn adopt(&mut self, offer: ProgressOffer, latest: Epoch) -> usize {
         if offer.epoch != latest {
             return 0;
@@ -85,7 +86,8 @@
             let expected = match (last, after) {
                 (Some(last), _) => last + 1,
                 (None, None) => event.number,
-                // The giver knew more to be kept than was found: its events have a gap before them.
+                // The previous owner knew of committed events that were not recovered, so there is a gap
+                // before its events.
                 (None, Some(_)) => break,
             };
             if event.number > expected {
--- a/crates/core/src/batch/controller/inputs.rs
+++ b/crates/core/src/batch/controller/inputs.rs
@@ -1,4 +1,4 @@
-//! What the operator, the platform and other nodes say.
+//! Input from the operator, the platform and other nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 use crate::time::Timestamp;
 
 impl Controller {
-    /// Takes the operator's configuration, the platform's list of replicas, and the versions that trainers
-    /// named.
+    /// Applies the operator's routes, the platform's list of replicas, and the model versions announced by
+    /// trainers.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -26,9 +26,9 @@
             self.routes = Some(routes);
         }
         for change in self.gate.warmups_mut().set_replicas(replicas.records.values(), now) {
-            self.decide(change.decision("owner"));
+            self.record_decision(change.decision("owner"));
         }
-        self.loads.name(versions, now);
+        self.loads.announce(versions, now);
         for record in replicas.records.values() {
             match self.replicas.get_mut(&record.id) {
                 Some(state) => state.record = record.clone(),
@@ -40,7 +40,7 @@
         let gone: Vec<String> =
             self.replicas.keys().filter(|id| !replicas.records.contains_key(*id)).cloned().collect();
         for id in gone {
-            // Its runs go on: a replica that left the list may still serve what it has.
+            // Its runs continue, because a replica that is no longer listed may still serve them.
             if let Some(state) = self.replicas.get_mut(&id) {
                 state.record.is_draining = true;
             }
@@ -48,18 +48,18 @@
                 self.replicas.remove(&id);
             }
         }
-        self.work_and_load(now);
+        self.mark_items_and_loads_due(now);
     }
 
-    /// Takes the zones that are evacuated from now on.
+    /// Replaces the set of evacuated zones.
     pub fn set_evacuated(&mut self, now: Timestamp, evacuated: Arc<EvacuatedZones>) {
         self.gate.set_evacuated(evacuated, now);
-        self.work_and_load(now);
+        self.mark_items_and_loads_due(now);
     }
 
-    /// Takes the requests that reach no replica from now on.
+    /// Replaces the quarantine: the requests that must not be sent to any replica.
     pub fn set_quarantine(&mut self, now: Timestamp, quarantine: Arc<Quarantine>) {
         self.quarantine = quarantine;
-        self.work(now);
+        self.mark_items_due(now);
     }
 }
--- a/crates/core/src/batch/controller/jobs.rs
+++ b/crates/core/src/batch/controller/jobs.rs
@@ -1,7 +1,7 @@
-//! Jobs from their hand-in to their end, and the items that a new owner finds.
+//! Job submission, acceptance and end, and the items that a new owner restores from the ledger.
 //!
-//! A job is refused where it would not fit the bytes that this owner may hold: items and the texts of results
-//! count.
+//! A job is refused when its items would exceed the bytes that the owner may hold. The texts of results count
+//! too.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,7 @@
 use crate::identity::{BatchId, TenantName};
 use crate::time::Timestamp;
 
-/// The part of an item's greatest length that is expected of it where no estimate came with it. It only
-/// weighs models against each other and fills a replica's memory.
+/// Divides an item's maximum length to estimate its length where the caller gave no estimate.
 const EXPECTED_DIVISOR: u64 = 3;
 
 impl Controller {
@@ -50,27 +49,27 @@
         }
     }
 
-    /// Takes a job.
+    /// Submits a job. Submitting the same job again has no further effect.
     pub fn submit(&mut self, now: Timestamp, job: BatchJob) -> Submission {
         if let Some(kept) = self.ledger.job(&job.id) {
             let is_own = kept.job.is_open_to(job.tenant.as_ref());
             return if is_own { Submission::Committed } else { Submission::IdTaken };
         }
-        if self.accepting.contains(&job.id) {
+        if self.pending_jobs.contains(&job.id) {
             return Submission::Pending;
         }
         let bytes = job_bytes(&job);
         if self.held_bytes + bytes > self.config.capacity_bytes {
             let decision = Decision::new(Component::Rollout, "batch_refused", "no_room", &job.id);
-            self.decide(decision.with("held_bytes", self.held_bytes));
+            self.record_decision(decision.with("held_bytes", self.held_bytes));
             return Submission::Full;
         }
         self.held_bytes += bytes;
-        self.accepting.insert(job.id.clone());
+        self.pending_jobs.insert(job.id.clone());
         let decision = Decision::new(Component::Rollout, "batch_taken", "has_room", &job.id);
         let decision = decision.with("items", job.items.len()).with("min_version", job.min_version);
         let decision = decision.with("tenant", job.tenant.as_ref().map_or("none", TenantName::as_str));
-        self.decide(
+        self.record_decision(
             decision.with("step", job.step.map_or_else(|| "none".to_owned(), |step| step.to_string())),
         );
         let clock = Record::Clock(self.clock_ms(now));
@@ -78,30 +77,33 @@
         Submission::Pending
     }
 
-    /// Ends a job: its runs are stopped at once, and the end is shown once it is kept. Returns whether it is
-    /// kept already; `None` where there is no such job.
+    /// Ends a job. Its runs stop at once, and the end is visible once it is committed. Returns whether it is
+    /// committed already, or `None` when there is no such job.
     pub fn end(&mut self, now: Timestamp, batch: &BatchId) -> Option<bool> {
         let is_ended = match self.ledger.job(batch) {
             Some(job) => job.is_ended,
-            None if self.accepting.contains(batch) => false,
+            None if self.pending_jobs.contains(batch) => false,
             None => return None,
         };
         if is_ended {
-            // An owner that read the end from the log has no other line that says it is kept.
-            self.decide(Decision::new(Component::Rollout, "end_kept", "in_log", batch));
-        } else if self.ending.insert(batch.clone()) {
+            // A new owner that read the end from the log has not recorded this decision before.
+            self.record_decision(Decision::new(Component::Rollout, "end_kept", "in_log", batch));
+        } else if self.ending_jobs.insert(batch.clone()) {
             self.append(now, vec![Record::Ended(batch.clone())]);
-            self.forget_items(now, batch);
-            self.decide(Decision::new(Component::Rollout, "batch_ended", "caller", batch));
-            self.work(now);
+            self.remove_items(now, batch);
+            self.record_decision(Decision::new(Component::Rollout, "batch_ended", "caller", batch));
+            self.mark_items_due(now);
         }
         Some(is_ended)
     }
 
-    /// A job is kept: its items may be started, and count towards their models' demand.
+    /// Makes the items of a committed job available to run and counts them towards the demand for their
+    /// models.
     pub(super) fn accepted(&mut self, batch: &BatchId) {
-        self.accepting.remove(batch);
-        let Some(state) = self.ledger.job(batch).filter(|_| !self.ending.contains(batch)) else { return };
+        self.pending_jobs.remove(batch);
+        let Some(state) = self.ledger.job(batch).filter(|_| !self.ending_jobs.contains(batch)) else {
+            return;
+        };
         self.tallies.insert(batch.clone(), GroupTally::of(state));
         let job = &state.job;
         let mut demand: BTreeMap<&str, u64> = BTreeMap::new();
@@ -117,12 +119,12 @@
     }
 }
 
-/// Tokens that an item will need: its estimate, or a part of the most that it may.
+/// Estimates the tokens that an item will generate, at most its maximum.
 pub(super) fn expected_tokens(item: &BatchItem) -> u64 {
     item.expected_tokens.unwrap_or(item.tokens / EXPECTED_DIVISOR).min(item.tokens.max(1))
 }
 
-/// Bytes that a job counts for: its items, and the texts of its results.
+/// Returns the bytes that a job counts towards the capacity: its items and the texts of its results.
 pub(super) fn held_bytes(state: &JobState) -> usize {
     let texts: usize = state.results.iter().map(|result| result.text.len()).sum();
     job_bytes(&state.job) + texts
--- a/crates/core/src/batch/controller/live_item.rs
+++ b/crates/core/src/batch/controller/live_item.rs
@@ -1,58 +1,58 @@
-//! What the owner knows of an item beyond the ledger.
+//! In-memory state of an open item, in addition to its state in the ledger.
 
 use super::RunId;
 use crate::batch::job::OutputEvent;
 use crate::quarantine::Fingerprint;
 use crate::time::Timestamp;
 
-/// How far an item that is not listed yet has come.
+/// Processing stage of an item that is not listed yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ItemStage {
-    /// Its text is being made.
+    /// Its text is being generated, or waits to be.
     #[default]
     Generating,
-    /// Its whole text is on its way to the stores.
-    Keeping,
-    /// Its whole text is kept and being scored.
+    /// Its complete text is being written to the log.
+    Persisting,
+    /// Its complete text is committed and being scored.
     Scoring,
-    /// Its result is on its way to the stores.
+    /// Its result is being written to the log.
     Listing,
 }
 
-/// What the owner knows of an item beyond the ledger.
+/// In-memory state of an open item, in addition to its state in the ledger.
 #[derive(Default)]
 pub(super) struct LiveItem {
     pub(super) run: Option<RunId>,
-    /// Events that have come, those of the ledger included.
+    /// All events received, including those in the ledger.
     pub(super) events: Vec<OutputEvent>,
-    /// How many of them are on the stores or on their way there.
+    /// Number of `events` that were appended to the log, committed or not.
     pub(super) written: usize,
-    /// It was begun anew: what the stores keep of it is no beginning of its events.
-    pub(super) is_anew: bool,
+    /// Whether the text was restarted, so that the committed events are not a prefix of `events`.
+    pub(super) is_restarted: bool,
     pub(super) written_at: Timestamp,
     pub(super) failures: u32,
-    /// The replica that let the last run down.
+    /// The replica to avoid, because the last run there ended early or was slow.
     pub(super) avoid: Option<String>,
     pub(super) stage: ItemStage,
     pub(super) score_failures: u32,
-    /// What all its runs have in common, once it was asked for.
+    /// Fingerprint of the request, computed on first use.
     pub(super) fingerprint: Option<Fingerprint>,
-    /// Replicas ended under it: it reaches no other.
-    pub(super) is_held: bool,
+    /// Whether the request is quarantined, because replicas crashed while they ran it.
+    pub(super) is_quarantined: bool,
 }
 
 impl LiveItem {
-    /// The events that are not on their way to the stores yet; from now on they are.
+    /// Returns the events that were not appended yet and counts them as appended.
     pub(super) fn take_unwritten(&mut self) -> Vec<OutputEvent> {
         let events = self.events[self.written..].to_vec();
         self.written = self.events.len();
         events
     }
 
-    /// Begins the text anew.
+    /// Discards all events, so that the text starts from the beginning.
     pub(super) fn restart(&mut self) {
         self.events.clear();
         self.written = 0;
-        self.is_anew = true;
+        self.is_restarted = true;
     }
 }
--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -1,8 +1,9 @@
-//! The owner of a shard of batch jobs: which items run where, what is listed, what is given up.
+//! State machine of the owner of a batch shard: starts items, lists results, and gives items up.
 //!
-//! The driver hands in events and `now`, and takes out [`Action`]s. Invariants: nothing is shown before its
-//! record is kept by a majority; an item's events are taken once each, in order, from a version that its job
-//! allows; no item of an ended job is started.
+//! The driver passes in events with the current time and polls [`Action`]s. Invariants: nothing is visible to
+//! callers before its record is committed, that is, stored by a majority; the events of an item are accepted
+//! exactly once, in order, and only from model versions that its job allows; no item of an ended job is
+//! started.
 
 mod action;
 mod config;
@@ -50,47 +51,47 @@
     last_event_at: Option<Timestamp>,
 }
 
-/// The owner's state machine.
+/// The state machine of a batch shard's owner.
 pub struct Controller {
     config: ControllerConfig,
     ledger: Ledger,
-    /// Appends that are not decided yet, in order.
-    appending: VecDeque<Vec<Record>>,
-    accepting: HashSet<BatchId>,
-    ending: HashSet<BatchId>,
+    /// Appends that are not committed yet, in order.
+    pending_appends: VecDeque<Vec<Record>>,
+    pending_jobs: HashSet<BatchId>,
+    ending_jobs: HashSet<BatchId>,
     items: HashMap<(BatchId, u32), LiveItem>,
-    /// Groups of the jobs that are open.
+    /// Group completion of each open job.
     tallies: HashMap<BatchId, GroupTally>,
     runs: BTreeMap<RunId, Run>,
     last_run: u64,
     routes: Option<Arc<RouteTable>>,
     replicas: BTreeMap<String, ReplicaState>,
-    /// What may be sent where.
+    /// Decides which replicas admit new work.
     gate: AdmissionGate,
-    /// What may be sent nowhere.
+    /// Requests that must not be sent to any replica.
     quarantine: Arc<Quarantine>,
     slowdown: Slowdown,
     loads: LoadPlan,
     scores: ScorePlan,
-    /// The shard's clock when this owner began.
+    /// The shard's clock when this owner took over, in milliseconds.
     clock_base_ms: u64,
     began_at: Timestamp,
     last_append_at: Timestamp,
     lease: OrderLease,
-    /// Loads whose orders are on their way to the stores, by replica.
-    ordering: HashMap<String, Load>,
-    /// Calls to the platform that are on their way to the stores, by subject.
-    calling: HashMap<String, DutyCall>,
+    /// Loads whose order records are not committed yet, by replica name.
+    pending_loads: HashMap<String, Load>,
+    /// Calls to the platform whose records are not committed yet, by subject.
+    pending_calls: HashMap<String, DutyCall>,
     duties: DutyPlan,
     held_bytes: usize,
-    /// Whether the authority was confirmed lately; nothing is started or ordered otherwise.
+    /// Whether the stores confirmed this owner's authority recently; otherwise nothing is started or ordered.
     is_confirmed: bool,
     actions: VecDeque<Action>,
-    /// What is to be looked at once all events at hand are taken in.
+    /// Work to do once all pending events are processed.
     due: DueWork,
 }
 
-/// Work that events make necessary. It is done once for all events that came together.
+/// Work that events have made necessary, done once for a whole batch of events.
 #[derive(Clone, Copy, Debug, Default)]
 struct DueWork {
     now: Timestamp,
@@ -99,17 +100,17 @@
 }
 
 impl Controller {
-    /// The owner of what its log amounts to.
+    /// Creates the owner from the ledger that was recovered from the shard's log.
     pub fn new(config: ControllerConfig, ledger: Ledger, now: Timestamp, lease: OrderLease) -> Self {
         let mut controller = Self {
             duties: DutyPlan::new(config.duties),
-            calling: HashMap::new(),
+            pending_calls: HashMap::new(),
             config,
             clock_base_ms: ledger.clock_ms(),
             ledger,
-            appending: VecDeque::new(),
-            accepting: HashSet::new(),
-            ending: HashSet::new(),
+            pending_appends: VecDeque::new(),
+            pending_jobs: HashSet::new(),
+            ending_jobs: HashSet::new(),
             items: HashMap::new(),
             tallies: HashMap::new(),
             runs: BTreeMap::new(),
@@ -124,7 +125,7 @@
             began_at: now,
             last_append_at: now,
             lease,
-            ordering: HashMap::new(),
+            pending_loads: HashMap::new(),
             held_bytes: 0,
             is_confirmed: true,
             actions: VecDeque::new(),
@@ -134,54 +135,55 @@
         controller
     }
 
-    /// What is kept and may be shown.
+    /// Returns the committed state, which may be shown to callers.
     pub const fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The next thing to do.
+    /// Returns the next action for the driver, after doing any due work.
     pub fn poll_action(&mut self) -> Option<Action> {
         if self.actions.is_empty() {
-            self.do_due_work();
+            self.run_due_work();
         }
         self.actions.pop_front()
     }
 
-    /// Says whether a majority of stores confirmed this owner lately. Without it nothing is started or
-    /// ordered.
+    /// Sets whether a majority of stores confirmed this owner recently. Without confirmation nothing is
+    /// started or ordered.
     pub const fn set_confirmed(&mut self, is_confirmed: bool) {
         self.is_confirmed = is_confirmed;
     }
 
-    /// What the log amounts to, to stand for all records before; `None` while records are on their way or
-    /// texts are missing.
+    /// Encodes a snapshot that replaces all earlier records of the log. Returns `None` while appends are
+    /// pending or event texts are missing.
     ///
     /// # Errors
-    /// When it is too long for the codec.
+    /// Fails when the ledger is too long for the codec.
     pub fn snapshot(&self) -> Result<Option<Vec<u8>>, speedy::Error> {
-        let is_settled = self.appending.is_empty() && !self.ledger.is_outline();
+        let is_settled = self.pending_appends.is_empty() && !self.ledger.is_outline();
         if is_settled { self.ledger.to_snapshot().map(Some) } else { Ok(None) }
     }
 
-    /// Takes the texts that were not read when this owner began.
+    /// Fills in the event texts that were not read when this owner took over.
     pub fn fill_texts(&mut self, whole: Ledger) {
         self.held_bytes += self.ledger.fill_texts(whole);
     }
 
-    /// How many items run and how many wait.
+    /// Returns the number of running items and of waiting items.
     pub fn item_counts(&self) -> (usize, usize) {
         let waits = |item: &&LiveItem| item.run.is_none() && item.stage == ItemStage::Generating;
         let waiting = self.items.values().filter(waits).count();
         (self.runs.len(), waiting)
     }
 
-    /// The shard's clock, in milliseconds: never ahead of the time since the first owner began.
+    /// Returns the shard's clock in milliseconds. It never runs ahead of the time since the first owner took
+    /// over.
     fn clock_ms(&self, now: Timestamp) -> u64 {
         let since = whole_millis(now.saturating_since(self.began_at));
         self.clock_base_ms.saturating_add(since)
     }
 
-    fn decide(&mut self, decision: Decision) {
+    fn record_decision(&mut self, decision: Decision) {
         self.actions.push_back(Action::Decide(decision));
     }
 
--- a/crates/core/src/batch/controller/records.rs
+++ b/crates/core/src/batch/controller/records.rs
@@ -1,7 +1,7 @@
-//! Records on their way to the log, and what follows once they are kept.
+//! Appends records to the log and acts on them once they are committed.
 //!
-//! Invariant: appends are decided in the order in which they were given; a record changes the ledger only
-//! then.
+//! Invariant: appends are committed in the order in which they were made, and a record changes the ledger
+//! only then.
 
 use super::{Action, Controller};
 use crate::batch::record::Record;
@@ -10,18 +10,18 @@
 use crate::time::Timestamp;
 
 impl Controller {
-    /// The oldest append is decided: what it says is shown from now on.
+    /// Handles the commit of the oldest pending append and applies its records.
     pub fn appended(&mut self, now: Timestamp) {
-        let Some(records) = self.appending.pop_front() else { return };
+        let Some(records) = self.pending_appends.pop_front() else { return };
         for record in records {
             self.apply(now, record);
         }
-        self.work_and_load(now);
+        self.mark_items_and_loads_due(now);
     }
 
-    /// Applies a record that is decided, and does what follows from it.
+    /// Applies a committed record and does what it makes possible.
     fn apply(&mut self, now: Timestamp, record: Record) {
-        enum Follows {
+        enum FollowUp {
             Nothing,
             Acceptance(BatchId),
             Scoring(BatchId, u32),
@@ -29,46 +29,47 @@
             Order(String),
             End(BatchId),
         }
-        let follows = match &record {
-            Record::Accepted(job) => Follows::Acceptance(job.id.clone()),
-            Record::Generated { batch, item, .. } => Follows::Scoring(batch.clone(), *item),
+        let follow_up = match &record {
+            Record::Accepted(job) => FollowUp::Acceptance(job.id.clone()),
+            Record::Generated { batch, item, .. } => FollowUp::Scoring(batch.clone(), *item),
             Record::Completed { batch, item, .. } | Record::Scored { batch, item, .. } => {
-                Follows::Listing(batch.clone(), *item)
+                FollowUp::Listing(batch.clone(), *item)
             }
-            Record::Ordered { replica, .. } => Follows::Order(replica.clone()),
-            Record::Listed { batch, result } => Follows::Listing(batch.clone(), result.item),
-            Record::Ended(batch) => Follows::End(batch.clone()),
-            _ => Follows::Nothing,
+            Record::Ordered { replica, .. } => FollowUp::Order(replica.clone()),
+            Record::Listed { batch, result } => FollowUp::Listing(batch.clone(), result.item),
+            Record::Ended(batch) => FollowUp::End(batch.clone()),
+            _ => FollowUp::Nothing,
         };
         self.ledger.apply(record);
-        match follows {
-            Follows::Nothing => {}
-            Follows::Acceptance(batch) => self.accepted(&batch),
-            Follows::Scoring(batch, item) => self.begin_scoring(now, &batch, item),
-            Follows::Listing(batch, item) => self.note_listed(&batch, item),
-            Follows::Order(replica) => {
-                self.actions.extend(self.ordering.remove(&replica).map(Action::Load));
+        match follow_up {
+            FollowUp::Nothing => {}
+            FollowUp::Acceptance(batch) => self.accepted(&batch),
+            FollowUp::Scoring(batch, item) => self.begin_scoring(now, &batch, item),
+            FollowUp::Listing(batch, item) => self.update_group(&batch, item),
+            FollowUp::Order(replica) => {
+                self.actions.extend(self.pending_loads.remove(&replica).map(Action::Load));
                 self.call_duty(&replica);
             }
-            Follows::End(batch) => {
-                self.decide(Decision::new(Component::Rollout, "end_kept", "decided", &batch));
+            FollowUp::End(batch) => {
+                self.record_decision(Decision::new(Component::Rollout, "end_kept", "decided", &batch));
             }
         }
     }
 
-    /// Tells when an item made its group whole.
-    fn note_listed(&mut self, batch: &BatchId, item: u32) {
-        let Some(whole) = self.tallies.get_mut(batch).and_then(|tally| tally.listed(item)) else { return };
+    /// Counts a listed item in its group and records a decision if the group is now complete.
+    fn update_group(&mut self, batch: &BatchId, item: u32) {
+        let Some(group) = self.tallies.get_mut(batch).and_then(|tally| tally.listed(item)) else { return };
         let desired = self.ledger.job(batch).and_then(|job| job.job.desired_groups).unwrap_or(0);
         let last = self.item(batch, item).map_or_else(String::new, |item| item.id.clone());
         let decision = Decision::new(Component::Rollout, "group_whole", "all_listed", last);
-        let decision = decision.with("batch", batch).with("group", whole.name).with("whole", whole.whole);
-        self.decide(decision.with("desired", desired).with("groups", whole.groups));
+        let decision =
+            decision.with("batch", batch).with("group", group.name).with("whole", group.complete_groups);
+        self.record_decision(decision.with("desired", desired).with("groups", group.groups));
     }
 
     pub(super) fn append(&mut self, now: Timestamp, records: Vec<Record>) {
         self.last_append_at = now;
-        self.appending.push_back(records.clone());
+        self.pending_appends.push_back(records.clone());
         self.actions.push_back(Action::Append(records));
     }
 }
--- a/crates/core/src/batch/controller/retention.rs
+++ b/crates/core/src/batch/controller/retention.rs
@@ -1,4 +1,4 @@
-//! What is due by the clock: stalled runs, items and jobs that are too old, the heartbeat of the log.
+//! Time-driven work: stalled and slow runs, expired items and jobs, and the log's heartbeat.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use crate::identity::BatchId;
 use crate::time::{Timestamp, whole_millis};
 
-/// An item is given up so long after its time in the queue has passed: never before its caller expects it.
-/// Shorter gives up an item whose caller still counts on it, longer holds its slot.
+/// Margin after an item's maximum queue time, so that an item is never given up before its caller expects it.
 const GIVE_UP_MARGIN: Duration = Duration::from_millis(500);
 
 impl Controller {
-    /// Does what is due by now. To be called at least every [`super::ControllerConfig::heartbeat_interval`].
+    /// Does the work that is due. Must be called at least every
+    /// [`super::ControllerConfig::heartbeat_interval`].
     pub fn tick(&mut self, now: Timestamp) {
         self.stop_stalled(now);
         self.move_slow(now);
         self.give_up_old(now);
         self.drop_old(now);
-        if self.appending.is_empty()
+        if self.pending_appends.is_empty()
             && now.saturating_since(self.last_append_at) >= self.config.heartbeat_interval
         {
             let clock = Record::Clock(self.clock_ms(now));
             self.append(now, vec![clock]);
         }
-        self.work_and_load(now);
+        self.mark_items_and_loads_due(now);
     }
 
     fn give_up_old(&mut self, now: Timestamp) {
@@ -62,12 +62,12 @@
             if let Some(job) = self.ledger.job(&batch) {
                 self.held_bytes = self.held_bytes.saturating_sub(held_bytes(job));
             }
-            self.forget_items(now, &batch);
+            self.remove_items(now, &batch);
             self.append(now, vec![Record::Dropped(batch)]);
         }
     }
 
-    pub(super) fn forget_items(&mut self, now: Timestamp, batch: &BatchId) {
+    pub(super) fn remove_items(&mut self, now: Timestamp, batch: &BatchId) {
         let runs: Vec<RunId> =
             self.runs.iter().filter(|(_, run)| &run.batch == batch).map(|(id, _)| *id).collect();
         runs.into_iter().for_each(|run| self.stop(run));
--- a/crates/core/src/batch/controller/runs.rs
+++ b/crates/core/src/batch/controller/runs.rs
@@ -1,22 +1,22 @@
-//! Runs of items: their events, their ends, and when one is taken up elsewhere.
+//! Runs of items: their events, their ends, and when they are moved to another replica.
 //!
-//! A run that breaks, stalls or is refused is resumed at another replica after its last event; only answers
-//! that say that the item failed count towards the route's attempts. Whether a run is worth moving is decided
-//! in `batch::moves`, which replica it goes to in `batch::schedule`.
+//! A run that breaks, stalls or is rejected is resumed on another replica after its last event. Only answers
+//! that report a failure count towards the route's attempts. `batch::moves` decides whether a move is
+//! worthwhile, and `batch::schedule` chooses the replica.
 
 use super::{Action, Controller, ItemStage, Run, RunEnd, RunEvent, RunId};
 use crate::batch::job::{ItemResult, OutputEvent};
-use crate::batch::moves::{MIN_STAY, MOVES_PER_TICK, is_worth_moving};
+use crate::batch::moves::{MAX_MOVES_PER_TICK, MIN_TIME_ON_REPLICA, is_worth_moving};
 use crate::batch::record::Record;
-use crate::batch::schedule::{self, Need, PAUSE_AFTER_REJECTION, SUSPECT_AFTER_BREAK};
+use crate::batch::schedule::{self, BROKEN_RUN_COOLDOWN, REJECTION_COOLDOWN, Requirements};
 use crate::decision::{Component, Decision};
 use crate::identity::BatchId;
 use crate::time::Timestamp;
 
 impl Controller {
-    /// Takes what a run gives.
+    /// Handles an event or the end of a run.
     pub fn run_event(&mut self, now: Timestamp, run: RunId, event: RunEvent) {
-        // What a stopped run still gives is not wanted.
+        // Ignores output that arrives after the run was stopped.
         if !self.runs.contains_key(&run) {
             return;
         }
@@ -56,14 +56,14 @@
         }
         live.events.push(event);
         let is_due = now.saturating_since(live.written_at) >= progress_interval;
-        if keeps_progress && is_due && !live.is_anew {
+        if keeps_progress && is_due && !live.is_restarted {
             let events = live.take_unwritten();
             live.written_at = now;
             self.append(now, vec![Record::Progress { batch, item, events }]);
         }
     }
 
-    /// Whether an event of this version may stand in the item's text.
+    /// Returns whether the item's text may contain an event of this version.
     pub(super) fn is_version_allowed(&self, batch: &BatchId, item: u32, version: u64) -> bool {
         let Some(job) = self.ledger.job(batch) else { return false };
         if version < job.job.min_version {
@@ -74,15 +74,15 @@
     }
 
     fn drop_run_of_wrong_version(&mut self, now: Timestamp, id: RunId, batch: &BatchId, item: u32) {
-        let starts_anew = self.needs_single_version(batch);
-        if let Some(live) = self.items.get_mut(&(batch.clone(), item)).filter(|_| starts_anew) {
+        let restarts_text = self.needs_single_version(batch);
+        if let Some(live) = self.items.get_mut(&(batch.clone(), item)).filter(|_| restarts_text) {
             live.restart();
         }
-        self.decide(
+        self.record_decision(
             Decision::new(Component::Rollout, "run_stopped", "wrong_version", batch).with("item", item),
         );
         self.stop(id);
-        self.work(now);
+        self.mark_items_due(now);
     }
 
     pub(super) fn run_ended(&mut self, now: Timestamp, id: RunId, end: RunEnd) {
@@ -92,10 +92,10 @@
         let key = (batch.clone(), item);
         if let Some(state) = self.replicas.get_mut(&replica) {
             match end {
-                RunEnd::Broken => state.avoid_until = state.avoid_until.max(now + SUSPECT_AFTER_BREAK),
-                RunEnd::Rejected => state.avoid_until = state.avoid_until.max(now + PAUSE_AFTER_REJECTION),
-                // The address belongs to another: the list will say so.
-                RunEnd::OtherReplica => state.avoid_until = now + SUSPECT_AFTER_BREAK * 5,
+                RunEnd::Broken => state.avoid_until = state.avoid_until.max(now + BROKEN_RUN_COOLDOWN),
+                RunEnd::Rejected => state.avoid_until = state.avoid_until.max(now + REJECTION_COOLDOWN),
+                // The replica is gone, but the list of replicas does not show it yet.
+                RunEnd::OtherReplica => state.avoid_until = now + BROKEN_RUN_COOLDOWN * 5,
                 RunEnd::Complete | RunEnd::Failed | RunEnd::Unprocessable => {}
             }
         }
@@ -103,11 +103,11 @@
         let decision = Decision::new(Component::Rollout, "run_ended", end.as_str(), subject);
         let events = self.items.get(&key).map_or(0, |live| live.events.len());
         let decision = decision.with("batch", &batch).with("replica", &replica).with("run", id.0);
-        self.decide(decision.with("events", events));
+        self.record_decision(decision.with("events", events));
         let max_attempts = self.route(&batch).map_or(1, |route| route.max_attempts);
         let Some(live) = self.items.get_mut(&key) else { return };
         match end {
-            RunEnd::Complete => self.text_came_whole(now, &batch, item),
+            RunEnd::Complete => self.complete_text(now, &batch, item),
             RunEnd::Unprocessable => self.give_up(now, &batch, item, "never"),
             RunEnd::Failed => {
                 live.failures += 1;
@@ -120,19 +120,19 @@
             }
             RunEnd::Broken | RunEnd::Rejected | RunEnd::OtherReplica => live.avoid = Some(replica),
         }
-        self.work(now);
+        self.mark_items_due(now);
     }
 
-    /// Keeps a whole text: listed at once, or for its scorer.
-    fn text_came_whole(&mut self, now: Timestamp, batch: &BatchId, item: u32) {
+    /// Appends a complete text: as a result, or as input for its scorer.
+    fn complete_text(&mut self, now: Timestamp, batch: &BatchId, item: u32) {
         let needs_score = self.item(batch, item).is_some_and(|item| item.scorer.is_some());
         let Some(live) = self.items.get_mut(&(batch.clone(), item)) else { return };
-        live.stage = if needs_score { ItemStage::Keeping } else { ItemStage::Listing };
+        live.stage = if needs_score { ItemStage::Persisting } else { ItemStage::Listing };
         let mut events = std::mem::take(&mut live.events);
         let batch = batch.clone();
         let line_feeds = events.len().saturating_sub(1);
         self.held_bytes += events.iter().map(|event| event.data.len()).sum::<usize>() + line_feeds;
-        let replaces = live.is_anew;
+        let replaces = live.is_restarted;
         let record = match (needs_score, replaces) {
             (true, true) => Record::Generated { batch, item, events, replaces },
             (true, false) => {
@@ -156,7 +156,9 @@
         }
         self.stop_scores(now, |key| key.0 == *batch && key.1 == item);
         let subject = self.item(batch, item).map_or_else(String::new, |item| item.id.clone());
-        self.decide(Decision::new(Component::Rollout, "item_given_up", reason, subject).with("batch", batch));
+        self.record_decision(
+            Decision::new(Component::Rollout, "item_given_up", reason, subject).with("batch", batch),
+        );
         let result = ItemResult::faulted(item);
         self.append(now, vec![Record::Listed { batch: batch.clone(), result }]);
     }
@@ -173,55 +175,56 @@
         }
     }
 
-    /// Runs at a replica that is much slower than one with a free slot are resumed there. Each is stopped
-    /// first, so that no item runs twice at a time.
+    /// Moves runs from slow replicas to much faster ones with a free slot. Each run is stopped before it is
+    /// resumed, so that no item runs twice at a time.
     pub(super) fn move_slow(&mut self, now: Timestamp) {
         if !self.is_confirmed {
             return;
         }
-        // Comparing with the fastest free replica first spares the choice of one for each run.
+        // Compares with the fastest free replica first, since choosing a replica for each run is expensive.
         let free = self.replicas.values().filter(|state| state.has_free_slot());
-        let Some(best) = free.map(|state| state.expected_pace(self.slowdown)).min_by(f64::total_cmp) else {
+        let Some(best_pace) = free.map(|state| state.expected_pace(self.slowdown)).min_by(f64::total_cmp)
+        else {
             return;
         };
         let mut moves = 0;
         let runs: Vec<RunId> = self.runs.keys().copied().collect();
         for id in runs {
-            if moves >= MOVES_PER_TICK || !self.should_move(now, id, best) {
+            if moves >= MAX_MOVES_PER_TICK || !self.should_move(now, id, best_pace) {
                 continue;
             }
             let Some(run) = self.runs.get(&id) else { continue };
             let (batch, item, replica) = (run.batch.clone(), run.item, run.replica.clone());
-            // Stopped, it could not be started anywhere.
-            if self.is_held(&batch, item) {
+            // A quarantined item could not be started again.
+            if self.is_quarantined(&batch, item) {
                 continue;
             }
             moves += 1;
             let subject = self.item(&batch, item).map_or_else(String::new, |item| item.id.clone());
             let decision = Decision::new(Component::Rollout, "run_stopped", "slow_replica", subject);
-            self.decide(decision.with("batch", &batch).with("replica", &replica).with("run", id.0));
+            self.record_decision(decision.with("batch", &batch).with("replica", &replica).with("run", id.0));
             self.stop(id);
             if let Some(live) = self.items.get_mut(&(batch.clone(), item)) {
                 live.avoid = Some(replica);
             }
-            // Without a place elsewhere it waits like any other.
+            // If no replica has capacity, the item waits for its next turn.
             let _ = self.start_item(now, &batch, item);
         }
     }
 
-    fn should_move(&self, now: Timestamp, id: RunId, best: f64) -> bool {
+    fn should_move(&self, now: Timestamp, id: RunId, best_pace: f64) -> bool {
         let Some(run) = self.runs.get(&id) else { return false };
-        if now.saturating_since(run.started_at) < MIN_STAY || run.last_event_at.is_none() {
+        if now.saturating_since(run.started_at) < MIN_TIME_ON_REPLICA || run.last_event_at.is_none() {
             return false;
         }
         let Some(state) = self.replicas.get(&run.replica) else { return false };
         let pace = state.gap(self.slowdown).as_secs_f64();
         let events = self.items.get(&(run.batch.clone(), run.item)).map_or(0, |live| live.events.len());
-        if !is_worth_moving(pace, best, events) {
+        if !is_worth_moving(pace, best_pace, events) {
             return false;
         }
-        let Some(need) = self.need(&run.batch, run.item) else { return false };
-        let others = Need { avoid: Some(&run.replica), ..need };
+        let Some(requirements) = self.requirements(&run.batch, run.item) else { return false };
+        let others = Requirements { avoid: Some(&run.replica), ..requirements };
         let Some(other) = schedule::choose(&self.replicas, &others, self.slowdown, now) else { return false };
         let Some(other) = self.replicas.get(&other).filter(|other| other.record.id != run.replica) else {
             return false;
--- a/crates/core/src/batch/controller/scoring.rs
+++ b/crates/core/src/batch/controller/scoring.rs
@@ -1,8 +1,8 @@
-//! Whole texts that wait for their score.
+//! Scoring of complete texts.
 //!
-//! Invariants: a score request leaves only after the text that it scores is kept whole; a score is listed
-//! only with the text that its request followed; an item is given up for its scorer only after as many
-//! failures as the route allows, those of earlier owners included.
+//! Invariants: a score request is sent only after the text that it scores is committed; a score is listed
+//! only with that text; an item is given up because of its scorer only after as many failures as the route
+//! allows, including those counted by earlier owners.
 
 use super::{Action, Controller, ItemStage};
 use crate::batch::record::Record;
@@ -13,7 +13,7 @@
 use crate::time::Timestamp;
 
 impl Controller {
-    /// A whole text is kept: its score request may leave.
+    /// Queues the score request of a committed text.
     pub(super) fn begin_scoring(&mut self, now: Timestamp, batch: &BatchId, item: u32) {
         let Some(job) = self.ledger.job(batch).filter(|job| job.is_open(item)) else { return };
         let Some(request) = job.job.items.get(item as usize).and_then(|item| item.scorer.clone()) else {
@@ -42,12 +42,13 @@
         for start in self.scores.next(&routes, ready, &mut self.gate, &self.quarantine, now) {
             let decision = Decision::new(Component::Rollout, "score_requested", "whole", &start.request.id);
             let decision = decision.with("replica", &start.replica.id).with("sending", start.id.0);
-            self.decide(decision.with("patience_ms", start.timeout.as_millis()));
+            self.record_decision(decision.with("patience_ms", start.timeout.as_millis()));
             self.actions.push_back(Action::Score(Box::new(start)));
         }
     }
 
-    /// Takes the end of a score request, and what the replica said of its load, where it did.
+    /// Handles the end of a score request. `busy` is the number of requests that the replica reported to have
+    /// in hand, if it did.
     pub fn score_ended(&mut self, now: Timestamp, id: ScoreId, end: &ScoreEnd, busy: Option<u32>) {
         if let Some(busy) = busy {
             self.scores.reported(id, busy, now);
@@ -57,13 +58,13 @@
         let item = self.item(&key.0, key.1).map_or_else(String::new, |item| item.id.clone());
         let decision =
             Decision::new(Component::Rollout, "score_ended", end.as_str(), &request).with("item", item);
-        self.decide(decision.with("batch", &key.0).with("replica", &replica).with("sending", id.0));
+        self.record_decision(decision.with("batch", &key.0).with("replica", &replica).with("sending", id.0));
         match end {
             ScoreEnd::Scored(score) => self.list_scored(now, key, score),
             ScoreEnd::Failed => self.count_score_failure(now, &key, route_attempts),
             ScoreEnd::Rejected | ScoreEnd::Broken => {}
         }
-        self.work(now);
+        self.mark_items_due(now);
     }
 
     fn list_scored(&mut self, now: Timestamp, key: ItemKey, score: &str) {
@@ -81,13 +82,13 @@
         let failures = live.score_failures;
         let (batch, item) = key.clone();
         self.append(now, vec![Record::ScoreFailed { batch, item, failures }]);
-        // Without a route nobody says how many failures are enough.
+        // The limit on failures comes from the route; without one the item is retried.
         if route_attempts.is_some_and(|attempts| failures >= attempts) {
             self.give_up(now, &key.0, key.1, "score_failures");
         }
     }
 
-    /// Gives up the score requests of these items.
+    /// Cancels the score requests of the matching items.
     pub(super) fn stop_scores(&mut self, now: Timestamp, is_gone: impl Fn(&ItemKey) -> bool) {
         for id in self.scores.remove(is_gone, now) {
             self.actions.push_back(Action::StopScore(id));
--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -1,37 +1,37 @@
-//! Which items are started and which versions are loaded, once all events at hand are taken in.
+//! Starts items and loads after all pending events are processed.
 
 use std::collections::{HashMap, HashSet};
 
 use super::jobs::expected_tokens;
 use super::{Action, Controller, DueWork, ItemStage, Run, RunId, RunStart};
 use crate::batch::ledger::JobState;
-use crate::batch::schedule::{self, Need, ReplicaState};
+use crate::batch::schedule::{self, ReplicaState, Requirements};
 use crate::decision::{Component, Decision};
 use crate::identity::{BatchId, TenantName};
 use crate::ingress::places::AllowedRegions;
 use crate::ingress::routes::{Route, WeightedService};
 use crate::time::{Timestamp, whole_millis};
 
-/// Urgency of items where nothing speaks for another.
+/// Default urgency of an item (0 is the most urgent, 9 the least).
 const DEFAULT_URGENCY: u8 = 5;
 
 impl Controller {
-    /// Items may be started once all events at hand are taken in.
-    pub(super) fn work(&mut self, now: Timestamp) {
+    /// Schedules a pass over the waiting items.
+    pub(super) fn mark_items_due(&mut self, now: Timestamp) {
         self.due.now = now;
         self.due.items = true;
     }
 
-    /// The same, and versions may be loaded.
-    pub(super) fn work_and_load(&mut self, now: Timestamp) {
-        self.work(now);
+    /// Schedules a pass over the waiting items and over model loads.
+    pub(super) fn mark_items_and_loads_due(&mut self, now: Timestamp) {
+        self.mark_items_due(now);
         self.due.loads = true;
     }
 
-    pub(super) fn do_due_work(&mut self) {
+    pub(super) fn run_due_work(&mut self) {
         let DueWork { now, items, loads } = std::mem::take(&mut self.due);
         if items {
-            self.forget_listed();
+            self.remove_listed_items();
         }
         if !self.is_confirmed {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Items that stand in their job's list need nothing more.
-    fn forget_listed(&mut self) {
+    /// Drops the in-memory state of items that are listed.
+    fn remove_listed_items(&mut self) {
         let ledger = &self.ledger;
         self.items.retain(|(batch, item), live| {
             let is_listed = || ledger.job(batch).is_some_and(|job| !job.is_open(*item));
@@ -58,88 +58,95 @@
         if !self.replicas.values().any(ReplicaState::has_free_slot) {
             return;
         }
-        let mut closed = HashSet::new();
-        for WaitingItem { batch, item, kind } in self.waiting(now) {
-            if closed.contains(&kind) || self.start_item(now, &batch, item) {
+        let mut full_classes = HashSet::new();
+        for WaitingItem { batch, item, class } in self.waiting(now) {
+            if full_classes.contains(&class) || self.start_item(now, &batch, item) {
                 continue;
             }
-            let need = self.need(&batch, item).map(Need::least);
-            if !need.is_some_and(|need| schedule::has_place(&self.replicas, &need, now)) {
-                closed.insert(kind);
+            let requirements = self.requirements(&batch, item).map(Requirements::minimal);
+            if !requirements.is_some_and(|requirements| {
+                schedule::has_matching_replica(&self.replicas, &requirements, now)
+            }) {
+                full_classes.insert(class);
             }
         }
     }
 
-    /// Waiting items for which a replica may have a place, the most pressing first.
+    /// Returns the waiting items that a replica may have capacity for, most urgent first.
     ///
-    /// What the items of one job and model share is worked out once for all of them: at size, a thousand
-    /// items wait at each time, and most of them for replicas without a free slot.
+    /// What the items of one job and model share is computed once for all of them: there may be a thousand
+    /// waiting items, most of which need replicas without a free slot.
     fn waiting(&self, now: Timestamp) -> Vec<WaitingItem> {
-        let kinds = self.open_kinds(now);
+        let classes = self.open_classes(now);
         let mut waiting = Vec::new();
         for ((batch, item), live) in &self.items {
             if live.run.is_some() || live.stage != ItemStage::Generating {
                 continue;
             }
-            let Some(of_job) = kinds.get(batch) else { continue };
+            let Some(of_job) = classes.get(batch) else { continue };
             let Some(request) = of_job.job.job.items.get(*item as usize) else { continue };
-            let Some(kind) = of_job.kind(request.model.as_deref()) else { continue };
+            let Some(class) = of_job.class(request.model.as_deref()) else { continue };
             let tally = self.tallies.get(batch);
-            let group_left = tally.and_then(|tally| tally.group(*item).map(|group| tally.left(group)));
+            let group_left = tally.and_then(|tally| tally.group(*item).map(|group| tally.remaining(group)));
             let expected = expected_tokens(request).saturating_sub(live.events.len() as u64);
             let rank =
                 (of_job.is_late, of_job.job.accepted_at_ms, u64::MAX - expected, group_left.unwrap_or(0));
-            waiting.push((rank, batch, *item, kind));
+            waiting.push((rank, batch, *item, class));
         }
         waiting.sort_unstable();
         let waiting = waiting.into_iter();
-        waiting.map(|(_, batch, item, kind)| WaitingItem { batch: batch.clone(), item, kind }).collect()
+        waiting.map(|(_, batch, item, class)| WaitingItem { batch: batch.clone(), item, class }).collect()
     }
 
-    /// The open jobs with a model for which a replica has a place.
-    fn open_kinds(&self, now: Timestamp) -> HashMap<&BatchId, JobKinds<'_>> {
+    /// Returns the open jobs that have at least one model with capacity on a replica.
+    fn open_classes(&self, now: Timestamp) -> HashMap<&BatchId, JobClasses<'_>> {
         let clock_ms = self.clock_ms(now);
-        let mut next_kind = 0;
-        let mut kinds = HashMap::new();
+        let mut next_class = 0;
+        let mut classes = HashMap::new();
         for batch in self.tallies.keys() {
             let (Some(job), Some(route)) = (self.ledger.job(batch), self.route(batch)) else { continue };
             let mut models = models_of(job);
             models.retain(|model| {
-                let need = self.least_need(route, job, *model);
-                schedule::has_place(&self.replicas, &need, now)
+                let requirements = self.minimal_requirements(route, job, *model);
+                schedule::has_matching_replica(&self.replicas, &requirements, now)
             });
             let due_ms = whole_millis(route.due);
             let is_late = clock_ms.saturating_sub(job.accepted_at_ms) > due_ms;
-            let first_kind = next_kind;
-            next_kind += models.len();
+            let first_class = next_class;
+            next_class += models.len();
             if !models.is_empty() {
-                kinds.insert(batch, JobKinds { job, is_late, models, first_kind });
+                classes.insert(batch, JobClasses { job, is_late, models, first_class });
             }
         }
-        kinds
+        classes
     }
 
-    /// What an item needs of a replica; none where its route is gone.
-    pub(super) fn need(&self, batch: &BatchId, item: u32) -> Option<Need<'_>> {
+    /// Returns what an item requires of a replica, or `None` when its route no longer exists.
+    pub(super) fn requirements(&self, batch: &BatchId, item: u32) -> Option<Requirements<'_>> {
         let job = self.ledger.job(batch)?;
         let routes = self.routes.as_ref()?;
         let route = routes.by_name(&job.job.route)?;
         let request = job.job.items.get(item as usize)?;
         let live = self.items.get(&(batch.clone(), item))?;
         let first_event = live.events.first().filter(|_| route.needs_single_version);
-        Some(Need {
+        Some(Requirements {
             exact_version: first_event.map(|event| event.version),
             tokens: expected_tokens(request),
             avoid: live.avoid.as_deref(),
-            ..self.least_need(route, job, request.model.as_deref())
+            ..self.minimal_requirements(route, job, request.model.as_deref())
         })
     }
 
-    /// What any item of a job and model needs of a replica at least.
-    fn least_need<'a>(&'a self, route: &'a Route, job: &JobState, model: Option<&'a str>) -> Need<'a> {
+    /// Returns the minimum that any item of this job and model requires of a replica.
+    fn minimal_requirements<'a>(
+        &'a self,
+        route: &'a Route,
+        job: &JobState,
+        model: Option<&'a str>,
+    ) -> Requirements<'a> {
         let service = |part: &WeightedService| self.routes.as_ref()?.services.get(&part.service);
         let first_service = route.services.first().and_then(service);
-        Need {
+        Requirements {
             services: &route.services,
             model,
             min_version: job.job.min_version,
@@ -153,44 +160,47 @@
         }
     }
 
-    /// Where the requests of a route and a tenant may run: within the shard's own regions.
+    /// Returns the regions in which requests of a route and tenant may run, within the shard's own regions.
     fn allowed_regions(&self, route: &Route, tenant: Option<&TenantName>) -> AllowedRegions {
         let Some(routes) = &self.routes else { return self.config.regions.clone() };
         routes.allowed_regions(route, tenant).intersect(&self.config.regions)
     }
 
-    /// Whether an item reaches no replica, since replicas ended under it. Asked before each of its runs, the
-    /// first as well as one that is resumed or moved.
-    pub(super) fn is_held(&mut self, batch: &BatchId, item: u32) -> bool {
+    /// Returns whether an item is quarantined. Checked before every run of it, also before one that is
+    /// resumed or moved.
+    pub(super) fn is_quarantined(&mut self, batch: &BatchId, item: u32) -> bool {
         if self.quarantine.is_empty() {
             return false;
         }
         let Some(job) = self.ledger.job(batch) else { return false };
         let Some(request) = job.job.items.get(item as usize) else { return false };
         let Some(live) = self.items.get_mut(&(batch.clone(), item)) else { return false };
-        let of_request = || request.fingerprint(&job.job.host, job.job.tenant.as_ref());
-        let fingerprint = *live.fingerprint.get_or_insert_with(of_request);
-        let was_held = std::mem::replace(&mut live.is_held, self.quarantine.holds(&fingerprint));
-        if live.is_held && !was_held {
+        let compute_fingerprint = || request.fingerprint(&job.job.host, job.job.tenant.as_ref());
+        let fingerprint = *live.fingerprint.get_or_insert_with(compute_fingerprint);
+        let was_quarantined =
+            std::mem::replace(&mut live.is_quarantined, self.quarantine.holds(&fingerprint));
+        if live.is_quarantined && !was_quarantined {
             let decision = Decision::new(Component::Rollout, "item_held", "quarantined", &request.id);
             let decision = decision.with("batch", batch).with("fingerprint", fingerprint);
             self.actions.push_back(Action::Decide(decision));
         }
-        live.is_held
+        live.is_quarantined
     }
 
-    /// Starts an item where a replica has a place for it; returns whether one has.
+    /// Starts an item if a replica has capacity for it, and returns whether it did.
     pub(super) fn start_item(&mut self, now: Timestamp, batch: &BatchId, item: u32) -> bool {
-        if self.is_held(batch, item) {
+        if self.is_quarantined(batch, item) {
             return false;
         }
-        let Some(need) = self.need(batch, item) else { return false };
+        let Some(requirements) = self.requirements(batch, item) else { return false };
         let Some(job) = self.ledger.job(batch) else { return false };
         let Some(request) = self.item(batch, item) else { return false };
         let Some(live) = self.items.get(&(batch.clone(), item)) else { return false };
-        let tokens = need.tokens;
-        let Some(Choice { replica: chosen, starts_anew }) = self.choose(need, now) else { return false };
-        let last_event = live.events.last().map(|event| event.number).filter(|_| !starts_anew);
+        let tokens = requirements.tokens;
+        let Some(Choice { replica: chosen, restarts_text }) = self.choose(requirements, now) else {
+            return false;
+        };
+        let last_event = live.events.last().map(|event| event.number).filter(|_| !restarts_text);
         let request = request.clone();
         let (host, tenant) = (job.job.host.clone(), job.job.tenant.clone());
         let Some(state) = self.replicas.get_mut(&chosen) else { return false };
@@ -203,40 +213,40 @@
         let run = RunId(self.last_run);
         live.run = Some(run);
         live.written_at = now;
-        if starts_anew {
+        if restarts_text {
             live.restart();
         }
-        let of_request = || request.fingerprint(&host, tenant.as_ref());
-        let fingerprint = *live.fingerprint.get_or_insert_with(of_request);
+        let compute_fingerprint = || request.fingerprint(&host, tenant.as_ref());
+        let fingerprint = *live.fingerprint.get_or_insert_with(compute_fingerprint);
         let started =
             Run { batch: batch.clone(), item, replica: chosen, tokens, started_at: now, last_event_at: None };
         self.runs.insert(run, started);
         let (item, urgency) = (request, DEFAULT_URGENCY);
         let start = RunStart { run, replica, host, tenant, item, fingerprint, last_event, urgency };
-        self.decide(start_decision(batch, &start));
+        self.record_decision(start_decision(batch, &start));
         self.actions.push_back(Action::Start(Box::new(start)));
         true
     }
 
-    /// The replica on which an item would be done first. Where no replica has the version of its kept events, it
-    /// is begun anew on one with another version.
-    fn choose(&self, need: Need<'_>, now: Timestamp) -> Option<Choice> {
-        if let Some(replica) = schedule::choose(&self.replicas, &need, self.slowdown, now) {
-            return Some(Choice { replica, starts_anew: false });
+    /// Chooses the replica that should finish an item first. If no replica has the model version of the
+    /// item's events, chooses one with another version and restarts the text.
+    fn choose(&self, requirements: Requirements<'_>, now: Timestamp) -> Option<Choice> {
+        if let Some(replica) = schedule::choose(&self.replicas, &requirements, self.slowdown, now) {
+            return Some(Choice { replica, restarts_text: false });
         }
-        need.exact_version?;
-        let need = Need { exact_version: None, ..need };
-        let replica = schedule::choose(&self.replicas, &need, self.slowdown, now)?;
-        Some(Choice { replica, starts_anew: true })
+        requirements.exact_version?;
+        let requirements = Requirements { exact_version: None, ..requirements };
+        let replica = schedule::choose(&self.replicas, &requirements, self.slowdown, now)?;
+        Some(Choice { replica, restarts_text: true })
     }
 }
 
-/// Where an item goes.
+/// The replica chosen for an item.
 struct Choice {
-    /// The replica's id.
+    /// Id of the replica.
     replica: String,
-    /// Whether what came of the item so far is dropped.
-    starts_anew: bool,
+    /// Whether the events received so far are discarded.
+    restarts_text: bool,
 }
 
 fn start_decision(batch: &BatchId, start: &RunStart) -> Decision {
@@ -249,32 +259,32 @@
         .with("after_event", after_event)
 }
 
-/// An item to start.
+/// An item that waits to be started.
 struct WaitingItem {
     batch: BatchId,
     item: u32,
-    /// The number of its job and model among the open ones.
-    kind: usize,
+    /// Index of the item's class: the items of one job and model.
+    class: usize,
 }
 
-/// What the waiting items of a job share.
-struct JobKinds<'a> {
+/// What the waiting items of a job have in common.
+struct JobClasses<'a> {
     job: &'a JobState,
     is_late: bool,
-    /// Its models for which a replica has a place.
+    /// The job's models for which a replica has capacity; each is one class.
     models: Vec<Option<&'a str>>,
-    /// The number of the first of them; the others follow.
-    first_kind: usize,
+    /// Index of the first class; the others follow.
+    first_class: usize,
 }
 
-impl JobKinds<'_> {
-    fn kind(&self, model: Option<&str>) -> Option<usize> {
+impl JobClasses<'_> {
+    fn class(&self, model: Option<&str>) -> Option<usize> {
         let position = self.models.iter().position(|open| *open == model)?;
-        Some(self.first_kind + position)
+        Some(self.first_class + position)
     }
 }
 
-/// The models that a job's items name, each once.
+/// Returns the distinct models that a job's items name.
 fn models_of(job: &JobState) -> Vec<Option<&str>> {
     let mut models = Vec::new();
     for item in &job.job.items {
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -1,51 +1,50 @@
-//! When a node takes the batch jobs over from their owner.
+//! Decides when a node takes the batch jobs over from their owner.
 //!
-//! Inputs: what the stores answer to the question who leads (the epoch, its owner, how long ago that owner
-//! last appended), the replica set in force where it is known, this node's rank among the candidates, and why
-//! it asks. Time only decides when a takeover is tried; the epoch that the stores promise decides who owns
-//! (see `replication`). An owner appends at least each 200 ms, so that a second of silence means that it is
-//! gone or cut off.
+//! Inputs: the answers of the stores about the current leader (its epoch, its node, and the time since its
+//! last append), the current replica set if known, this node's rank among the candidates, and the reason for
+//! asking. Timing only decides when a takeover is attempted; ownership itself is decided by the epoch that
+//! the stores promise (see `replication`). An owner appends at least every 200 ms, so one second of silence
+//! means that it has failed or is partitioned.
 
 use std::time::Duration;
 
 use crate::identity::{Epoch, NodeId};
 use crate::replication::replica_set::ReplicaSet;
 
-/// Nodes that ask the stores at each turn. Three, so that the loss of two at once delays a takeover by no
-/// more than the ranks between them; each further one adds a question to every store at each turn.
+/// Number of nodes that poll the stores in every round. With three, losing two at once delays a takeover only
+/// by their rank delays; each additional one adds a request to every store in every round.
 pub const CANDIDATES: usize = 3;
-/// A candidate waits this much longer for each one before it. Chosen, not measured: above the 250 ms between
-/// two polls and the time of a takeover's first append, or two candidates take the log from each other.
+/// Additional delay for each lower rank. Exceeds the poll interval of 250 ms plus the time of a takeover's
+/// first append, so that two candidates do not take the log from each other.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// Silence after which a node that itself led before it restarted takes over again. Chosen, not measured: it
-/// need not wait for itself, only for appends of its own earlier incarnation that are still on their way.
+/// Silence after which a node takes over again if it was the owner before it restarted. It only has to wait
+/// for appends of its previous incarnation that are still in flight.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// Silence after which a candidate takes over that the owner asked because it can't reach its stores. As long
-/// as the owner waits before it suspects that it is cut off. Chosen, not measured: shorter takes over from an
-/// owner that is merely slow.
-const ASKED_DELAY: Duration = Duration::from_millis(300);
-
-/// Whether a node of this rank asks the stores in poll round `round`. Those behind the first few ask the more
-/// rarely the further behind they are: should all before them be gone at once, one of them notices, and 410
-/// nodes ask the stores less than four times as often as 7.
+/// Silence after which a candidate takes over if an owner that cannot reach its stores asked it to. Equals
+/// the silence after which an owner suspects a partition.
+const CUT_OFF_TAKEOVER_DELAY: Duration = Duration::from_millis(300);
+
+/// Returns whether a node of this rank polls the stores in this round. Ranks beyond the first [`CANDIDATES`]
+/// poll less often the lower they are, so that a simultaneous loss of all nodes before them is still noticed,
+/// while 410 nodes poll less than four times as often as 7.
 pub fn should_poll(rank: usize, round: u64) -> bool {
     let period = (rank / CANDIDATES + 1) as u64;
     round.is_multiple_of(period)
 }
 
-/// Why a candidate asks the stores.
+/// Why a candidate polls the stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollReason {
-    /// Its turn has come.
+    /// The regular poll.
     Due,
-    /// The owner left the jobs to this node.
+    /// The owner handed the jobs over to this node.
     OwnerLeft,
-    /// The owner can't reach its stores, and asked this node to try.
+    /// The owner cannot reach its stores and asked this node to take over.
     OwnerCutOff,
 }
 
 impl PollReason {
-    /// The name used in logs, as the reason of a takeover.
+    /// Returns the name used in logs as the reason of a takeover.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Due => "owner_silent",
@@ -54,37 +53,37 @@
         }
     }
 
-    /// The rank and the silence by which the candidate judges. Where the owner asked this node, it asked
-    /// nobody else, so that no other candidate need be waited for.
+    /// Returns the rank and the required silence to decide by. A cut-off owner asks only one node, so that
+    /// node need not wait for candidates of higher rank.
     pub const fn rank_and_delay(self, rank: usize, takeover_after: Duration) -> (usize, Duration) {
         match self {
-            Self::OwnerCutOff => (0, ASKED_DELAY),
+            Self::OwnerCutOff => (0, CUT_OFF_TAKEOVER_DELAY),
             Self::Due | Self::OwnerLeft => (rank, takeover_after),
         }
     }
 }
 
-/// Who leads, as one store knows it.
+/// The current leader as known to one store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedLeader {
-    /// The epoch.
+    /// The leader's epoch.
     pub epoch: Epoch,
-    /// The owner's node.
+    /// The leader's node.
     pub owner: NodeId,
-    /// How long ago it last appended there.
+    /// Time since its last append at this store.
     pub idle: Duration,
 }
 
-/// What one store answers to the question who leads.
+/// One store's answer about the current leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderAnswer {
-    /// The store's node.
+    /// The node of the store.
     pub store: NodeId,
-    /// Who leads there; `None` where nobody has led.
+    /// The leader; `None` if there has not been one.
     pub leader: Option<ObservedLeader>,
 }
 
-/// What the stores that answered say of who leads.
+/// The answers of all stores that replied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderAnswers(pub Vec<LeaderAnswer>);
 
@@ -93,24 +92,25 @@
         self.0.iter().filter_map(|answer| answer.leader.as_ref())
     }
 
-    /// The owner under the highest epoch.
+    /// Returns the owner with the highest epoch.
     pub fn owner(&self) -> Option<&NodeId> {
         let latest = self.leaders().max_by_key(|leader| leader.epoch);
         latest.map(|leader| &leader.owner)
     }
 
-    /// How many stores answered.
+    /// Returns the number of stores that answered.
     pub const fn answered(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether an owner appended at a store less than `duration` ago.
+    /// Returns whether an owner appended at any store within the last `duration`.
     pub fn appended_within(&self, duration: Duration) -> bool {
         self.leaders().any(|leader| leader.idle < duration)
     }
 
-    /// The answers that count towards a majority of `set`: those of its members, and of stores that know of a
-    /// leader, which are members of a set that this node has not met yet. All of them where no set is known.
+    /// Returns the answers that count towards a majority of `set`: those of its members, and those of stores
+    /// that know a leader, which belong to a newer set that this node does not know yet. Without a set, all
+    /// answers count.
     pub fn counted(&self, set: Option<&ReplicaSet>) -> Vec<Option<ObservedLeader>> {
         let is_member =
             |set: &ReplicaSet, node: &NodeId| set.members.iter().any(|member| member.node == *node);
@@ -124,32 +124,32 @@
 /// What a candidate should do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TakeoverDecision {
-    /// Nothing; this is the owner, where it is known.
+    /// Keep waiting; holds the current owner if known.
     Wait(Option<NodeId>),
-    /// Take the shard over. The owner before last appended this long ago, where there was one.
+    /// Take over the shard; holds the time since the previous owner's last append, if there was one.
     TakeOver(Option<Duration>),
 }
 
-/// Judges what the stores say. `answers` has an entry for each store that answered, `None` where nobody has
-/// led there; `needed` is how many must have answered. `rank` is 0 for the first candidate.
+/// Decides whether to take over. `answers` has one entry per store that answered, `None` if it has known no
+/// leader; `quorum` is the required number of answers, and `rank` is 0 for the first candidate.
 pub fn decide_takeover(
     node: &NodeId,
     rank: usize,
     answers: &[Option<ObservedLeader>],
-    needed: usize,
+    quorum: usize,
     takeover_after: Duration,
 ) -> TakeoverDecision {
     let latest = answers.iter().flatten().max_by_key(|seen| seen.epoch);
     let Some(latest) = latest else {
-        let may_begin = answers.len() >= needed && rank == 0;
+        let may_begin = answers.len() >= quorum && rank == 0;
         return if may_begin { TakeoverDecision::TakeOver(None) } else { TakeoverDecision::Wait(None) };
     };
     let of_latest = answers.iter().flatten().filter(|seen| seen.epoch == latest.epoch);
-    // `latest` is among them, so that there is a least.
+    // Never empty, since `latest` itself is included.
     let idle = of_latest.map(|seen| seen.idle).min().unwrap_or_default();
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     let silence = if &latest.owner == node { RESTART_DELAY } else { takeover_after + RANK_DELAY * rank };
-    if answers.len() >= needed && idle >= silence {
+    if answers.len() >= quorum && idle >= silence {
         return TakeoverDecision::TakeOver(Some(idle));
     }
     TakeoverDecision::Wait(Some(latest.owner.clone()))
--- a/crates/core/src/batch/group_tally.rs
+++ b/crates/core/src/batch/group_tally.rs
@@ -1,36 +1,36 @@
-//! How much is left of each group of a job's items.
+//! Counts the open items of each group of a job.
 //!
-//! A trainer is served by whole groups: a group counts once every item of it is listed.
-//! Owns the counts of one job, which follow from its ledger; relies on its caller to note each item once, when it is listed.
+//! A trainer can only use complete groups, that is, groups whose items are all listed. The counts are derived
+//! from the ledger; the caller reports each item once, when it is listed.
 
 use std::collections::HashMap;
 
 use super::ledger::JobState;
 
-/// The groups of one job, by number.
+/// Item counts of the groups of one job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupTally {
-    /// The number of each item's group, by the item's position; none for an item without a group.
+    /// Group number of each item, by the item's position; `None` for an item without a group.
     groups: Vec<Option<usize>>,
-    /// Items of each group that are not listed yet.
-    left: Vec<u32>,
+    /// Number of items of each group that are not listed yet.
+    remaining: Vec<u32>,
     names: Vec<String>,
-    whole: usize,
+    complete_groups: usize,
 }
 
-/// A group that became whole.
+/// A group that has become complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteGroup {
-    /// The group.
+    /// Name of the group.
     pub name: String,
-    /// Whole groups of the job so far, this one included.
-    pub whole: usize,
-    /// Groups of the job.
+    /// Number of complete groups of the job, including this one.
+    pub complete_groups: usize,
+    /// Number of groups of the job.
     pub groups: usize,
 }
 
 impl GroupTally {
-    /// The groups of a job as its ledger stands.
+    /// Counts the groups of a job from its state in the ledger.
     pub(crate) fn of(state: &JobState) -> Self {
         let mut tally = Self::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
@@ -41,40 +41,45 @@
             };
             let number = *numbers.entry(name).or_insert_with(|| {
                 tally.names.push(name.to_owned());
-                tally.left.push(0);
-                tally.left.len() - 1
+                tally.remaining.push(0);
+                tally.remaining.len() - 1
             });
             tally.groups.push(Some(number));
-            tally.left[number] += u32::from(!kept.is_listed);
+            tally.remaining[number] += u32::from(!kept.is_listed);
         }
-        tally.whole = tally.left.iter().filter(|left| **left == 0).count();
+        tally.complete_groups = tally.remaining.iter().filter(|remaining| **remaining == 0).count();
         tally
     }
 
-    /// The number of an item's group.
+    /// Returns the number of an item's group.
     pub(crate) fn group(&self, item: u32) -> Option<usize> {
         *self.groups.get(item as usize)?
     }
 
-    /// Items of a group that are not listed yet.
-    pub(crate) fn left(&self, group: usize) -> u32 {
-        self.left.get(group).copied().unwrap_or(0)
+    /// Returns the number of items of a group that are not listed yet.
+    pub(crate) fn remaining(&self, group: usize) -> u32 {
+        self.remaining.get(group).copied().unwrap_or(0)
     }
 
-    /// How many groups there are.
+    /// Returns the number of groups.
     pub(crate) fn groups(&self) -> usize {
-        self.left.len()
+        self.remaining.len()
     }
 
-    /// An item was listed; the group that this makes whole. To be called once for each item.
+    /// Counts an item that was listed and returns its group if that is now complete. Must be called once per
+    /// item.
     pub(crate) fn listed(&mut self, item: u32) -> Option<CompleteGroup> {
         let group = self.group(item)?;
-        let left = self.left.get_mut(group).filter(|left| **left > 0)?;
-        *left -= 1;
-        if *left > 0 {
+        let remaining = self.remaining.get_mut(group).filter(|remaining| **remaining > 0)?;
+        *remaining -= 1;
+        if *remaining > 0 {
             return None;
         }
-        self.whole += 1;
-        Some(CompleteGroup { name: self.names[group].clone(), whole: self.whole, groups: self.groups() })
+        self.complete_groups += 1;
+        Some(CompleteGroup {
+            name: self.names[group].clone(),
+            complete_groups: self.complete_groups,
+            groups: self.groups(),
+        })
     }
 }
--- a/crates/core/src/batch/job.rs
+++ b/crates/core/src/batch/job.rs
@@ -1,52 +1,52 @@
-//! A batch job as it was handed in, and what comes of its items.
+//! A batch job as submitted, and the results of its items.
 
 use speedy::{Readable, Writable};
 
 use crate::identity::{BatchId, TenantName};
 use crate::quarantine::{Fingerprint, RequestContent};
 
-/// A request that scores an item's text once it is whole. The signature of its successful answer is the
+/// A request that scores an item's text once it is complete. The signature of the successful answer is the
 /// score.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ScoreRequest {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// The host whose routes it goes by.
+    /// The host by which its route is found.
     pub host: String,
-    /// The path, by which its route is found.
+    /// The path by which its route is found.
     pub path: String,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 /// One request of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct BatchItem {
-    /// Its id, unique within the job.
+    /// The id, unique within the job.
     pub id: String,
-    /// The path at the replica.
+    /// The path requested at the replica.
     pub path: String,
-    /// Header fields that go with it.
+    /// Header fields sent with the request.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// Tokens of memory that it may need.
+    /// Maximum memory that it needs, in tokens.
     pub tokens: u64,
-    /// The caller's estimate of tokens to come.
+    /// The caller's estimate of the tokens to generate.
     pub expected_tokens: Option<u64>,
-    /// The group that is worth something only as a whole.
+    /// The group that the item belongs to; only complete groups are useful to the caller.
     pub group: Option<String>,
-    /// The model it is for.
+    /// The model to run.
     pub model: Option<String>,
-    /// What scores its text; without it the text is listed as it came.
+    /// The request that scores the text; without one the text is listed unscored.
     pub scorer: Option<ScoreRequest>,
 }
 
-/// The method with which items and score requests are sent.
+/// HTTP method of items and score requests.
 const METHOD: &str = "POST";
 
 impl ScoreRequest {
-    /// What it has in common with the same request sent again.
+    /// Returns the fingerprint, which is the same for every attempt of the request.
     pub fn fingerprint(&self, tenant: Option<&TenantName>) -> Fingerprint {
         Fingerprint::of(&RequestContent {
             method: METHOD,
@@ -59,7 +59,8 @@
 }
 
 impl BatchItem {
-    /// What all its runs have in common, in a job that came under this host from this tenant.
+    /// Returns the fingerprint, which is the same for every run of the item. `host` and `tenant` are those of
+    /// its job.
     pub(crate) fn fingerprint(&self, host: &str, tenant: Option<&TenantName>) -> Fingerprint {
         Fingerprint::of(&RequestContent { method: METHOD, host, path: &self.path, tenant, body: &self.body })
     }
@@ -68,26 +69,27 @@
 /// A batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct BatchJob {
-    /// Its id.
+    /// The id.
     pub id: BatchId,
-    /// The route under which it came.
+    /// Name of the route that it was submitted to.
     pub route: String,
-    /// The host under which it came.
+    /// The host that it was submitted to.
     pub host: String,
-    /// Whose job it is; `None` where callers need no key.
+    /// The tenant that owns the job; `None` where callers need no key.
     pub tenant: Option<TenantName>,
-    /// The trainer's step.
+    /// The trainer's step number.
     pub step: Option<u64>,
-    /// The oldest version of the weights allowed to make its tokens.
+    /// The oldest model version that may generate its tokens.
     pub min_version: u64,
-    /// How many whole groups the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub desired_groups: Option<u64>,
-    /// Its items.
+    /// The items.
     pub items: Vec<BatchItem>,
 }
 
 impl BatchJob {
-    /// Whether a caller of this tenant may see and end the job. Where callers need no key, each may.
+    /// Returns whether a caller of this tenant may see and end the job. Where callers need no key, everyone
+    /// may.
     pub fn is_open_to(&self, caller: Option<&TenantName>) -> bool {
         match (&self.tenant, caller) {
             (Some(owner), Some(caller)) => owner == caller,
@@ -99,31 +101,31 @@
 /// One event of an item's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct OutputEvent {
-    /// Its number.
+    /// Number of the event within the answer.
     pub number: u64,
-    /// The version of the weights that made it.
+    /// The model version that generated it.
     pub version: u64,
-    /// Its data.
+    /// The event's data.
     pub data: String,
 }
 
-/// What came of an item.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ItemResult {
     /// The item's position in the job.
     pub item: u32,
-    /// Whether the text is the item's whole output.
+    /// Whether the text is the item's complete output.
     pub is_complete: bool,
     /// The data of all events in order, separated by line feeds.
     pub text: String,
-    /// Every version that made an event of the text, in rising order.
+    /// The model versions that generated the text, in ascending order.
     pub versions: Vec<u64>,
-    /// The score of the text, where its item names a scorer.
+    /// The score of the text, if its item names a scorer.
     pub score: Option<String>,
 }
 
 impl ItemResult {
-    /// The result of an item that came whole.
+    /// Creates the result of a complete item.
     pub fn complete(item: u32, events: &[OutputEvent], score: Option<String>) -> Self {
         let mut versions: Vec<u64> = events.iter().map(|event| event.version).collect();
         versions.sort_unstable();
@@ -132,7 +134,7 @@
         Self { item, is_complete: true, text: data.join("\n"), versions, score }
     }
 
-    /// The result of an item that was given up.
+    /// Creates the result of an item that was given up.
     pub(crate) const fn faulted(item: u32) -> Self {
         Self { item, is_complete: false, text: String::new(), versions: Vec::new(), score: None }
     }
--- a/crates/core/src/batch/leaving.rs
+++ b/crates/core/src/batch/leaving.rs
@@ -1,43 +1,40 @@
-//! When an owner leaves the batch jobs to a machine that is much more capable.
+//! Decides when an owner hands the batch jobs over to a much more capable node.
 //!
-//! Inputs: the most capable other coordinator that is worth leaving for (its capacity is at least twice this
-//! machine's), whether the authority is confirmed, and the owner's clock. Ownership is sticky otherwise:
-//! machines that are alike never take it from each other, since each change of owner costs the pause of a
-//! takeover. Measured on a deployment whose coordinators had 0.12 and 0.5 of a core, together with the rank
-//! by capacity: the share of work served on a quiet day, one play each, rose from 0.322 to 0.971.
+//! Inputs: the most capable other coordinator whose capacity is at least twice this node's, whether the
+//! owner's authority is confirmed, and the time. Otherwise ownership is sticky: nodes of similar capacity
+//! never take it from each other, since each change of owner costs the pause of a takeover.
 
 use std::time::Duration;
 
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// How long a more capable node must have been observed without a break before the jobs are left to it.
-/// Chosen, not measured: shorter, and a node that comes and goes moves the ownership; longer, and a weak
-/// machine owns for longer.
+/// How long a more capable node must be observed without interruption before the jobs are handed over to it.
+/// Prevents ownership from following a node that comes and goes.
 const LEAVE_AFTER: Duration = Duration::from_millis(2_000);
 
-/// What an owner has observed of more capable nodes.
+/// Tracks the presence of a more capable node.
 #[derive(Clone, Debug, Default)]
 pub struct LeaveMonitor {
-    /// The more capable node, and since when it has been observed.
-    better: Option<(NodeId, Timestamp)>,
+    /// The more capable node and when it was first observed.
+    preferred: Option<(NodeId, Timestamp)>,
 }
 
 impl LeaveMonitor {
-    /// Whether the owner should leave now. `better` is the node that is worth leaving for, where there is
-    /// one; another name begins the wait anew. Without a confirmed authority the owner stays: it could not
-    /// have its progress kept.
-    pub fn poll(&mut self, better: Option<&NodeId>, is_confirmed: bool, now: Timestamp) -> bool {
-        let Some(better) = better else {
-            self.better = None;
+    /// Returns whether the owner should hand over now. `preferred` is the more capable node, if there is one;
+    /// a different node restarts the wait. Without confirmed authority the owner stays, because it could not
+    /// commit its progress.
+    pub fn poll(&mut self, preferred: Option<&NodeId>, is_confirmed: bool, now: Timestamp) -> bool {
+        let Some(preferred) = preferred else {
+            self.preferred = None;
             return false;
         };
-        match &self.better {
-            Some((node, since)) if node == better => {
+        match &self.preferred {
+            Some((node, since)) if node == preferred => {
                 is_confirmed && now.saturating_since(*since) >= LEAVE_AFTER
             }
             _ => {
-                self.better = Some((better.clone(), now));
+                self.preferred = Some((preferred.clone(), now));
                 false
             }
         }
--- a/crates/core/src/batch/ledger.rs
+++ b/crates/core/src/batch/ledger.rs
@@ -1,8 +1,8 @@
-//! What the records of a batch shard amount to.
+//! The replicated state of a batch shard, built by applying the records of its log.
 //!
-//! Invariants: an item is listed once, and keeps its position; a job that was ended stays ended; events of an
-//! item are kept without a gap and each once; a score is listed only with the whole text that was kept before
-//! it. Applying a record a second time changes nothing.
+//! Invariants: an item is listed once and keeps its position; an ended job stays ended; the events of an item
+//! have no gaps or duplicates; a score is listed only with the complete text that was committed before it.
+//! Applying a record a second time changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,44 +13,45 @@
 use crate::identity::{BatchId, NodeId};
 use crate::usage::account::UsageAccount;
 
-/// What is kept of one item.
+/// State of one item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ItemState {
-    /// Events that have come.
+    /// Events committed so far.
     pub events: Vec<OutputEvent>,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failures: u32,
-    /// Whether its text is whole and waits for its score.
+    /// Whether its text is complete and waits for its score.
     pub is_generated: bool,
-    /// Answers of its scorer that said that it failed.
+    /// Number of answers in which its scorer reported a failure.
     pub score_failures: u32,
-    /// Whether it stands in the job's list.
+    /// Whether its result is listed.
     pub is_listed: bool,
-    /// Whether texts of its events are missing; they are kept until these come, also where it is listed.
+    /// Whether texts of its events are missing. The events are then retained until the texts are filled in,
+    /// even after the item is listed.
     pub is_outlined: bool,
 }
 
 impl ItemState {
-    /// The number of the last event that is kept.
+    /// Returns the number of the last committed event.
     pub fn last_event(&self) -> Option<u64> {
         self.events.last().map(|event| event.number)
     }
 }
 
-/// What is kept of one job.
+/// State of one job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobState {
-    /// The job as it was handed in.
+    /// The job as submitted.
     pub job: BatchJob,
-    /// The shard's clock when it was taken, in milliseconds.
+    /// The shard's clock when the job was accepted, in milliseconds.
     pub accepted_at_ms: u64,
     /// Results in the order in which they were listed.
     pub results: Vec<ItemResult>,
-    /// What is kept of each item.
+    /// State of each item, by position.
     pub items: Vec<ItemState>,
-    /// Whether its caller ended it.
+    /// Whether the caller ended the job.
     pub is_ended: bool,
-    /// Items by id.
+    /// Positions of the items by id.
     pub positions: HashMap<String, u32>,
 }
 
@@ -62,7 +63,7 @@
         Self { job, accepted_at_ms, results: Vec::new(), items, is_ended: false, positions }
     }
 
-    /// Whether an item may still run.
+    /// Returns whether an item is neither listed nor part of an ended job.
     pub fn is_open(&self, item: u32) -> bool {
         !self.is_ended && self.items.get(item as usize).is_some_and(|state| !state.is_listed)
     }
@@ -71,62 +72,61 @@
 /// The last order to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastOrder {
-    /// Who gave it.
+    /// The node that gave the order.
     pub holder: NodeId,
-    /// The shard's clock when it was written down, in milliseconds.
+    /// The shard's clock when the order was appended, in milliseconds.
     pub at_ms: u64,
 }
 
-/// Marks of orders are kept so long: no lease is longer. Chosen, not measured: a shorter time would let two
-/// holders order one replica within a lease.
-const MARK_RETENTION_MS: u64 = 60_000;
+/// How long the last order to a replica is retained. Must not be shorter than any order lease.
+const LAST_ORDER_RETENTION_MS: u64 = 60_000;
 
-/// All jobs of a shard.
+/// All state of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     pub(super) jobs: BTreeMap<BatchId, JobState>,
-    /// Jobs of which texts are missing.
+    /// Jobs with missing event texts.
     pub(super) outlined: BTreeSet<BatchId>,
     clock_ms: u64,
     orders: BTreeMap<String, LastOrder>,
     usage: UsageAccount,
-    /// Replicas that zones are to have, by service and zone.
+    /// Desired number of replicas by service and zone.
     scaled: BTreeMap<(String, String), u32>,
 }
 
-/// A snapshot: records that amount to the same ledger.
+/// A snapshot: records that reproduce the ledger.
 #[derive(Debug, Readable, Writable)]
 struct Snapshot {
     records: Vec<Record>,
 }
 
 impl Ledger {
-    /// The jobs.
+    /// Returns all jobs.
     pub const fn jobs(&self) -> &BTreeMap<BatchId, JobState> {
         &self.jobs
     }
 
-    /// One job.
+    /// Returns a job.
     pub fn job(&self, batch: &BatchId) -> Option<&JobState> {
         self.jobs.get(batch)
     }
 
-    /// The shard's clock, in milliseconds.
+    /// Returns the shard's clock in milliseconds.
     pub(crate) const fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// The last order to a replica, where it is recent enough to matter.
+    /// Returns the last order to a replica, if it is recent enough to matter.
     pub fn last_order(&self, replica: &str) -> Option<&LastOrder> {
         self.orders.get(replica)
     }
 
-    /// What tenants used.
+    /// Returns the usage of all tenants.
     pub const fn usage(&self) -> &UsageAccount {
         &self.usage
     }
 
-    /// Replicas that zones are to have by the last order, by service and zone.
+    /// Returns the last ordered number of replicas by service and zone.
     pub(crate) const fn scaled(&self) -> &BTreeMap<(String, String), u32> {
         &self.scaled
     }
@@ -138,28 +138,30 @@
             Record::Ended(batch) => self.end(&batch),
             Record::Dropped(batch) => self.drop_job(&batch),
             Record::Progress { batch, item, events } => {
-                self.change(&batch, item, |state| append_events(state, events));
+                self.update_item(&batch, item, |state| append_events(state, events));
             }
             Record::Failed { batch, item, failures } => {
-                self.change(&batch, item, |state| state.failures = state.failures.max(failures));
+                self.update_item(&batch, item, |state| state.failures = state.failures.max(failures));
             }
             Record::Generated { batch, item, events, replaces } => {
-                self.change(&batch, item, |state| keep_whole(state, events, replaces));
+                self.update_item(&batch, item, |state| apply_generated(state, events, replaces));
             }
             Record::ScoreFailed { batch, item, failures } => {
-                self.change(&batch, item, |state| state.score_failures = state.score_failures.max(failures));
+                self.update_item(&batch, item, |state| {
+                    state.score_failures = state.score_failures.max(failures)
+                });
             }
             Record::Outlined { batch, item, events, kind } => {
                 self.mark_outlined(&batch, item);
                 self.apply(kind.restore(batch.clone(), item, &events));
-                // A text that was begun anew is an outline too.
+                // A restarted text clears the flag, but its new events lack their texts as well.
                 self.mark_outlined(&batch, item);
             }
             Record::Listed { batch, result } => self.list_with_text(&batch, result),
             Record::Completed { batch, item, events } => self.complete(&batch, item, events),
             Record::Scored { batch, item, score } => self.list_scored(&batch, item, score),
             Record::Ordered { replica, holder, at_ms } => {
-                self.mark_order(replica, LastOrder { holder, at_ms });
+                self.record_order(replica, LastOrder { holder, at_ms });
             }
             Record::UsageCounted { source, through, counts } => self.usage.count(&source, through, &counts),
             Record::UsageClosed(window) => self.usage.close(window),
@@ -190,14 +192,14 @@
         self.scaled.insert((service, zone), desired);
     }
 
-    /// Changes what is kept of an item. A record of a job that was dropped meanwhile changes nothing.
-    fn change(&mut self, batch: &BatchId, item: u32, change: impl FnOnce(&mut ItemState)) {
+    /// Updates the state of an item. Records of a job that has been dropped are ignored.
+    fn update_item(&mut self, batch: &BatchId, item: u32, update: impl FnOnce(&mut ItemState)) {
         if let Some(state) = self.item(batch, item) {
-            change(state);
+            update(state);
         }
     }
 
-    /// Lists a result whose text stands in its record.
+    /// Lists a result whose record contains the text.
     fn list_with_text(&mut self, batch: &BatchId, result: ItemResult) {
         if let Some(state) = self.item(batch, result.item).filter(|state| !state.is_listed) {
             state.is_outlined = false;
@@ -222,7 +224,7 @@
         job.results.push(result);
     }
 
-    /// Invariant: only a text without a gap is listed as whole.
+    /// Appends the last events of an item and lists it. Only a text without gaps is listed as complete.
     fn complete(&mut self, batch: &BatchId, item: u32, events: Vec<OutputEvent>) {
         let Some(state) = self.item(batch, item) else { return };
         let last = events.last().map(|event| event.number).or(state.last_event());
@@ -239,13 +241,13 @@
         self.outlined.insert(batch.clone());
     }
 
-    fn mark_order(&mut self, replica: String, mark: LastOrder) {
-        self.clock_ms = self.clock_ms.max(mark.at_ms);
+    fn record_order(&mut self, replica: String, order: LastOrder) {
+        self.clock_ms = self.clock_ms.max(order.at_ms);
         let clock_ms = self.clock_ms;
-        self.orders.retain(|_, mark| clock_ms.saturating_sub(mark.at_ms) <= MARK_RETENTION_MS);
-        let is_latest = self.orders.get(&replica).is_none_or(|held| held.at_ms <= mark.at_ms);
+        self.orders.retain(|_, order| clock_ms.saturating_sub(order.at_ms) <= LAST_ORDER_RETENTION_MS);
+        let is_latest = self.orders.get(&replica).is_none_or(|held| held.at_ms <= order.at_ms);
         if is_latest {
-            self.orders.insert(replica, mark);
+            self.orders.insert(replica, order);
         }
     }
 
@@ -255,10 +257,10 @@
         self.list(batch, result);
     }
 
-    /// The ledger as a snapshot.
+    /// Encodes the ledger as a snapshot.
     ///
     /// # Errors
-    /// When it is too long for the codec.
+    /// Fails when the ledger is too long for the codec.
     pub fn to_snapshot(&self) -> Result<Vec<u8>, speedy::Error> {
         let mut records = Vec::new();
         let mut by_age: Vec<&JobState> = self.jobs.values().collect();
@@ -268,10 +270,10 @@
             job_records(job, &mut records);
         }
         let mut orders: Vec<(&String, &LastOrder)> = self.orders.iter().collect();
-        orders.sort_by_key(|(_, mark)| mark.at_ms);
-        records.extend(orders.into_iter().map(|(replica, mark)| {
-            let (replica, holder) = (replica.clone(), mark.holder.clone());
-            Record::Ordered { replica, holder, at_ms: mark.at_ms }
+        orders.sort_by_key(|(_, order)| order.at_ms);
+        records.extend(orders.into_iter().map(|(replica, order)| {
+            let (replica, holder) = (replica.clone(), order.holder.clone());
+            Record::Ordered { replica, holder, at_ms: order.at_ms }
         }));
         records.extend(self.scaled.iter().map(|((service, zone), desired)| {
             let (service, zone) = (service.clone(), zone.clone());
@@ -282,15 +284,15 @@
         Snapshot { records }.write_to_vec()
     }
 
-    /// The records of a snapshot.
+    /// Decodes the records of a snapshot.
     pub(super) fn snapshot_records(bytes: &[u8]) -> Result<Vec<Record>, speedy::Error> {
         Ok(Snapshot::read_from_buffer(bytes)?.records)
     }
 
-    /// The ledger that a snapshot and the records after it amount to.
+    /// Rebuilds the ledger from a snapshot and the records after it.
     ///
     /// # Errors
-    /// When the bytes are none of ours.
+    /// Fails when the snapshot or a record cannot be decoded.
     pub fn recover(snapshot: Option<&[u8]>, records: &[Vec<u8>]) -> Result<Self, speedy::Error> {
         let mut ledger = Self::default();
         if let Some(bytes) = snapshot {
@@ -303,8 +305,9 @@
     }
 }
 
-/// Invariant: only a text without a gap counts as whole, and once it does it is not changed.
-fn keep_whole(state: &mut ItemState, events: Vec<OutputEvent>, replaces: bool) {
+/// Appends the last events of a text that awaits its score. Only a text without gaps counts as complete, and
+/// it does not change after that.
+fn apply_generated(state: &mut ItemState, events: Vec<OutputEvent>, replaces: bool) {
     if state.is_generated || state.is_listed {
         return;
     }
--- a/crates/core/src/batch/ledger_follower.rs
+++ b/crates/core/src/batch/ledger_follower.rs
@@ -1,8 +1,8 @@
-//! Follows the log of a shard that another node owns, so that a takeover reads only what came last.
+//! Follows the log of a shard that another node owns, so that a takeover only has to read the latest entries.
 //!
-//! Reads what a store calls decided, in order; decided entries never change, so that what was followed is a
-//! beginning of what any later owner recovers. Applying a record a second time changes nothing, so that an
-//! overlap does no harm.
+//! Reads only entries that a store knows to be decided. These never change, so what was read is a prefix of
+//! what any later owner recovers. Applying a record a second time changes nothing, so overlapping reads are
+//! harmless.
 
 use std::collections::BTreeMap;
 
@@ -12,28 +12,28 @@
 use crate::replication::entry::{IndexedEntry, LogIndex};
 use crate::replication::log::{KnownLog, LogAddition, LogAssembler};
 
-/// Decided entries as a store gave them.
+/// Decided entries returned by a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecidedPage {
     /// The entries, in order.
     pub entries: Vec<IndexedEntry>,
-    /// The first position that has not been dropped; what came before is in a snapshot that begins there.
+    /// The first retained position; earlier entries are replaced by a snapshot that begins there.
     pub base: LogIndex,
-    /// All positions up to this one are decided, as far as the store knows.
+    /// The last position up to which all are decided, as far as the store knows.
     pub decided_through: LogIndex,
 }
 
-/// A ledger that follows the log.
+/// A ledger that is built while following the log.
 #[derive(Debug)]
 pub struct LedgerFollower {
     ledger: Ledger,
     assembler: LogAssembler,
     through: LogIndex,
     held_bytes: usize,
-    /// Where each job was taken.
-    taken_at: BTreeMap<BatchId, LogIndex>,
-    /// Whether the ledger holds all up to `through`: not so after the beginning was dropped, until the
-    /// snapshot that stands for it was read to its end.
+    /// Log position at which each job was accepted.
+    accepted_at: BTreeMap<BatchId, LogIndex>,
+    /// Whether the ledger holds everything up to `through`. False after the beginning of the log was
+    /// truncated, until the snapshot that replaces it has been read completely.
     is_complete: bool,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl LedgerFollower {
-    /// A follower that begins after a position: its ledger holds the jobs that were taken later, and is not
-    /// whole.
+    /// Creates a follower that begins after a position. Its ledger holds only the jobs accepted later, and is
+    /// complete only if the position is zero.
     pub fn beginning_after(through: LogIndex) -> Self {
         let assembler = LogAssembler::new(Epoch::default(), true);
         let is_complete = through == LogIndex::ZERO;
@@ -54,35 +54,35 @@
             assembler,
             through,
             held_bytes: 0,
-            taken_at: BTreeMap::new(),
+            accepted_at: BTreeMap::new(),
             is_complete,
         }
     }
 
-    /// The position to read next.
+    /// Returns the position to read next.
     pub const fn next(&self) -> LogIndex {
         self.through.next()
     }
 
-    /// Bytes of the log so far: the last snapshot and the records after it.
+    /// Returns the size in bytes of the last snapshot and the records after it.
     pub const fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// Whether a takeover can go on from here.
+    /// Returns whether a takeover can continue from this ledger.
     pub const fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// What is known of the log, where [`Self::is_complete`].
+    /// Returns what is known of the log, if [`Self::is_complete`].
     pub const fn known(&self) -> KnownLog {
         KnownLog { through: self.through, latest_origin: self.assembler.latest_origin() }
     }
 
-    /// Takes what a store has from [`Self::next`] on. Returns whether it has more.
+    /// Applies a page read from [`Self::next`] on. Returns whether the store has more.
     ///
     /// # Errors
-    /// When a record is none of ours; what was followed is of no use then.
+    /// Fails when a record cannot be decoded; the follower must then be discarded.
     pub fn take(&mut self, page: DecidedPage) -> Result<bool, speedy::Error> {
         if page.base > self.next() {
             *self = Self::beginning_after(page.base.previous());
@@ -99,7 +99,7 @@
                     self.held_bytes += bytes.len();
                     let record = Record::decode(&bytes)?;
                     if let Record::Accepted(job) = &record {
-                        self.taken_at.entry(job.id.clone()).or_insert(index);
+                        self.accepted_at.entry(job.id.clone()).or_insert(index);
                     }
                     self.ledger.apply(record);
                 }
@@ -116,20 +116,21 @@
         Ok(self.through > before && self.through < page.decided_through)
     }
 
-    /// The position up to which all was read.
+    /// Returns the last position that was read.
     pub const fn through(&self) -> LogIndex {
         self.through
     }
 
-    /// The position before the first job that is open, where all open jobs were taken after the beginning.
+    /// Returns the position before the first open job, or `None` if an open job was accepted before the
+    /// follower's beginning or no job is open.
     pub fn before_open_jobs(&self) -> Option<LogIndex> {
         let open = self.ledger.jobs().iter().filter(|(_, state)| !state.is_ended);
-        let taken_at = open.map(|(batch, _)| self.taken_at.get(batch).copied());
-        let first = taken_at.collect::<Option<Vec<LogIndex>>>()?.into_iter().min()?;
+        let accepted_at = open.map(|(batch, _)| self.accepted_at.get(batch).copied());
+        let first = accepted_at.collect::<Option<Vec<LogIndex>>>()?.into_iter().min()?;
         Some(first.previous())
     }
 
-    /// The ledger as it was followed.
+    /// Returns the ledger built so far.
     pub fn into_ledger(self) -> Ledger {
         self.ledger
     }
--- a/crates/core/src/batch/load_limit.rs
+++ b/crates/core/src/batch/load_limit.rs
@@ -1,137 +1,129 @@
-//! How many replicas of one service load a version at a time.
+//! Limits how many replicas of one service load a model version at the same time.
 //!
-//! A load takes longer in proportion once more than so many are under way; how many that is differs between
-//! platforms and none says. The limit is found from how long loads take beside others: a gradient limit, as
-//! for concurrent requests (Netflix concurrency-limits, 2018; here with the queue's length known).
+//! Once more than a certain number of loads run concurrently, each takes proportionally longer. That number
+//! differs between platforms and is not published, so the limit is derived from how load times change with
+//! concurrency. This is a gradient limit as used for concurrent requests (Netflix concurrency-limits, 2018),
+//! except that the concurrency is known.
 //!
-//! Crowding slows all loads that go on together. A slow replica, a lost order or an owner that reads reports
-//! late makes single loads look long; they lower nothing, since a round of loads counts as slow by its
-//! quickest one alone, and by the time that the replica itself was seen busy.
+//! Contention slows all concurrent loads. A slow replica, a lost order or a report that is read late makes
+//! only some loads look long and must not lower the limit. So a round of loads counts as slow only if its
+//! fastest load was slow, judged by the time that the replica itself was seen loading.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of a service's replicas that load at a time before anything was measured. Chosen; only the limit
-/// as a whole is measured: 156 loads a day of one deployment, where two at a time gave 51
-/// (docs/decisions/platform.md).
-const FIRST_SHARE: f64 = 0.2;
-/// Fewer are never worth waiting for one another. Chosen, not measured: with one, a service of few replicas
-/// learns nothing of crowding.
-const MIN_FIRST: usize = 2;
-/// A load that took no longer than this share of the shortest was not slowed by the others. Reports are read
-/// some 60 ms apart, against loads of about a second.
-const QUICK_RATIO: f64 = 1.15;
-/// A load that took longer than this share of the shortest was slowed by the others. Chosen, not measured:
-/// closer to 1 takes the spread of reports for crowding, further off lets loads crowd.
-const SLOW_RATIO: f64 = 1.35;
-/// Loads that began beside so great a share of the limit say something about it. Chosen, not measured: a
-/// smaller share lets loads that had room judge the limit.
-const TELLING_SHARE: f64 = 0.75;
-/// Loads of a round at least: with a fifth of the replicas slow, all of three are in one round of a hundred.
-/// Chosen from that chance, not measured.
+/// Share of a service's replicas that load concurrently before any measurement.
+const INITIAL_SHARE: f64 = 0.2;
+/// Lower bound of the initial limit, so that concurrent loads occur and can be measured.
+const MIN_INITIAL_LIMIT: usize = 2;
+/// Loads up to this multiple of the shortest one count as not slowed. Allows for reports being read about 60
+/// ms apart while a load takes about a second.
+const UNSLOWED_RATIO: f64 = 1.15;
+/// Loads beyond this multiple of the shortest one count as slowed by contention.
+const SLOWED_RATIO: f64 = 1.35;
+/// Loads started at a lower share of the limit say nothing about it and are ignored.
+const MIN_LIMIT_USE: f64 = 0.75;
+/// Minimum loads in a round. If a fifth of the replicas are slow, a round of three consists of slow ones only
+/// in one case out of a hundred.
 const MIN_ROUND: usize = 3;
-/// Loads of a round at most: some of those that go on together are enough. Chosen, not measured: longer
-/// rounds change the limit later.
+/// Maximum loads in a round, so that large limits still adapt quickly.
 const MAX_ROUND: usize = 8;
-/// The shortest load is looked for among so many of the newest: some seconds of loads at the limit. Chosen,
-/// not measured: fewer forget what an idle platform does, more keep a time that no longer holds.
+/// Number of recent loads among which the shortest is taken as the baseline.
 const HISTORY: usize = 64;
 
-/// How long a load took at the replica. Reports are read now and then, so that its end is known to lie
-/// between two.
+/// Bounds of a load's duration. Reports are polled, so the end lies between two of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadTime {
-    /// From the order until the last report that showed the load under way.
+    /// Time from the order to the last report that showed the load in progress.
     pub at_least: Duration,
-    /// From the order until the first report that showed it done.
+    /// Time from the order to the first report that showed it done.
     pub at_most: Duration,
 }
 
-/// What the replicas of a service amount to, as far as loads are concerned.
+/// Size of a service, as far as loads are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
-    /// Replicas with weights.
+    /// Number of replicas with model weights.
     pub replicas: usize,
-    /// Models among them.
+    /// Number of distinct models on them.
     pub models: usize,
 }
 
 impl PoolSize {
-    fn first_limit(self) -> usize {
-        ((self.replicas as f64 * FIRST_SHARE).round() as usize).max(MIN_FIRST)
+    fn initial_limit(self) -> usize {
+        ((self.replicas as f64 * INITIAL_SHARE).round() as usize).max(MIN_INITIAL_LIMIT)
     }
 
-    /// Each model can advance beside the others, where that is no more than the platform is taken to bear at
-    /// first.
-    fn least_limit(self) -> usize {
-        self.models.clamp(1, self.first_limit())
+    /// Lets all models load concurrently, up to the initial limit.
+    fn min_limit(self) -> usize {
+        self.models.clamp(1, self.initial_limit())
     }
 }
 
-/// A load that began as one of `beside` under way.
+/// A completed load and the number of loads in progress when it started, including itself.
 #[derive(Clone, Copy, Debug)]
 struct RoundLoad {
     time: LoadTime,
-    beside: usize,
+    concurrent_loads: usize,
 }
 
-/// The number of loads of one service that may be under way at a time.
+/// Adaptive limit of concurrent loads of one service.
 #[derive(Clone, Debug, Default)]
 pub struct LoadLimit {
     limit: Option<usize>,
-    /// Times of the newest loads.
+    /// Durations of the most recent loads.
     history: VecDeque<Duration>,
-    /// Loads that are judged together.
+    /// Loads of the current round, which are evaluated together.
     round: Vec<RoundLoad>,
-    /// How much the next round that was not slowed adds, less one.
+    /// Increment of the next increase, less one. Doubles with each round that was not slowed.
     growth: usize,
 }
 
 impl LoadLimit {
-    /// The limit for a service of this size.
+    /// Returns the limit for a service of this size.
     pub fn get(&self, size: PoolSize) -> usize {
-        self.limit.unwrap_or_else(|| size.first_limit()).max(size.least_limit())
+        self.limit.unwrap_or_else(|| size.initial_limit()).max(size.min_limit())
     }
 
-    /// A load is done that began as one of `beside` under way, in a service of this size.
-    pub fn observe(&mut self, time: LoadTime, beside: usize, size: PoolSize) {
+    /// Records a completed load that started as one of `concurrent_loads` in a service of this size.
+    pub fn observe(&mut self, time: LoadTime, concurrent_loads: usize, size: PoolSize) {
         self.history.push_back(time.at_most);
         if self.history.len() > HISTORY {
             self.history.pop_front();
         }
         let limit = self.get(size);
-        if (beside as f64) < limit as f64 * TELLING_SHARE {
+        if (concurrent_loads as f64) < limit as f64 * MIN_LIMIT_USE {
             return;
         }
-        self.round.push(RoundLoad { time, beside });
+        self.round.push(RoundLoad { time, concurrent_loads });
         if self.round.len() >= limit.clamp(MIN_ROUND, MAX_ROUND) {
-            self.judge(limit, size);
+            self.adjust(limit, size);
             self.round.clear();
         }
     }
 
-    /// How many loads a second the platform sustains, by those that were observed; `None` before any.
+    /// Returns the loads per second that the platform sustains, or `None` before any load was observed.
     pub(crate) fn loads_per_second(&self, size: PoolSize) -> Option<f64> {
         let shortest = self.history.iter().min()?.as_secs_f64();
         Some(self.get(size) as f64 / shortest.max(f64::MIN_POSITIVE))
     }
 
-    fn judge(&mut self, limit: usize, size: PoolSize) {
+    fn adjust(&mut self, limit: usize, size: PoolSize) {
         let shortest = self.history.iter().min().copied().unwrap_or_default();
         let ratio = |time: Duration| time.as_secs_f64() / shortest.as_secs_f64().max(f64::MIN_POSITIVE);
         let slowed = self.round.iter().map(|load| ratio(load.time.at_least)).min_by(f64::total_cmp);
-        let crowd = self.round.iter().map(|load| load.beside).max().unwrap_or_default();
-        if let Some(slowed) = slowed.filter(|slowed| *slowed > SLOW_RATIO) {
-            let borne = (crowd as f64 / slowed).round() as usize;
-            self.limit = Some(borne.clamp(1, limit));
+        let max_concurrent = self.round.iter().map(|load| load.concurrent_loads).max().unwrap_or_default();
+        if let Some(slowed) = slowed.filter(|slowed| *slowed > SLOWED_RATIO) {
+            let sustainable = (max_concurrent as f64 / slowed).round() as usize;
+            self.limit = Some(sustainable.clamp(1, limit));
             self.growth = 0;
             return;
         }
-        let at_limit = self.round.iter().filter(|load| load.beside >= limit);
+        let at_limit = self.round.iter().filter(|load| load.concurrent_loads >= limit);
         let quickest = at_limit.map(|load| ratio(load.time.at_most)).min_by(f64::total_cmp);
-        if quickest.is_some_and(|quickest| quickest <= QUICK_RATIO) {
-            let most_growth = (limit / 2).max(1);
-            self.limit = Some((limit + (self.growth + 1).min(most_growth)).min(size.replicas.max(1)));
+        if quickest.is_some_and(|quickest| quickest <= UNSLOWED_RATIO) {
+            let max_growth = (limit / 2).max(1);
+            self.limit = Some((limit + (self.growth + 1).min(max_growth)).min(size.replicas.max(1)));
             self.growth = self.growth * 2 + 1;
         } else {
             self.growth = 0;
--- a/crates/core/src/batch/mod.rs
+++ b/crates/core/src/batch/mod.rs
@@ -1,9 +1,10 @@
-//! Batch jobs: sets of requests that are taken together, kept by a majority of stores, run afterwards, and
-//! listed.
+//! Batch jobs: sets of requests that are accepted as one unit, replicated to a majority of stores, run
+//! asynchronously, and whose results can be listed.
 //!
-//! One owner at a time acts for all jobs of a shard, under the epoch of the shard's log. What must outlast it
-//! is a [`record::Record`]; the [`ledger`] is what the records amount to; the [`controller`] decides which
-//! items run where, and [`weights`] which replica loads which version.
+//! Each shard of jobs has one owner at a time, which acts under the epoch of the shard's log. State that must
+//! survive a change of owner is written to the log as [`record::Record`]s. The [`ledger`] is the state that
+//! these records produce, the [`controller`] decides which items run on which replica, and [`weights`]
+//! decides which replica loads which model version.
 
 pub mod controller;
 pub mod cut_off;
--- a/crates/core/src/batch/order_lease.rs
+++ b/crates/core/src/batch/order_lease.rs
@@ -1,32 +1,30 @@
-//! When an owner may order a replica that another holder ordered before.
+//! Decides when an owner may order a replica that another holder ordered before.
 //!
-//! Two holders must not give orders to one replica in turns within the lease. Each order is written to the
-//! log before it leaves, so that a new owner knows the replicas whose last order is recent, and waits for
-//! these alone.
+//! Two holders must not order the same replica within the lease. Each order is appended to the log before it
+//! is sent, so a new owner knows which replicas were ordered recently and waits only for these.
 
 use std::time::Duration;
 
 use super::ledger::LastOrder;
 use crate::identity::NodeId;
 
-/// Whose orders these are, and how long another's bind.
+/// The holder of orders and how long another holder's orders exclude it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderLease {
     /// The holder: this owner's node.
     pub holder: NodeId,
-    /// How long an order of another holder keeps this one from ordering the same replica, counted from the
-    /// record.
+    /// How long an order of another holder blocks orders to the same replica, counted from its record.
     pub length: Duration,
-    /// How long the owner before had been silent when this one began.
+    /// How long the previous owner had been silent when this one took over.
     pub idle: Duration,
 }
 
 impl OrderLease {
-    /// Whether a replica with this mark may be ordered. `clock_ms` is the shard's clock now; it stood still
-    /// while the owner before was silent.
-    pub(crate) fn allows(&self, mark: Option<&LastOrder>, clock_ms: u64) -> bool {
-        let Some(mark) = mark.filter(|mark| mark.holder != self.holder) else { return true };
-        let since = Duration::from_millis(clock_ms.saturating_sub(mark.at_ms)) + self.idle;
+    /// Returns whether a replica with this last order may be ordered. `clock_ms` is the shard's current
+    /// clock, which did not advance while the previous owner was silent.
+    pub(crate) fn allows(&self, order: Option<&LastOrder>, clock_ms: u64) -> bool {
+        let Some(order) = order.filter(|order| order.holder != self.holder) else { return true };
+        let since = Duration::from_millis(clock_ms.saturating_sub(order.at_ms)) + self.idle;
         since >= self.length
     }
 }
--- a/crates/core/src/batch/outline.rs
+++ b/crates/core/src/batch/outline.rs
@@ -1,8 +1,8 @@
-//! Records without the texts of events.
+//! Records without the texts of their events.
 //!
-//! Texts are nearly all of a log, and an owner can act without those that came before it: it needs to know
-//! which events there are, not what they say. So a takeover that has to read the log reads its outline first,
-//! and the texts while it is at work already. Until then nothing is listed of a job whose texts are missing.
+//! Texts make up most of a log, and an owner can act without them: it only needs to know which events exist.
+//! So a takeover that has to read the log reads its outline first and fills in the texts while it is already
+//! working. Until then, the results of a job with missing texts are not shown.
 
 use std::collections::HashMap;
 
@@ -17,13 +17,13 @@
 /// An event without its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct EventOutline {
-    /// Its number.
+    /// Number of the event.
     pub number: u64,
-    /// The version of the weights that made it.
+    /// The model version that generated it.
     pub version: u64,
 }
 
-/// Which record an outline stands for.
+/// The kind of record that an outline replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum OutlineKind {
     /// [`Record::Progress`].
@@ -32,13 +32,13 @@
     Completed,
     /// [`Record::Generated`].
     Generated {
-        /// Whether the text was begun anew.
+        /// Whether the text was restarted.
         replaces: bool,
     },
 }
 
 impl OutlineKind {
-    /// The record that it stands for, with texts that are empty.
+    /// Restores the record with empty texts.
     pub(super) fn restore(self, batch: BatchId, item: u32, events: &[EventOutline]) -> Record {
         let event = |event: &EventOutline| OutputEvent {
             number: event.number,
@@ -54,11 +54,11 @@
     }
 }
 
-/// The entries with the outlines of their records. What is not a record of a batch shard stays as it is.
+/// Replaces the records in the entries by their outlines. Other entries stay unchanged.
 pub fn outline_entries(entries: &mut [IndexedEntry]) {
     for IndexedEntry { entry, .. } in entries {
         let Payload::Record { bytes, .. } = &mut entry.payload else { continue };
-        // What can't be read here is no record of a batch shard; whoever reads the log meets the error.
+        // Records that cannot be decoded stay unchanged; the reader of the log reports the error.
         let outlined = Record::decode(bytes).ok().and_then(outline).and_then(|record| record.encode().ok());
         if let Some(outlined) = outlined {
             *bytes = outlined;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The outline of a record; `None` where it holds no text of an event.
+/// Returns the outline of a record, or `None` if it contains no event texts.
 fn outline(record: Record) -> Option<Record> {
     let (batch, item, events, kind) = match record {
         Record::Progress { batch, item, events } => (batch, item, events, OutlineKind::Progress),
@@ -84,17 +84,17 @@
 }
 
 impl Ledger {
-    /// Whether some of a job's texts are missing, so that nothing of it can be listed yet.
+    /// Returns whether event texts of a job are missing, so that its results cannot be shown yet.
     pub fn lacks_texts(&self, batch: &BatchId) -> bool {
         self.outlined.contains(batch)
     }
 
-    /// Whether texts of any job are missing.
+    /// Returns whether event texts of any job are missing.
     pub fn is_outline(&self) -> bool {
         !self.outlined.is_empty()
     }
 
-    /// Takes the missing texts from a ledger of the same log that has them. Returns how many bytes they are.
+    /// Fills in missing texts from a ledger of the same log that has them. Returns the number of bytes added.
     pub fn fill_texts(&mut self, mut whole: Self) -> usize {
         let mut filled_bytes = 0;
         for batch in std::mem::take(&mut self.outlined) {
--- a/crates/core/src/batch/pending_ends.rs
+++ b/crates/core/src/batch/pending_ends.rs
@@ -1,7 +1,7 @@
-//! Ends of jobs that this node has read and that are not known to be kept.
+//! Requests to end jobs that this node has received and that are not known to be committed.
 //!
-//! Invariants: an end that was read is asked of the owner again and again until a majority of stores keeps it
-//! or there is no such job, whatever became of its caller; what is held is bounded, and expires.
+//! Invariants: an end is sent to the owner repeatedly until it is committed or the job is known not to exist,
+//! even if its caller has disconnected; the number of pending ends is bounded, and each expires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,46 +10,42 @@
 use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
-/// Ends that are held at a time. A trainer ends a job every few seconds: these are many times the trainers of
-/// a deployment. Chosen, not measured: fewer displace ends that are not kept yet, more only take memory.
+/// Maximum number of pending ends; many times the number of trainers of a deployment.
 pub const MAX_PENDING: usize = 4_096;
-/// Ends that the owner is asked for at a time, so that many of them are no storm where it is away. Chosen,
-/// not measured.
+/// Maximum number of ends sent to the owner at a time, so that an unavailable owner is not flooded.
 pub const MAX_IN_FLIGHT: usize = 32;
-/// An end is forgotten after so long. By then its job has ended by itself: an item waits no longer than its
-/// route allows. Chosen, not measured: shorter forgets ends during a long outage of the stores.
+/// Age after which an end expires. By then the job has finished, since items wait no longer than their route
+/// allows.
 pub const EXPIRES_AFTER: Duration = Duration::from_secs(600);
-/// The pause after questions that were not answered for sure. The limit is well below the 3 s for which
-/// something of an ended job may still arrive.
+/// Backoff after attempts without a definite answer. The upper limit is well below the 3 s during which
+/// output of an ended job may still arrive.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), Duration::from_millis(800));
-/// An unknown job may be on its way: a submission that got no answer is repeated for about 3 s, by its
-/// gateway and by its caller.
-pub const UNKNOWN_FOR: Duration = Duration::from_secs(10);
-/// How long a node that got a copy of an end waits before it asks the owner itself: mostly the end is kept
-/// before. Chosen, not measured: shorter asks the owner three times for each end, longer lets an end wait
-/// whose reader is lost.
+/// How long an unknown job is awaited. A submission without an answer is repeated for about 3 s by its
+/// gateway and its caller, so the job may still arrive.
+pub const UNKNOWN_JOB_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before a node with a replicated end contacts the owner itself; usually the end is committed before.
 pub const COPY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// An end, by its job and who asked for it.
+/// Identifies an end by its job and its caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndKey {
     /// The job.
     pub batch: BatchId,
-    /// Who ends it; `None` where callers need no key.
+    /// The tenant that ends it; `None` where callers need no key.
     pub caller: Option<TenantName>,
 }
 
-/// From whom this node has an end.
+/// Where this node got an end from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndSource {
-    /// It read it from a caller.
+    /// A caller of this node.
     Caller,
-    /// It is a copy from another node.
+    /// Another node, which replicated it.
     Peer,
 }
 
 impl EndSource {
-    /// The name used in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Caller => "caller",
@@ -58,32 +54,32 @@
     }
 }
 
-/// What the owner says of an end.
+/// The owner's answer to an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndAnswer {
-    /// A majority of stores keeps it.
+    /// A majority of stores has committed it.
     Committed,
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// Nothing for sure.
+    /// There was no definite answer.
     Inconclusive,
 }
 
-/// Why an end is not held any more.
+/// Why an end is no longer pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
-    /// A majority of stores keeps it.
+    /// A majority of stores has committed it.
     Committed,
-    /// There is no such job, and none came.
+    /// The job does not exist and did not arrive in time.
     Unknown,
-    /// It was held for too long.
+    /// It expired.
     Expired,
-    /// Too many newer ones came.
+    /// It was evicted in favor of a newer one.
     Displaced,
 }
 
 impl EndOutcome {
-    /// The name used in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Committed => "kept",
@@ -94,47 +90,55 @@
     }
 }
 
-/// An end that is not held any more.
+/// An end that is no longer pending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledEnd {
-    /// Which.
+    /// The end.
     pub key: EndKey,
-    /// Why.
+    /// Why it is no longer pending.
     pub outcome: EndOutcome,
-    /// How long it was held.
+    /// How long it was pending.
     pub held_for: Duration,
-    /// How often the owner was asked.
+    /// Number of attempts sent to the owner.
     pub attempts: u32,
 }
 
-/// An end that is held.
+/// State of a pending end.
 #[derive(Clone, Debug)]
 struct PendingEnd {
     source: EndSource,
     since: Timestamp,
     next_at: Timestamp,
-    /// Answers that settled nothing.
-    unsettled: u32,
+    /// Number of answers so far; determines the backoff.
+    retries: u32,
     attempts: u32,
-    is_asked: bool,
+    is_in_flight: bool,
     unknown_since: Option<Timestamp>,
 }
 
 impl PendingEnd {
     const fn new(source: EndSource, now: Timestamp, next_at: Timestamp) -> Self {
-        Self { source, since: now, next_at, unsettled: 0, attempts: 0, is_asked: false, unknown_since: None }
+        Self {
+            source,
+            since: now,
+            next_at,
+            retries: 0,
+            attempts: 0,
+            is_in_flight: false,
+            unknown_since: None,
+        }
     }
 }
 
-/// All ends that are held.
+/// All pending ends of this node.
 #[derive(Debug, Default)]
 pub struct PendingEnds {
     pending: BTreeMap<EndKey, PendingEnd>,
 }
 
 impl PendingEnds {
-    /// Holds an end from now on; one that a caller sends again is asked for at once. Returns what gives way
-    /// to it.
+    /// Adds an end. If a caller sends it again, it becomes due at once. Returns the end that was evicted, if
+    /// any.
     pub fn hold(&mut self, now: Timestamp, key: EndKey, source: EndSource) -> Option<SettledEnd> {
         if let Some(held) = self.pending.get_mut(&key) {
             if source == EndSource::Caller {
@@ -153,29 +157,28 @@
         displaced
     }
 
-    /// Whether an end is held.
+    /// Returns whether an end is pending.
     pub fn holds(&self, key: &EndKey) -> bool {
         self.pending.contains_key(key)
     }
 
-    /// How many are held.
+    /// Returns the number of pending ends.
     pub fn count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The ends that are held, from whom they came, for how long they have been held, and how often the owner
-    /// was asked.
+    /// Lists the pending ends with their source, their age and the number of attempts.
     pub fn list(&self, now: Timestamp) -> impl Iterator<Item = (&EndKey, EndSource, Duration, u32)> {
-        let line = move |(key, held): (_, &PendingEnd)| {
+        let describe = move |(key, held): (_, &PendingEnd)| {
             (key, held.source, now.saturating_since(held.since), held.attempts)
         };
-        self.pending.iter().map(line)
+        self.pending.iter().map(describe)
     }
 
-    /// Ends to ask the owner for now.
+    /// Returns the ends to send to the owner now and marks them as in flight.
     pub fn due(&mut self, now: Timestamp) -> Vec<EndKey> {
-        let room = MAX_IN_FLIGHT.saturating_sub(self.asked());
-        let is_due = |held: &PendingEnd| !held.is_asked && held.next_at <= now;
+        let available = MAX_IN_FLIGHT.saturating_sub(self.in_flight());
+        let is_due = |held: &PendingEnd| !held.is_in_flight && held.next_at <= now;
         let mut due: Vec<(Timestamp, EndKey)> = self
             .pending
             .iter()
@@ -183,38 +186,38 @@
             .map(|(key, held)| (held.next_at, key.clone()))
             .collect();
         due.sort();
-        due.truncate(room);
+        due.truncate(available);
         for (_, key) in &due {
             if let Some(held) = self.pending.get_mut(key) {
-                held.is_asked = true;
+                held.is_in_flight = true;
                 held.attempts += 1;
             }
         }
         due.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// When the next end is due; `None` while as many are asked for as may be, or none waits.
+    /// Returns when the next end is due, or `None` while the maximum is in flight or nothing waits.
     pub fn deadline(&self) -> Option<Timestamp> {
-        if self.asked() >= MAX_IN_FLIGHT {
+        if self.in_flight() >= MAX_IN_FLIGHT {
             return None;
         }
-        self.pending.values().filter(|held| !held.is_asked).map(|held| held.next_at).min()
+        self.pending.values().filter(|held| !held.is_in_flight).map(|held| held.next_at).min()
     }
 
-    /// Takes what the owner said; returns the end where it need not be held any more.
+    /// Handles the owner's answer. Returns the end if it is no longer pending.
     pub fn answered(&mut self, now: Timestamp, key: &EndKey, answer: EndAnswer) -> Option<SettledEnd> {
         let held = self.pending.get_mut(key)?;
-        held.is_asked = false;
-        held.unsettled += 1;
-        held.next_at = now + BACKOFF.pause(held.unsettled);
+        held.is_in_flight = false;
+        held.retries += 1;
+        held.next_at = now + BACKOFF.pause(held.retries);
         let is_expired = now.saturating_since(held.since) >= EXPIRES_AFTER;
         let outcome = match answer {
             EndAnswer::Committed => EndOutcome::Committed,
-            // The node that read it goes on asking for a job that may come.
+            // Only the node that received the end from a caller waits for a job that may still arrive.
             EndAnswer::Unknown if held.source == EndSource::Peer => EndOutcome::Unknown,
             EndAnswer::Unknown => {
                 let since = *held.unknown_since.get_or_insert(now);
-                if now.saturating_since(since) < UNKNOWN_FOR {
+                if now.saturating_since(since) < UNKNOWN_JOB_TIMEOUT {
                     return None;
                 }
                 EndOutcome::Unknown
@@ -228,9 +231,9 @@
         self.settle(now, key, outcome)
     }
 
-    /// For how many the owner is being asked.
-    fn asked(&self) -> usize {
-        self.pending.values().filter(|held| held.is_asked).count()
+    /// Returns the number of ends in flight.
+    fn in_flight(&self) -> usize {
+        self.pending.values().filter(|held| held.is_in_flight).count()
     }
 
     fn oldest(&self) -> Option<EndKey> {
--- a/crates/core/src/batch/progress_offer.rs
+++ b/crates/core/src/batch/progress_offer.rs
@@ -1,32 +1,31 @@
-//! What an owner that can't reach its stores hands to the next one: events that it took and that are not kept
-//! yet.
+//! Events that an owner hands over to the next one because it cannot commit them to its stores.
 //!
-//! Invariant: an offer is taken only by the owner that follows its giver directly, so that no other run of
-//! the item can have gone on from what is kept.
+//! Invariant: an offer is accepted only by the owner that directly follows the offering one, so that no other
+//! run of the item has continued from the committed events.
 
 use speedy::{Readable, Writable};
 
 use super::job::OutputEvent;
 use crate::identity::{BatchId, Epoch};
 
-/// Events of one item.
+/// Uncommitted events of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ItemProgress {
     /// The job.
     pub batch: BatchId,
     /// The item's position in the job.
     pub item: u32,
-    /// The number of the last event that the giver knows to be kept.
+    /// Number of the last event that the offering owner knows to be committed.
     pub after: Option<u64>,
-    /// Events that follow it.
+    /// The events after it.
     pub events: Vec<OutputEvent>,
 }
 
-/// Events of all items that an owner ran.
+/// Uncommitted events of all items of an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ProgressOffer {
-    /// The epoch of the giver.
+    /// The epoch of the offering owner.
     pub epoch: Epoch,
-    /// What it took.
+    /// The events by item.
     pub items: Vec<ItemProgress>,
 }
--- a/crates/core/src/batch/record.rs
+++ b/crates/core/src/batch/record.rs
@@ -1,7 +1,7 @@
 //! Records of a batch shard's log.
 //!
-//! Owns their form: the order of variants and fields is what stores keep. The ledger says what each changes, the controller
-//! when one is written. Relies on the log for their order.
+//! Stores persist records in this encoding, so the order of variants and fields must not change. The ledger
+//! defines what each record changes, and the controller when it is appended.
 
 use speedy::{Readable, Writable};
 
@@ -11,18 +11,18 @@
 use crate::usage::account::{AccountParts, WindowCount};
 use crate::usage::window::WindowNumber;
 
-/// What the owner writes down before it acts on it or shows it.
+/// A change that the owner commits before it acts on it or shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
-    /// A job is taken.
+    /// A job was accepted.
     Accepted(BatchJob),
-    /// Part of an item's answer has come.
+    /// Part of an item's answer was received.
     Progress {
         /// The job.
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
-        /// Events that follow those kept before.
+        /// Events that follow those recorded before.
         events: Vec<OutputEvent>,
     },
     /// A run of an item failed.
@@ -31,53 +31,53 @@
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
-        /// Failed runs so far.
+        /// Number of failed runs so far.
         failures: u32,
     },
-    /// An item is listed, at the next free position of its job.
+    /// An item was listed, at the next free position of its job.
     Listed {
         /// The job.
         batch: BatchId,
         /// The result.
         result: ItemResult,
     },
-    /// A job is ended by its caller: nothing of it runs any more.
+    /// A job was ended by its caller; none of its items runs any more.
     Ended(BatchId),
-    /// A job is past its retention and dropped.
+    /// A job was dropped after its retention.
     Dropped(BatchId),
-    /// An item came whole and is listed, at the next free position of its job. Its text is what
-    /// [`Record::Progress`] kept of it and then these events: no event is written twice.
+    /// An item is complete and listed, at the next free position of its job. Its text consists of the events
+    /// in earlier [`Record::Progress`] records followed by these, so that no event is written twice.
     Completed {
         /// The job.
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
-        /// Events that follow those kept before.
+        /// Events that follow those recorded before.
         events: Vec<OutputEvent>,
     },
-    /// The owner is alive. The shard's clock: milliseconds that owners have counted so far.
+    /// Heartbeat of the owner with the shard's clock: the milliseconds counted by all owners so far.
     Clock(u64),
-    /// An item's text came whole and waits for its score.
+    /// An item's text is complete and waits for its score.
     Generated {
         /// The job.
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
-        /// Events that follow those kept before, or all of them.
+        /// Events that follow those recorded before, or all events.
         events: Vec<OutputEvent>,
-        /// Whether the text was begun anew, so that nothing kept before belongs to it.
+        /// Whether the text was restarted, so that earlier events do not belong to it.
         replaces: bool,
     },
-    /// The scorer of an item answered that it failed.
+    /// The scorer of an item reported a failure.
     ScoreFailed {
         /// The job.
         batch: BatchId,
         /// The item's position in the job.
         item: u32,
-        /// Failures so far.
+        /// Number of failures so far.
         failures: u32,
     },
-    /// A whole text is scored, and its item listed at the next free position of its job.
+    /// A complete text was scored, and its item listed at the next free position of its job.
     Scored {
         /// The job.
         batch: BatchId,
@@ -86,40 +86,40 @@
         /// The score.
         score: String,
     },
-    /// A replica is about to be ordered, or a duty to be called that one holder calls at a time.
+    /// An order to a replica, or a call that only one holder may make at a time, is about to be sent.
     Ordered {
-        /// The replica, or the duty.
+        /// The name of the replica, or the subject of the call.
         replica: String,
-        /// Whose order it is.
+        /// The node that sends it.
         holder: NodeId,
         /// The shard's clock, in milliseconds.
         at_ms: u64,
     },
-    /// Requests that began to run on a node.
+    /// Requests that were started on a node.
     UsageCounted {
         /// The incarnation of the node.
         source: String,
-        /// All its entries before this number are taken from now on.
+        /// All entries of the node before this number are included from now on.
         through: u64,
-        /// What they add.
+        /// The counts added.
         counts: Vec<WindowCount>,
     },
-    /// No more is counted in the windows up to this one.
+    /// Usage windows up to this one are closed.
     UsageClosed(WindowNumber),
-    /// The platform took what a window holds.
+    /// The platform accepted the usage report of a window.
     UsageDelivered(WindowNumber),
-    /// All usage, in a snapshot.
+    /// All usage; part of a snapshot.
     Usage(AccountParts),
-    /// A zone is to have so many replicas of a service.
+    /// The desired number of replicas of a service in a zone.
     Scaled {
         /// The service.
         service: String,
         /// The zone.
         zone: String,
-        /// How many.
+        /// Desired number of replicas.
         desired: u32,
     },
-    /// Stands for a record with texts of events while a log is read without them; never written to a log.
+    /// Replaces a record with event texts while a log is read without them; never written to a log.
     Outlined {
         /// The job.
         batch: BatchId,
@@ -127,24 +127,24 @@
         item: u32,
         /// The events without their texts.
         events: Vec<EventOutline>,
-        /// Which record it stands for.
+        /// The kind of record that it replaces.
         kind: OutlineKind,
     },
 }
 
 impl Record {
-    /// The bytes of a record.
+    /// Encodes the record.
     ///
     /// # Errors
-    /// When it is too long for the codec.
+    /// Fails when the record is too long for the codec.
     pub fn encode(&self) -> Result<Vec<u8>, speedy::Error> {
         self.write_to_vec()
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// When the bytes are none.
+    /// Fails when the bytes are not a valid record.
     pub fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
         Self::read_from_buffer(bytes)
     }
--- a/crates/core/src/batch/recovery.rs
+++ b/crates/core/src/batch/recovery.rs
@@ -1,8 +1,7 @@
-//! Puts a ledger together from what a new owner recovered, a piece at a time.
+//! Rebuilds the ledger of a new owner in steps.
 //!
-//! A long log takes longer than an owner may be silent: between two pieces the new owner shows the stores
-//! that it leads. Otherwise the next candidate takes the log over before the first one has read it, and so on
-//! without end.
+//! Applying a long log can take longer than an owner may be silent, so the new owner sends heartbeats between
+//! steps. Otherwise the next candidate would take over before recovery completes, and so on indefinitely.
 
 use std::time::Duration;
 
@@ -10,22 +9,21 @@
 use super::record::Record;
 use crate::time::Timestamp;
 
-/// Records that are applied in one piece, between which the node's other tasks go on. Chosen, not measured:
-/// greater holds up heartbeats on a weak machine, smaller slows a takeover.
-const PIECE_RECORDS: usize = 64;
+/// Records applied per step. Other tasks of the node run between steps, and heartbeats are sent.
+const RECORDS_PER_STEP: usize = 64;
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryStep {
-    /// Call again.
+    /// Call [`LedgerRecovery::step`] again.
     Working,
-    /// Append something to the log, then call again.
+    /// Append a heartbeat to the log, then call [`LedgerRecovery::step`] again.
     HeartbeatDue,
-    /// The ledger is whole.
+    /// The ledger is complete.
     Done,
 }
 
-/// A ledger that is being put together.
+/// A ledger that is being rebuilt.
 #[derive(Debug)]
 pub struct LedgerRecovery<'a> {
     ledger: Ledger,
@@ -36,10 +34,11 @@
 }
 
 impl<'a> LedgerRecovery<'a> {
-    /// Begins with a snapshot and the records after it. The stores have just seen this owner lead.
+    /// Starts from a snapshot and the records after it. Assumes that the stores have just confirmed this
+    /// owner.
     ///
     /// # Errors
-    /// When the snapshot is none of ours.
+    /// Fails when the snapshot cannot be decoded.
     pub fn begin(
         snapshot: Option<&[u8]>,
         records: &'a [Vec<u8>],
@@ -52,7 +51,7 @@
         Ok(Self { ledger: Ledger::default(), snapshot, records, heartbeat_interval, heartbeat_at })
     }
 
-    /// Goes on with a ledger that was followed, by the records that came after it.
+    /// Continues from a followed ledger with the records after it.
     pub fn resume(
         followed: Ledger,
         records: &'a [Vec<u8>],
@@ -64,16 +63,16 @@
         Self { ledger: followed, snapshot, records, heartbeat_interval, heartbeat_at }
     }
 
-    /// Applies one piece, unless a heartbeat is due.
+    /// Applies the next records, unless a heartbeat is due.
     ///
     /// # Errors
-    /// When a record is none of ours.
+    /// Fails when a record cannot be decoded.
     pub fn step(&mut self, now: Timestamp) -> Result<RecoveryStep, speedy::Error> {
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + self.heartbeat_interval;
             return Ok(RecoveryStep::HeartbeatDue);
         }
-        for _ in 0..PIECE_RECORDS {
+        for _ in 0..RECORDS_PER_STEP {
             if let Some(record) = self.snapshot.next() {
                 self.ledger.apply(record);
                 continue;
@@ -86,7 +85,7 @@
         Ok(RecoveryStep::Working)
     }
 
-    /// The ledger, once it is whole.
+    /// Returns the ledger. Call it after [`RecoveryStep::Done`].
     pub fn into_ledger(self) -> Ledger {
         self.ledger
     }
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -1,8 +1,8 @@
-//! Batch jobs that may be kept in some regions only: which shard keeps them.
+//! Assigns batch jobs that are restricted to certain regions to shards.
 //!
-//! Each set of allowed regions has a shard of its own, whose log, owner and followers stand in these regions.
-//! The name of the shard tells the regions, so that whoever meets the name, a store that chooses members
-//! among them, knows the bounds without the configuration in force.
+//! Each set of allowed regions has its own shard, whose log, owner and followers are located in these
+//! regions. The name of the shard encodes the regions, so that a store can choose members for it without the
+//! current configuration.
 
 use std::collections::BTreeSet;
 
@@ -10,45 +10,44 @@
 use crate::ingress::places::{AllowedRegions, ZoneMap};
 use crate::ingress::routes::{RouteKind, RouteTable};
 
-/// The shard of the jobs that may be kept anywhere.
-const MAIN: &str = "batch/main";
-/// The beginning of the names of the others.
+/// Name of the shard for jobs without regional restrictions.
+const MAIN_SHARD: &str = "batch/main";
+/// Prefix of the names of regional shards.
 const REGIONAL_PREFIX: &str = "batch/in/";
-/// More shards than these are not kept at a time: each has an owner and a log of its own. Chosen, not
-/// measured: more cost every coordinator memory and questions to stores.
+/// Maximum number of regional shards; each has its own owner and log and costs every coordinator memory and
+/// requests.
 pub const MAX_SHARDS: usize = 16;
 
-/// The shard of the jobs that may be kept in these regions.
+/// Returns the shard for jobs that are restricted to these regions.
 pub fn shard_of(regions: &AllowedRegions) -> ShardId {
     if regions.is_all() {
-        return ShardId::new(MAIN);
+        return ShardId::new(MAIN_SHARD);
     }
     let names: Vec<String> = regions.named().map(|region| escape(region.as_str())).collect();
     ShardId::new(format!("{REGIONAL_PREFIX}{}", names.join("/")))
 }
 
-/// Where what a shard keeps may stand. Every region for shards that are none of batch jobs.
+/// Returns the regions in which a shard's data may be stored. Shards of other kinds are unrestricted.
 pub fn regions_of(shard: &ShardId) -> AllowedRegions {
     let Some(names) = shard.as_str().strip_prefix(REGIONAL_PREFIX) else { return AllowedRegions::all() };
     AllowedRegions::of(names.split('/').map(|name| RegionName::new(unescape(name))))
 }
 
-/// The sets of regions, besides that of all, that batch jobs may be bound to by a configuration: those of its
-/// routes, each together with those of each tenant. In the order of their names; more than [`MAX_SHARDS`] may
-/// come back.
+/// Returns the region sets that batch jobs may be restricted to: those of each batch route, intersected with
+/// those of each tenant. The unrestricted set is omitted. Sorted; may return more than [`MAX_SHARDS`].
 pub fn region_sets(routes: &RouteTable) -> BTreeSet<AllowedRegions> {
     let batch = routes.routes.iter().filter(|route| route.kind == RouteKind::Batch);
     let tenants = routes.tenants.as_ref().map_or(&[][..], |directory| directory.tenants());
     let sets = batch.flat_map(|route| {
         let of_tenants = tenants.iter().map(|tenant| route.regions.intersect(&tenant.regions));
-        // Callers without a tenant are bound by the route alone.
-        let alone = (routes.tenants.is_none() || route.is_public).then(|| route.regions.clone());
-        of_tenants.chain(alone).collect::<Vec<_>>()
+        // Callers without a tenant are restricted by the route only.
+        let route_only = (routes.tenants.is_none() || route.is_public).then(|| route.regions.clone());
+        of_tenants.chain(route_only).collect::<Vec<_>>()
     });
     sets.filter(|regions| !regions.is_all() && !regions.is_nowhere()).collect()
 }
 
-/// Regions that routes or tenants name and that hold no zone: nothing is served or kept there.
+/// Returns the regions named by routes or tenants that contain no zone. Nothing is served or stored there.
 pub fn unknown_regions<'a>(routes: &'a RouteTable, zones: &ZoneMap) -> BTreeSet<&'a RegionName> {
     let tenants = routes.tenants.as_ref().map_or(&[][..], |directory| directory.tenants());
     let of_tenants = tenants.iter().flat_map(|tenant| tenant.regions.named());
@@ -57,12 +56,14 @@
     named.filter(|region| !known.contains(region)).collect()
 }
 
-/// The name with every sign that is no letter, digit or hyphen as its number, so that names can be told apart
-/// again.
+/// Escapes every character that is not a letter, digit or hyphen as its code point, so that names stay
+/// distinct.
 fn escape(name: &str) -> String {
-    let is_plain = |sign: char| sign.is_ascii_alphanumeric() || sign == '-';
+    let is_plain = |character: char| character.is_ascii_alphanumeric() || character == '-';
     name.chars()
-        .map(|sign| if is_plain(sign) { sign.to_string() } else { format!("_{:x}_", u32::from(sign)) })
+        .map(|character| {
+            if is_plain(character) { character.to_string() } else { format!("_{:x}_", u32::from(character)) }
+        })
         .collect()
 }
 
@@ -70,7 +71,7 @@
     let number = |part: &str| u32::from_str_radix(part, 16).ok().and_then(char::from_u32);
     let parts = name.split('_').enumerate();
     let parts = parts.map(|(position, part)| match number(part).filter(|_| position % 2 == 1) {
-        Some(sign) => sign.to_string(),
+        Some(character) => character.to_string(),
         None => part.to_owned(),
     });
     parts.collect()
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -1,13 +1,12 @@
-//! Which score request goes to which replica, and when it is tried again.
+//! Chooses a replica for each score request and schedules retries.
 //!
-//! Inputs: the route of the scorer, its replicas with their slots, what this owner sent and what the answers
-//! reported of their load. The choice itself is the ingress' (`ingress::chooser::ReplicaChooser`), among the
-//! replicas with a place left; only the number of places, the order of replicas tried before, and the budget
-//! are rules of this module.
+//! Inputs: the route of the scorer, its replicas with their slots, the requests that this owner sent, and the
+//! load that replicas reported. `ingress::chooser::ReplicaChooser` chooses among the replicas with capacity.
+//! This module sets the number of requests per replica, avoids replicas that were tried before, and limits
+//! retries.
 //!
-//! Scorers are plain services that live callers use too. So a replica of theirs is never filled by score
-//! requests: some of its places stay free. Retries are paid from a budget for each service, so that a sick
-//! service is not stormed.
+//! Scorers are ordinary services that also serve live requests, so score requests never use all slots of a
+//! replica. Each service has a retry budget, which keeps a failing service from being overloaded by retries.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -25,55 +24,54 @@
 use crate::retry::budget::{BudgetConfig, RetryBudget};
 use crate::time::Timestamp;
 
-/// The part of a replica's slots that is left to live callers. Less makes live callers wait behind scores,
-/// more lets whole texts wait for theirs.
-const LIVE_SHARE: f64 = 0.25;
-/// The pause before a retry; the first retry goes to another replica at once and is not counted. The limit
-/// bounds how late a scorer that is back is found, the start how fast one that refuses is asked again.
+/// Share of a replica's slots reserved for live requests.
+const RESERVED_SHARE: f64 = 0.25;
+/// Backoff before retries; the first retry goes to another replica without delay. The upper limit bounds how
+/// late a recovered scorer is noticed.
 const SCORE_RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(40), Duration::from_secs(1));
-/// Retries of one service: each first request pays in for a fifth of one, four a second are free, and at most
-/// 100 are saved in a window of 10 s. More storms a sick scorer, less delays scores behind single failures.
-const BUDGET: BudgetConfig = BudgetConfig {
+/// Retry budget of one service: each first request adds a fifth of a retry, four retries a second are always
+/// allowed, and at most 100 are saved within a window of 10 s.
+const RETRY_BUDGET: BudgetConfig = BudgetConfig {
     deposit_ratio: 0.2,
     minimum_per_second: 4.0,
     window: Duration::from_secs(10),
     max_saved: 100.0,
 };
 
-/// Names one score request at one replica within the time of one owner.
+/// Identifies one attempt of a score request during one ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ScoreId(pub u64);
 
-/// A score request to send.
+/// An attempt of a score request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScoreStart {
-    /// This sending.
+    /// Id of the attempt.
     pub id: ScoreId,
-    /// What to send.
+    /// The request.
     pub request: ScoreRequest,
-    /// Where.
+    /// The replica to send it to.
     pub replica: ReplicaRecord,
-    /// How long the replica may take.
+    /// Time limit for the answer.
     pub timeout: Duration,
-    /// Whose job the request belongs to.
+    /// The tenant that owns the job; `None` where callers need no key.
     pub tenant: Option<TenantName>,
 }
 
-/// How a sending ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScoreEnd {
-    /// A whole, signed answer says success; the signature.
+    /// A complete, signed answer reports success; holds its signature.
     Scored(String),
-    /// A whole, signed answer says that the scorer failed.
+    /// A complete, signed answer reports that the scorer failed.
     Failed,
-    /// The replica stated that it did not run the request.
+    /// The replica reported that it did not run the request.
     Rejected,
-    /// No whole answer came.
+    /// No complete answer arrived.
     Broken,
 }
 
 impl ScoreEnd {
-    /// The name used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Scored(_) => "scored",
@@ -84,24 +82,24 @@
     }
 }
 
-/// An item by its job and its position there.
+/// Identifies an item by its job and its position there.
 pub(super) type ItemKey = (BatchId, u32);
 
-/// A request that waits for its turn.
+/// A score request that waits to be sent.
 #[derive(Clone, Debug)]
 struct WaitingScore {
     key: ItemKey,
     request: ScoreRequest,
     tenant: Option<TenantName>,
-    /// Replicas that gave no score so far, the last ones.
+    /// Replicas that gave no score, in the order of the attempts.
     tried: Vec<String>,
-    /// How often it got no whole answer, by replica.
-    cut_off: BTreeMap<String, u32>,
-    tries: u32,
+    /// Number of attempts without a complete answer, by replica.
+    broken_attempts: BTreeMap<String, u32>,
+    attempts: u32,
     not_before: Timestamp,
 }
 
-/// A request at a replica.
+/// A score request in progress on a replica.
 #[derive(Clone, Debug)]
 struct ActiveScore {
     waiting: WaitingScore,
@@ -111,7 +109,7 @@
     began: Timestamp,
 }
 
-/// What became of a sending.
+/// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct EndedScore {
     pub(super) key: ItemKey,
@@ -120,7 +118,7 @@
     pub(super) route_attempts: Option<u32>,
 }
 
-/// All score requests that wait or are under way.
+/// All score requests that are waiting or in progress.
 #[derive(Debug, Default)]
 pub(super) struct ScorePlan {
     chooser: ReplicaChooser,
@@ -131,7 +129,7 @@
 }
 
 impl ScorePlan {
-    /// An item's text is whole and kept.
+    /// Adds the score request of an item whose complete text is committed.
     pub(super) fn add(
         &mut self,
         key: ItemKey,
@@ -139,12 +137,13 @@
         tenant: Option<TenantName>,
         now: Timestamp,
     ) {
-        let (tried, cut_off) = (Vec::new(), BTreeMap::new());
-        let waiting = WaitingScore { key, request, tenant, tried, cut_off, tries: 0, not_before: now };
+        let (tried, broken_attempts) = (Vec::new(), BTreeMap::new());
+        let waiting =
+            WaitingScore { key, request, tenant, tried, broken_attempts, attempts: 0, not_before: now };
         self.waiting.push_back(waiting);
     }
 
-    /// Drops the requests of items that need no score any more; returns those that are under way.
+    /// Drops the requests of the matching items and returns the attempts in progress.
     pub(super) fn remove(&mut self, is_gone: impl Fn(&ItemKey) -> bool, now: Timestamp) -> Vec<ScoreId> {
         self.waiting.retain(|waiting| !is_gone(&waiting.key));
         let gone = self.active.iter().filter(|(_, active)| is_gone(&active.waiting.key));
@@ -157,7 +156,7 @@
         gone
     }
 
-    /// Requests to send now; `replicas` are those of a service that stand in some regions.
+    /// Returns the requests to send now. `replicas` returns the replicas of a service in the given regions.
     pub(super) fn next<'a>(
         &mut self,
         routes: &RouteTable,
@@ -198,13 +197,13 @@
             return None;
         }
         let route = routes.find(&waiting.request.host, &waiting.request.path)?;
-        let service = route.service_at(self.spread())?.to_owned();
+        let service = route.service_at(self.selection_seed())?.to_owned();
         let regions = routes.allowed_regions(route, waiting.tenant.as_ref());
         let mut ready = replicas(&service, &regions);
         ready.retain(|record| gate.judge(record, now).is_open());
         let chosen = self.choose(&ready, &waiting.tried, now)?;
-        let budget = self.budgets.entry(service).or_insert_with(|| RetryBudget::new(BUDGET, now));
-        if waiting.tries == 0 {
+        let budget = self.budgets.entry(service).or_insert_with(|| RetryBudget::new(RETRY_BUDGET, now));
+        if waiting.attempts == 0 {
             budget.deposit(now);
         } else if !budget.withdraw(now) {
             return None;
@@ -212,8 +211,8 @@
         self.last += 1;
         self.chooser.sent(&chosen.id);
         gate.sent(&chosen, now);
-        let times_cut_off = waiting.cut_off.get(&chosen.id).copied().unwrap_or(0);
-        let timeout = attempt_timeout::of_score_request(route.target, route.timeout, times_cut_off);
+        let earlier_breaks = waiting.broken_attempts.get(&chosen.id).copied().unwrap_or(0);
+        let timeout = attempt_timeout::of_score_request(route.target, route.timeout, earlier_breaks);
         Some(ScoreStart {
             id: ScoreId(self.last),
             request: waiting.request.clone(),
@@ -223,32 +222,33 @@
         })
     }
 
-    /// The replica that should answer first among those with a place, none of `tried` where another can be
-    /// had.
+    /// Returns the replica with capacity that should answer first, preferring replicas that are not in
+    /// `tried`.
     fn choose(&self, ready: &[&ReplicaRecord], tried: &[String], now: Timestamp) -> Option<ReplicaRecord> {
-        let has_place = |record: &&&ReplicaRecord| self.chooser.busy(&record.id, now) < places(record.slots);
+        let has_place =
+            |record: &&&ReplicaRecord| self.chooser.busy(&record.id, now) < max_in_flight(record.slots);
         let free: Vec<&ReplicaRecord> = ready.iter().filter(has_place).copied().collect();
         let untried = free.iter().filter(|record| !tried.contains(&record.id)).copied().collect();
-        let best = self.chooser.best_of(untried, now, self.spread());
-        let best = best.or_else(|| self.chooser.best_of(free, now, self.spread()));
+        let best = self.chooser.best_of(untried, now, self.selection_seed());
+        let best = best.or_else(|| self.chooser.best_of(free, now, self.selection_seed()));
         best.cloned()
     }
 
-    /// A number that differs from one request to the next, in place of a random one.
-    const fn spread(&self) -> u64 {
+    /// Returns a number that differs for each request, used in place of a random number.
+    const fn selection_seed(&self) -> u64 {
         (self.last + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 16
     }
 
-    /// A replica said how many requests it runs and how many wait there.
+    /// Records how many requests a replica reported to be running or queued.
     pub(super) fn reported(&mut self, id: ScoreId, busy: u32, now: Timestamp) {
         if let Some(active) = self.active.get(&id) {
-            // Its own request is counted until its end is taken.
+            // The attempt itself is still counted until its end is handled.
             self.chooser.reported(&active.replica, busy.saturating_sub(1), now);
         }
     }
 
-    /// Takes the end of a sending. One without a score waits for its next turn; `None` where it is not wanted
-    /// any more.
+    /// Handles the end of an attempt. A request without a score is queued again. Returns `None` if the
+    /// request was dropped meanwhile.
     pub(super) fn ended(
         &mut self,
         id: ScoreId,
@@ -274,21 +274,21 @@
             route_attempts: route.map(|route| route.max_attempts),
         };
         if !matches!(end, ScoreEnd::Scored(_)) {
-            waiting.tries += 1;
+            waiting.attempts += 1;
             if *end == ScoreEnd::Broken {
-                *waiting.cut_off.entry(replica.clone()).or_default() += 1;
+                *waiting.broken_attempts.entry(replica.clone()).or_default() += 1;
             }
             waiting.tried.push(replica);
-            // The first retry goes at once to another replica; later ones wait.
-            waiting.not_before = now + SCORE_RETRY_BACKOFF.pause(waiting.tries - 1);
+            // The first retry is sent to another replica without delay.
+            waiting.not_before = now + SCORE_RETRY_BACKOFF.pause(waiting.attempts - 1);
             self.waiting.push_back(waiting);
         }
         Some(ended)
     }
 }
 
-/// How many requests a replica with so many slots may have in hand, those of live callers included.
-fn places(slots: u32) -> u32 {
-    let kept_free = (f64::from(slots) * LIVE_SHARE).ceil() as u32;
-    slots.saturating_sub(kept_free).max(1)
+/// Returns how many requests a replica with this many slots may have in hand, including live requests.
+fn max_in_flight(slots: u32) -> u32 {
+    let reserved = (f64::from(slots) * RESERVED_SHARE).ceil() as u32;
+    slots.saturating_sub(reserved).max(1)
 }
--- a/crates/core/tests/batch_load_limit.rs
+++ b/crates/core/tests/batch_load_limit.rs
@@ -7,8 +7,8 @@
 const LOAD: Duration = Duration::from_millis(900);
 
 /// The time of a load that begins as one of `beside`, where the platform bears `bears` at a time.
-fn load_time(beside: usize, bears: usize) -> Duration {
-    LOAD.mul_f64((beside as f64 / bears as f64).max(1.0))
+fn load_time(concurrent_loads: usize, bears: usize) -> Duration {
+    LOAD.mul_f64((concurrent_loads as f64 / bears as f64).max(1.0))
 }
 
 /// A time that was seen without delay.
@@ -23,8 +23,8 @@
 /// One wave of loads that fills the limit, and as many again beside each other. `disturb` alters what is seen of each.
 fn wave(limit: &mut LoadLimit, size: PoolSize, bears: usize, mut disturb: impl FnMut(LoadTime) -> LoadTime) {
     let at_once = limit.get(size);
-    for beside in (1..=at_once).chain((1..at_once).map(|_| at_once)) {
-        limit.observe(disturb(seen(load_time(beside, bears))), beside, size);
+    for concurrent_loads in (1..=at_once).chain((1..at_once).map(|_| at_once)) {
+        limit.observe(disturb(seen(load_time(concurrent_loads, bears))), concurrent_loads, size);
     }
 }
 
--- a/crates/core/tests/batch_pending_ends.rs
+++ b/crates/core/tests/batch_pending_ends.rs
@@ -4,7 +4,7 @@
 
 use lichenpulley_core::batch::pending_ends::{
     COPY_DELAY, EXPIRES_AFTER, EndAnswer, EndKey, EndOutcome, EndSource, MAX_IN_FLIGHT, MAX_PENDING,
-    PendingEnds, UNKNOWN_FOR,
+    PendingEnds, UNKNOWN_JOB_TIMEOUT,
 };
 use lichenpulley_core::identity::BatchId;
 use lichenpulley_core::time::Timestamp;
@@ -56,7 +56,7 @@
     pursuit.hold(at(0), key(2), EndSource::Caller);
     let (outcome, attempts) = pursue(&mut pursuit, &key(2), |_| EndAnswer::Unknown);
     assert_eq!(outcome, EndOutcome::Unknown);
-    assert!(attempts < 20, "{attempts} in {UNKNOWN_FOR:?}");
+    assert!(attempts < 20, "{attempts} in {UNKNOWN_JOB_TIMEOUT:?}");
 }
 
 #[test]
