--- a/crates/core/src/replication/acceptor.rs
+++ b/crates/core/src/replication/acceptor.rs
@@ -1,8 +1,8 @@
-//! A store replica: promises, accepts, votes and hands out what it has.
+//! A store replica: the Paxos acceptor of a shard's log, and a voter on claims.
 //!
-//! It keeps nothing outside its [`ShardStorage`], so a restart is a reopening of the disk. Invariants:
-//! a promised ballot never goes back, an entry is accepted only under the highest ballot promised, and a replica
-//! that is sealed or not yet installed changes nothing in a generation that it takes no part in.
+//! All state is in its [`ShardStorage`], so a restart only reopens the disk. Invariants: the promised ballot
+//! never decreases, an entry is accepted only under the highest promised ballot, and a replica that is sealed
+//! or not yet installed neither promises, accepts nor votes.
 
 mod begin;
 mod checks;
@@ -10,7 +10,7 @@
 
 use self::begin::begin;
 pub use self::checks::AcceptorChecks;
-use self::decided::{extend_run, learn_decided, read_decided, repair, truncate};
+use self::decided::{extend_accepted_range, learn_decided, read_decided, repair, truncate};
 use super::ballot::Ballot;
 use super::claims::{self, ClaimVote, ClaimWindow};
 use super::entry::{Entry, IndexedEntry, LogIndex};
@@ -23,7 +23,7 @@
 use super::transfer::{self, PAGE_BYTES};
 use crate::identity::ShardId;
 
-/// One store's acceptor, for all its shards.
+/// The acceptor of one store, for all its shards.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     store: StoreId,
@@ -32,27 +32,27 @@
 }
 
 impl Acceptor {
-    /// The acceptor of a store.
+    /// Creates the acceptor of a store.
     pub fn new(store: StoreId, window: ClaimWindow) -> Self {
         Self { store, window, checks: AcceptorChecks::default() }
     }
 
-    /// The same with some mechanisms switched off, for proofs that they are needed.
+    /// Sets which safety checks are enabled, for tests that show that each is needed.
     #[must_use]
     pub fn with_checks(mut self, checks: AcceptorChecks) -> Self {
         self.checks = checks;
         self
     }
 
-    /// The store it speaks for.
+    /// Returns the store's id.
     pub fn store(&self) -> &StoreId {
         &self.store
     }
 
-    /// Answers a request inside one transaction. The answer may be sent only after the transaction is on disk.
+    /// Handles a request in one transaction. The response may be sent only after the transaction is on disk.
     ///
     /// # Errors
-    /// When the disk can't be used; the transaction must then be dropped.
+    /// When the disk can't be used; the transaction must then be discarded.
     pub fn answer<S: ShardStorage>(
         &self,
         storage: &mut S,
@@ -60,19 +60,19 @@
         request: ReplicaRequest,
     ) -> Result<ReplicaResponse, S::Error> {
         let ReplicaRequest { shard, generation, store, operation } = request;
-        let answers_as = if self.checks.check_store { self.store.clone() } else { store.clone() };
+        let responder = if self.checks.check_store { self.store.clone() } else { store.clone() };
         let outcome = if self.checks.check_store && store != self.store {
             ReplicaAnswer::Refused(StoreRefusal::WrongStore { store: self.store.clone() })
         } else {
-            self.operate(storage, now_unix_ms, &shard, generation, operation)?
+            self.execute(storage, now_unix_ms, &shard, generation, operation)?
         };
-        Ok(ReplicaResponse { shard, generation, store: answers_as, outcome })
+        Ok(ReplicaResponse { shard, generation, store: responder, outcome })
     }
 
-    /// Drops claims that are past their retention.
+    /// Removes claims that are past their retention.
     ///
     /// # Errors
-    /// When the disk can't be used; the transaction must then be dropped.
+    /// When the disk can't be used; the transaction must then be discarded.
     pub fn remove_expired_claims<S: ShardStorage>(
         &self,
         storage: &mut S,
@@ -81,7 +81,7 @@
     ) -> Result<(), S::Error> {
         let Some(mut record) = storage.group(shard)? else { return Ok(()) };
         let horizon = self.window.horizon_unix_ms(now_unix_ms);
-        // A sealed replica is copied page by page: its claims stay as they are.
+        // A sealed replica is copied page by page, so its claims must not change.
         if record.phase != GroupPhase::Active || horizon <= record.position.claims_removed_before_unix_ms {
             return Ok(());
         }
@@ -90,11 +90,11 @@
         storage.remove_claims_issued_before(shard, horizon)
     }
 
-    /// Adds entries that another replica of the generation named as decided, where they follow what is known to be
-    /// decided here. Gives the last position known to be decided.
+    /// Adds entries that another replica of the generation reported as decided, if they directly follow the
+    /// last position known to be decided here. Returns the last position known to be decided.
     ///
     /// # Errors
-    /// When the disk can't be used; the transaction must then be dropped.
+    /// When the disk can't be used; the transaction must then be discarded.
     pub fn repair<S: ShardStorage>(
         &self,
         storage: &mut S,
@@ -103,13 +103,13 @@
         entries: Vec<IndexedEntry>,
     ) -> Result<LogIndex, S::Error> {
         let record = storage.group(shard)?;
-        match self.participant(record, generation) {
+        match self.require_generation(record, generation) {
             Ok(record) if record.phase == GroupPhase::Active => repair(storage, shard, record, entries),
             _ => Ok(LogIndex::ZERO),
         }
     }
 
-    fn operate<S: ShardStorage>(
+    fn execute<S: ShardStorage>(
         &self,
         storage: &mut S,
         now_unix_ms: u64,
@@ -126,7 +126,7 @@
             }
             _ => {}
         }
-        let record = match self.participant(record, generation) {
+        let record = match self.require_generation(record, generation) {
             Ok(record) => record,
             Err(refusal) => return Ok(ReplicaAnswer::Refused(refusal)),
         };
@@ -134,20 +134,21 @@
             Operation::Seal(next) => transfer::seal(storage, shard, record, next),
             Operation::ReadState(from) => transfer::read_state(storage, shard, &record.position, from),
             Operation::ReadDecided(from) => read_decided(storage, shard, &record, from),
-            // A sealed replica promises nothing, since the next set may not hear of it; it only tells who is ahead.
+            // A sealed replica makes no promise, since the next set may not learn of it. It still reports a
+            // higher promised ballot.
             Operation::Prepare(ballot)
                 if self.is_sealed(&record) && !record.position.promised.admits(&ballot) =>
             {
                 Ok(ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised: record.position.promised }))
             }
-            operation => match self.active(&record) {
+            operation => match self.require_active(&record) {
                 Err(refusal) => Ok(ReplicaAnswer::Refused(refusal)),
-                Ok(()) => self.operate_active(storage, now_unix_ms, shard, record, operation),
+                Ok(()) => self.execute_active(storage, now_unix_ms, shard, record, operation),
             },
         }
     }
 
-    fn operate_active<S: ShardStorage>(
+    fn execute_active<S: ShardStorage>(
         &self,
         storage: &mut S,
         now_unix_ms: u64,
@@ -164,8 +165,8 @@
         }
     }
 
-    /// The record, where the store has a part in this generation.
-    fn participant(
+    /// Returns the record if the store is a member of this generation and has its state.
+    fn require_generation(
         &self,
         record: Option<GroupRecord>,
         generation: Generation,
@@ -185,7 +186,7 @@
         self.checks.refuse_when_sealed && matches!(record.phase, GroupPhase::Sealed { .. })
     }
 
-    fn active(&self, record: &GroupRecord) -> Result<(), StoreRefusal> {
+    fn require_active(&self, record: &GroupRecord) -> Result<(), StoreRefusal> {
         match &record.phase {
             GroupPhase::Sealed { next } if self.checks.refuse_when_sealed => {
                 Err(StoreRefusal::SealedFor { next: next.clone() })
@@ -194,15 +195,16 @@
         }
     }
 
-    /// Invariant: the promised ballot never goes back.
-    fn admit(&self, record: &mut GroupRecord, ballot: &Ballot) -> Result<(), StoreRefusal> {
+    /// Promises a ballot, or refuses it if a higher one is promised. Invariant: the promised ballot never
+    /// decreases.
+    fn adopt_ballot(&self, record: &mut GroupRecord, ballot: &Ballot) -> Result<(), StoreRefusal> {
         let promised = &record.position.promised;
         if self.checks.refuse_lower_ballots && !promised.admits(ballot) {
             return Err(StoreRefusal::HigherBallot { promised: promised.clone() });
         }
         if promised != ballot {
             record.position.promised = ballot.clone();
-            record.run = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
+            record.accepted = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
         }
         Ok(())
     }
@@ -214,7 +216,7 @@
         mut record: GroupRecord,
         ballot: Ballot,
     ) -> Result<ReplicaAnswer, S::Error> {
-        if let Err(refusal) = self.admit(&mut record, &ballot) {
+        if let Err(refusal) = self.adopt_ballot(&mut record, &ballot) {
             return Ok(ReplicaAnswer::Refused(refusal));
         }
         storage.put_group(shard, &record)?;
@@ -251,7 +253,7 @@
         mut record: GroupRecord,
         accept: Accept,
     ) -> Result<ReplicaAnswer, S::Error> {
-        if let Err(refusal) = self.admit(&mut record, &accept.ballot) {
+        if let Err(refusal) = self.adopt_ballot(&mut record, &accept.ballot) {
             return Ok(ReplicaAnswer::Refused(refusal));
         }
         let through = accept.through();
@@ -262,14 +264,14 @@
         if !entries.is_empty() && !storage.has_room(bytes as u64) {
             return Ok(ReplicaAnswer::Refused(StoreRefusal::DiskFull));
         }
-        // What was repaired here is decided, though its owner was not promised anything: a late request of the owner before
-        // must not undo it.
+        // Repair adds decided entries without promising their owner's ballot. A late request of an earlier
+        // owner must not overwrite them.
         let first = record.position.first().max(record.position.decided_through.next());
         let numbered = (from.0..).map(LogIndex).zip(&entries);
         for (index, entry) in numbered.filter(|(index, _)| *index >= first) {
             storage.put_entry(shard, index, entry)?;
         }
-        extend_run(&mut record.run, from, through);
+        extend_accepted_range(&mut record.accepted, from, through);
         learn_decided(&mut record, decided_through);
         truncate(storage, shard, &mut record, truncate_before)?;
         storage.put_group(shard, &record)?;
--- a/crates/core/src/replication/acceptor/begin.rs
+++ b/crates/core/src/replication/acceptor/begin.rs
@@ -1,4 +1,4 @@
-//! How a store begins to take part in a replica set.
+//! Making a store an active member of a replica set without copying state.
 
 use crate::identity::ShardId;
 use crate::replication::group::{GroupPhase, GroupRecord};
@@ -6,11 +6,11 @@
 use crate::replication::replica_set::ReplicaSet;
 use crate::replication::storage::ShardStorage;
 
-/// Begins as a member that has not taken part in this generation before.
+/// Activates a member that was not active in this generation before.
 ///
-/// In the first generation there is nothing to have. In a later one the sender knows that a majority has been
-/// installed: every quorum then contains a member with all that was decided before, so one that never took part
-/// may begin with what it has, and is repaired later.
+/// The first generation starts empty. In a later one the sender knows that a majority has been installed, so
+/// every quorum contains a member with everything that was decided before. A member that was never active may
+/// therefore begin with the state it has, and is repaired later.
 pub(super) fn begin<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
@@ -24,9 +24,9 @@
     if record.set == set && record.phase == GroupPhase::Active {
         return Ok(ReplicaAnswer::Begun);
     }
-    let waits =
+    let may_begin =
         record.set.generation < set.generation || (record.set == set && record.phase == GroupPhase::Joining);
-    if !waits {
+    if !may_begin {
         return Ok(ReplicaAnswer::Refused(StoreRefusal::OutOfOrder));
     }
     record.set = set;
--- a/crates/core/src/replication/acceptor/checks.rs
+++ b/crates/core/src/replication/acceptor/checks.rs
@@ -1,19 +1,19 @@
-//! Mechanisms of an acceptor that proofs switch off one by one.
+//! Safety checks of an acceptor, which tests disable one by one.
 
-/// Mechanisms of an acceptor. All on in service; proofs switch one off to show that it is needed.
+/// Safety checks of an acceptor. All are enabled in production; tests disable one to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptorChecks {
-    /// Refuse ballots below the promised one.
+    /// Refuses ballots below the promised one.
     pub refuse_lower_ballots: bool,
-    /// Refuse to take part under another store's id.
+    /// Refuses requests that are for another store's id.
     pub check_store: bool,
-    /// Refuse to take part once sealed.
+    /// Refuses to promise, accept or vote once sealed.
     pub refuse_when_sealed: bool,
-    /// Refuse to be installed without all pages from a majority of the sealed set.
+    /// Refuses to be installed without all pages from a majority of the sealed set.
     pub check_copied: bool,
-    /// Refuse ids whose claims may have been forgotten.
+    /// Refuses request ids whose claims may have been removed.
     pub refuse_expired_claims: bool,
-    /// Keep to the highest ballot that the sealed replicas promised, once installed.
+    /// Adopts the highest ballot that the sealed replicas promised when installed.
     pub carry_promise: bool,
 }
 
--- a/crates/core/src/replication/acceptor/decided.rs
+++ b/crates/core/src/replication/acceptor/decided.rs
@@ -1,6 +1,7 @@
-//! What a replica knows to be decided: learnt from the owner, handed out, added by repair, dropped below a snapshot.
+//! Decided entries of a replica: learning them from the owner, reading, repair, and truncation below a
+//! snapshot.
 //!
-//! Invariant: `decided_through` covers only positions whose decided entry is here.
+//! Invariant: `decided_through` covers only positions whose decided entry is stored here or was truncated.
 
 use crate::identity::ShardId;
 use crate::replication::entry::{IndexedEntry, LogIndex};
@@ -9,26 +10,28 @@
 use crate::replication::storage::ShardStorage;
 use crate::replication::transfer::PAGE_BYTES;
 
-/// Adds accepted positions to the run, or begins a new one where they don't follow it.
-pub(super) fn extend_run(run: &mut AcceptedRange, from: LogIndex, through: LogIndex) {
+/// Extends the range by accepted positions, or replaces it if they are not adjacent to it.
+pub(super) fn extend_accepted_range(range: &mut AcceptedRange, from: LogIndex, through: LogIndex) {
     if through < from {
         return;
     }
-    let touches = from <= run.through.next() && through.next() >= run.from && run.through >= run.from;
-    if touches {
-        run.from = run.from.min(from);
-        run.through = run.through.max(through);
+    let is_adjacent =
+        from <= range.through.next() && through.next() >= range.from && range.through >= range.from;
+    if is_adjacent {
+        range.from = range.from.min(from);
+        range.through = range.through.max(through);
     } else {
-        *run = AcceptedRange { from, through };
+        *range = AcceptedRange { from, through };
     }
 }
 
-/// Invariant: `decided_through` covers only positions whose decided entry is here. A position of the run holds
-/// what the present owner proposed, so it is decided once the owner says so.
+/// Advances `decided_through` within the accepted range. A position in the range holds the entry that the
+/// owner of the promised ballot proposed, so this entry is decided once that owner reports the position as
+/// decided.
 pub(super) fn learn_decided(record: &mut GroupRecord, decided_through: LogIndex) {
     let known = record.position.decided_through;
-    if record.run.from <= known.next() {
-        record.position.decided_through = known.max(decided_through.min(record.run.through));
+    if record.accepted.from <= known.next() {
+        record.position.decided_through = known.max(decided_through.min(record.accepted.through));
     }
 }
 
@@ -59,7 +62,7 @@
     Ok(ReplicaAnswer::Decided { from, entries, base: record.position.base, decided_through })
 }
 
-/// Adds decided entries that follow what is known to be decided here.
+/// Adds decided entries that directly follow `decided_through`.
 pub(super) fn repair<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
--- a/crates/core/src/replication/ballot.rs
+++ b/crates/core/src/replication/ballot.rs
@@ -1,4 +1,4 @@
-//! Ballots: an epoch together with the one proposer that may act under it.
+//! Ballots: an epoch and the only proposer that may use it.
 
 use std::fmt;
 
@@ -6,17 +6,18 @@
 
 use crate::identity::Epoch;
 
-/// One take-over by one process: unique across nodes, restarts and repeated take-overs of one node.
+/// Identifies one take-over by one process: unique across nodes, restarts and repeated take-overs of one
+/// node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ProposerId(String);
 
 impl ProposerId {
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Wraps an id as it stands. Two take-overs must never share one.
+    /// Wraps an id without checking it. The caller must use a different id for every take-over.
     pub fn new(id: impl Into<String>) -> Self {
         Self(id.into())
     }
@@ -30,18 +31,18 @@
 
 /// An epoch and its proposer.
 ///
-/// Two proposers may ask for the same epoch. A replica promises an epoch to one proposer only, so at most one of
-/// them gets a majority, and the epoch alone identifies the owner from then on.
+/// Two proposers may ask for the same epoch. A replica promises an epoch to one proposer only, so at most one
+/// of them gets a majority. Once it has, the epoch alone identifies the owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Ballot {
     /// The epoch.
     pub epoch: Epoch,
-    /// Who asks for it.
+    /// The proposer that asks for the epoch.
     pub proposer: ProposerId,
 }
 
 impl Ballot {
-    /// Whether a replica that promised `self` may still take part in `other`.
+    /// Returns whether a replica that promised `self` may accept requests under `other`.
     pub fn admits(&self, other: &Self) -> bool {
         other.epoch > self.epoch || other == self
     }
--- a/crates/core/src/replication/claim_tally.rs
+++ b/crates/core/src/replication/claim_tally.rs
@@ -1,25 +1,26 @@
-//! The claimant's side: counts votes on one claim in one generation.
+//! Counts the votes on one claim in one generation, for the claimant.
 //!
-//! Owns the votes so far; the driver sends the questions and asks again those that gave no vote.
+//! The driver sends the claim to the replicas and repeats it to those that have not voted.
 
 use super::claims::ClaimVote;
 use super::quorum::VoteCount;
 use super::replica_set::{ReplicaSet, StoreId};
 
-/// What the votes so far amount to.
+/// The result of the votes so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TallyResult {
     /// A majority voted for this attempt.
     Granted,
-    /// Some replica voted for another attempt, and this one can't get a majority any more.
+    /// A replica voted for another attempt, and this one can no longer get a majority.
     Held,
-    /// The id's issue time is refused, and this attempt can't get a majority any more.
+    /// The id's issue time was refused, and this attempt can no longer get a majority.
     OutsideWindow,
-    /// Votes that are still out can decide.
+    /// The missing votes can still give a majority.
     Pending,
 }
 
-/// Votes on one claim. Votes of different generations must never be added up: make a new tally for each.
+/// Votes on one claim. Votes of different generations must not be added up, so each generation needs a new
+/// tally.
 #[derive(Clone, Debug)]
 pub struct ClaimTally {
     members: usize,
@@ -29,7 +30,7 @@
 }
 
 impl ClaimTally {
-    /// An empty tally for one generation.
+    /// Creates an empty tally for one generation.
     pub fn new(set: &ReplicaSet) -> Self {
         Self {
             members: set.members.len(),
@@ -48,12 +49,12 @@
         }
     }
 
-    /// How many members voted.
+    /// Returns the number of members that voted.
     pub fn answered(&self) -> usize {
         self.granted.len() + self.held.len() + self.outside_window.len()
     }
 
-    /// What the votes amount to. Never `Granted` without a majority, however the rest voted.
+    /// Returns the result of the votes so far. `Granted` requires a majority.
     pub fn result(&self) -> TallyResult {
         if self.granted.is_majority_of(self.members) {
             return TallyResult::Granted;
--- a/crates/core/src/replication/claims.rs
+++ b/crates/core/src/replication/claims.rs
@@ -1,9 +1,10 @@
-//! Write-once claims on the ids of requests that may run at most once (brief point 6).
+//! Write-once claims on the ids of requests that may run at most once.
 //!
-//! Invariant: a replica votes for at most one attempt of a request id, for ever. Two attempts can't both get a
-//! majority, so at most one sends the request to an engine. Votes are kept for a stated time; a replica refuses
-//! ids from before the time it may have forgotten. So the invariant rests on no clock: a clock that jumps makes
-//! a replica refuse more, never grant twice. It does rest on the caller to repeat an id with its first issue time.
+//! Invariant: a replica never votes for two attempts of the same request id. Two attempts can't both get a
+//! majority, so at most one sends the request to an engine. Votes are kept for a limited time, and a replica
+//! refuses ids issued before the time whose votes it may have removed. The invariant therefore does not
+//! depend on clocks: a clock that jumps makes a replica refuse more ids, but never grant one twice. It
+//! depends on the caller repeating an id with its original issue time.
 
 use std::time::Duration;
 
@@ -14,18 +15,19 @@
 use crate::identity::{AttemptId, RequestId, ShardId};
 use crate::time::whole_millis;
 
-/// A request id's vote at one replica.
+/// A replica's stored vote on a request id.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimRecord {
     /// When the id was issued, in milliseconds since the Unix epoch.
     pub issued_at_unix_ms: u64,
-    /// Who was voted for; nobody any more where copies of sealed replicas disagreed.
+    /// The attempt that has the vote, `None` after merging copies of sealed replicas that disagreed.
     pub holder: Option<AttemptId>,
 }
 
 impl ClaimRecord {
-    /// The vote that stands for two copies: where they disagree, nobody's. Neither can then gain a vote that it
-    /// did not have, and one that had a majority keeps it at the replicas that had voted for it.
+    /// Merges two copies of a vote. If they disagree, no attempt has the vote. Then neither attempt gains a
+    /// vote that it did not have, and an attempt that had a majority keeps it at the replicas that voted for
+    /// it.
     #[must_use]
     pub fn merged(self, other: Self) -> Self {
         let holder = if self.holder == other.holder { self.holder } else { None };
@@ -36,29 +38,29 @@
 /// A replica's vote on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ClaimVote {
-    /// The id is this attempt's at this replica.
+    /// This attempt has the replica's vote.
     Granted,
-    /// The id is another attempt's at this replica.
+    /// Another attempt has the replica's vote.
     Held,
-    /// The id is from before the time for which claims are kept.
+    /// The id was issued before the time for which claims are kept.
     Expired,
-    /// The id is from further in the future than clocks differ.
+    /// The id was issued further in the future than the maximum clock skew.
     TooFarAhead,
 }
 
-/// How long claims are kept.
+/// The range of issue times for which claims are accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimWindow {
-    /// How long after its issue an id can be claimed and its claim is kept.
+    /// How long after its issue time an id can be claimed and its claim is kept.
     pub retention: Duration,
-    /// How far ahead of a replica's clock an issue time may lie.
+    /// How far an issue time may be ahead of a replica's clock.
     pub maximum_clock_skew: Duration,
 }
 
-/// Why a window can't be used.
+/// Why a claim window is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimWindowError {
-    /// The retention is shorter than clocks may differ.
+    /// The retention is at most twice the maximum clock skew.
     #[error("claims.retention_ms must be above twice claims.maximum_clock_skew_ms; raise it")]
     RetentionTooShort,
 }
@@ -75,26 +77,24 @@
         Ok(())
     }
 
-    /// Ids issued before this time are refused, and their claims may be dropped.
+    /// Returns the time before which issued ids are refused and their claims may be removed.
     pub(crate) fn horizon_unix_ms(&self, now_unix_ms: u64) -> u64 {
         now_unix_ms.saturating_sub(whole_millis(self.retention))
     }
 
-    /// Ids issued after this time are refused.
+    /// Returns the time after which issued ids are refused.
     pub(crate) fn latest_unix_ms(&self, now_unix_ms: u64) -> u64 {
         now_unix_ms.saturating_add(whole_millis(self.maximum_clock_skew))
     }
 }
 
 impl Default for ClaimWindow {
-    /// Both chosen, not measured. A shorter retention refuses repeats of callers that were away for long, a longer one takes
-    /// memory and disk for each id. A smaller skew refuses callers whose clock is ahead, a larger one keeps claims longer.
     fn default() -> Self {
         Self { retention: Duration::from_secs(15 * 60), maximum_clock_skew: Duration::from_secs(30) }
     }
 }
 
-/// Votes on a claim whose issue time is within the window, and keeps the vote.
+/// Votes on a claim whose issue time is within the window, and stores the vote.
 ///
 /// # Errors
 /// When the disk can't be used.
@@ -113,11 +113,11 @@
     Ok(if ours { ClaimVote::Granted } else { ClaimVote::Held })
 }
 
-/// Copies one claim of a sealed replica beside what is here.
+/// Merges a claim copied from a sealed replica into the stored claim.
 ///
 /// # Errors
 /// When the disk can't be used.
-pub(super) fn copy<S: ShardStorage>(
+pub(super) fn merge_copied<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
     request: &RequestId,
--- a/crates/core/src/replication/copy_target.rs
+++ b/crates/core/src/replication/copy_target.rs
@@ -1,33 +1,33 @@
-//! One member of the next generation while state is copied to it.
+//! Copying state to one member of the next generation.
 //!
-//! Owns which page of which source comes next for it, and begins anew when the member has lost its place.
+//! Tracks the next page to copy from each source, and restarts when the member reports pages out of order.
 
 use super::message::{CopiedSource, CopyPage, Install, Operation, PagePosition, StatePage, TransferId};
 use super::reconfigurer::Sources;
 use super::replica_set::{Generation, ReplicaSet, StoreId};
 use crate::time::Timestamp;
 
-/// Copies the sources one after the other, page by page. At most one request for it is on the way.
+/// Copies the sources in order, page by page, with at most one outstanding request.
 pub(super) struct CopyTarget {
     pub(super) retry_at: Option<Timestamp>,
-    /// Which of the sources is being copied.
+    /// The index of the source that is being copied.
     source: usize,
     step: Step,
-    /// Pages stored from the present source.
+    /// The number of pages stored from the current source.
     number: u64,
-    /// Sources that are done.
+    /// The sources that are copied completely.
     done: Vec<CopiedSource>,
     skip_copying: bool,
-    /// Which pass of the copying this is.
+    /// The number of the current pass.
     pass: u64,
 }
 
 enum Step {
-    /// Reading of the present source is to begin.
+    /// Start reading the current source.
     Begin,
-    /// A page is to be read at this position.
+    /// Read a page at this position.
     Read(PagePosition),
-    /// A page is to be stored.
+    /// Store this page.
     Store(StatePage),
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl CopyTarget {
-    /// Begins again, not before `retry_at`.
+    /// Starts a new pass, not before `retry_at`.
     pub(super) fn restart(&mut self, retry_at: Option<Timestamp>) {
         let (skip_copying, pass) = (self.skip_copying, self.pass + 1);
         *self = Self { retry_at, skip_copying, pass, ..Self::default() };
@@ -60,22 +60,22 @@
         self.retry_at.is_none_or(|at| at <= now)
     }
 
-    /// What to ask whom next.
-    pub(super) fn wanted(
+    /// Returns the next operation with its receiver and generation.
+    pub(super) fn next_request(
         &mut self,
-        own: &StoreId,
+        target: &StoreId,
         sources: &Sources,
         set: &ReplicaSet,
         transfer: &TransferId,
     ) -> Option<(StoreId, Generation, Operation)> {
-        self.skip_own(own, sources);
+        self.skip_target(target, sources);
         let transfer = &transfer.pass(self.pass);
         let Some(source) = sources.stores.get(self.source) else {
             let install = self.install(sources, set, transfer);
-            return Some((own.clone(), set.generation, Operation::Install(install)));
+            return Some((target.clone(), set.generation, Operation::Install(install)));
         };
         if matches!(self.step, Step::Begin) {
-            self.step = Step::Read(sources.start(self.source, own));
+            self.step = Step::Read(sources.start(self.source, target));
         }
         match &self.step {
             Step::Begin => None,
@@ -90,32 +90,32 @@
                     number: self.number,
                     page: page.clone(),
                 };
-                Some((own.clone(), set.generation, Operation::Copy(copy)))
+                Some((target.clone(), set.generation, Operation::Copy(copy)))
             }
         }
     }
 
-    /// A page of a source was read; it may be the one that is wanted here.
-    pub(super) fn page_read(
+    /// Handles a page that was read from a source. Ignores it if it is not the page needed next.
+    pub(super) fn handle_page(
         &mut self,
         sources: &Sources,
         source: &StoreId,
         from: &PagePosition,
         page: &StatePage,
     ) {
-        let wanted = sources.stores.get(self.source) == Some(source);
+        let is_current = sources.stores.get(self.source) == Some(source);
         let Step::Read(position) = &self.step else { return };
-        if wanted && position == from {
+        if is_current && position == from {
             self.step = Step::Store(page.clone());
             self.retry_at = None;
         }
     }
 
-    /// The target has stored pages of a source up to number `next`.
-    pub(super) fn copied(&mut self, sources: &Sources, source: &StoreId, next: u64) {
-        let wanted = sources.stores.get(self.source) == Some(source);
+    /// Handles the target's confirmation that it stored the pages of a source before number `next`.
+    pub(super) fn handle_copied(&mut self, sources: &Sources, source: &StoreId, next: u64) {
+        let is_current = sources.stores.get(self.source) == Some(source);
         let Step::Store(page) = &self.step else { return };
-        if !wanted || next != self.number + 1 {
+        if !is_current || next != self.number + 1 {
             return;
         }
         self.number = next;
@@ -133,10 +133,10 @@
         self.step = Step::Begin;
     }
 
-    /// A sealed replica that stays has its own state already.
-    fn skip_own(&mut self, own: &StoreId, sources: &Sources) {
+    /// Skips the target itself as a source, since it already has its own state.
+    fn skip_target(&mut self, target: &StoreId, sources: &Sources) {
         while let Some(source) =
-            sources.stores.get(self.source).filter(|source| self.skip_copying || *source == own)
+            sources.stores.get(self.source).filter(|source| self.skip_copying || *source == target)
         {
             self.source_done(source);
         }
--- a/crates/core/src/replication/entry.rs
+++ b/crates/core/src/replication/entry.rs
@@ -1,6 +1,6 @@
 //! Entries of a shard's log.
 //!
-//! Stored and sent as they stand: the order of fields and variants must not change.
+//! These types are stored and sent in binary form, so the order of fields and variants must not change.
 
 use std::fmt;
 
@@ -9,23 +9,23 @@
 use super::replica_set::ReplicaSet;
 use crate::identity::Epoch;
 
-/// A position in a shard's log; the first entry has 1.
+/// A position in a shard's log. The first entry is at position 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// Before the first entry.
+    /// The position before the first entry.
     pub const ZERO: Self = Self(0);
-    /// The first entry.
+    /// The position of the first entry.
     pub const FIRST: Self = Self(1);
 
-    /// The position after this one.
+    /// Returns the position after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The position before this one, never below zero.
+    /// Returns the position before this one, at least zero.
     #[must_use]
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
@@ -38,40 +38,40 @@
     }
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Payload {
-    /// Fills a position that an earlier owner left open.
+    /// Fills a position that an earlier owner left empty.
     Noop,
-    /// A record of an owner's.
+    /// A record appended by an owner.
     Record {
-        /// The epoch of the owner that made it; stays when a later owner has it accepted again.
+        /// The epoch of the owner that appended it, unchanged when a later owner has it accepted again.
         origin: Epoch,
-        /// Its bytes.
+        /// The bytes of the record.
         bytes: Vec<u8>,
     },
-    /// The members that follow: once it is decided, the next generation is this set and no other.
+    /// The next replica set. Once the entry is decided, no other set can become the next generation.
     NextSet {
-        /// The epoch of the owner that made it; stays when a later owner has it accepted again.
+        /// The epoch of the owner that appended it, unchanged when a later owner has it accepted again.
         origin: Epoch,
-        /// The next generation.
+        /// The set of the next generation.
         set: ReplicaSet,
     },
-    /// A part of a snapshot, which stands for all entries before its first part.
+    /// A part of a snapshot, which replaces all entries before its first part.
     SnapshotPart {
-        /// The epoch of the owner that made it; stays when a later owner has it accepted again.
+        /// The epoch of the owner that appended it, unchanged when a later owner has it accepted again.
         origin: Epoch,
-        /// Which part this is; the first is 0.
+        /// The number of this part, from 0.
         number: u32,
-        /// How many parts there are.
+        /// The total number of parts.
         count: u32,
-        /// Its bytes.
+        /// The bytes of this part.
         bytes: Vec<u8>,
     },
 }
 
 impl Payload {
-    /// Bytes of the body.
+    /// Returns the length of the body in bytes.
     pub const fn len(&self) -> usize {
         match self {
             Self::Noop | Self::NextSet { .. } => 0,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The epoch of the owner that made it; `None` for a filled gap.
+    /// Returns the epoch of the owner that appended it, `None` for [`Payload::Noop`].
     pub const fn origin(&self) -> Option<Epoch> {
         match self {
             Self::Noop => None,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether there is no body.
+    /// Returns whether the body is empty.
     pub const fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -100,16 +100,16 @@
 pub struct Entry {
     /// The epoch under which it was accepted.
     pub epoch: Epoch,
-    /// What it holds.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// Bytes that an entry takes in a message or on disk besides its body, rounded up. Chosen, not measured:
-/// limits of messages and disks count it, so too little fills a disk before the limit is met.
+/// Bytes that an entry takes in a message or on disk besides its body, rounded up. Limits on message size and
+/// disk use include it.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
-    /// Bytes that the entry counts for against limits of messages and disks.
+    /// Returns the bytes that count against the limits on message size and disk use.
     pub const fn cost(&self) -> usize {
         self.payload.len() + ENTRY_OVERHEAD_BYTES
     }
--- a/crates/core/src/replication/fault_tolerance.rs
+++ b/crates/core/src/replication/fault_tolerance.rs
@@ -1,8 +1,7 @@
-//! What losses a replica set tolerates: how many disks, zones or regions may be lost while the others still
-//! decide.
+//! Fault tolerance of a replica set: how many disks, zones or regions may be lost while a majority remains.
 //!
-//! Computed from the members and the regions of their zones alone; [`placement`](super::placement) chooses
-//! members by it.
+//! Computed from the members and the regions of their zones only. [`placement`](super::placement) uses it to
+//! choose members.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,10 +11,10 @@
 use crate::identity::RegionName;
 use crate::ingress::places::ZoneMap;
 
-/// The losses that a replica set should tolerate, each by itself.
+/// The losses that a replica set should tolerate, each on its own.
 ///
-/// Invariant: where a set tolerates them, that many members may lose their disks at once, or so many zones or
-/// regions, and the members that are left are a majority, which holds each decided entry.
+/// Invariant: if a set meets the target, then after the loss of that many disks, zones or regions at once,
+/// the remaining members are a majority, so they include a copy of every decided entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToleranceTarget {
     disks: usize,
@@ -24,43 +23,43 @@
 }
 
 impl ToleranceTarget {
-    /// The smallest set that tolerates the loss of this many disks at once.
+    /// Creates a target that tolerates the loss of this many disks at once.
     pub const fn tolerating(disks: usize) -> Self {
         Self { disks, zones: 0, regions: 0 }
     }
 
-    /// The same set, which should also tolerate the loss of this many zones.
+    /// Sets how many zones may be lost.
     #[must_use]
     pub const fn with_zones(self, zones: usize) -> Self {
         Self { zones, ..self }
     }
 
-    /// The same set, which should also tolerate the loss of this many regions.
+    /// Sets how many regions may be lost.
     #[must_use]
     pub const fn with_regions(self, regions: usize) -> Self {
         Self { regions, ..self }
     }
 
-    /// Members that the loss of disks asks for; zones and regions may ask for more.
+    /// Returns the number of members required by the loss of disks. Zones and regions may require more.
     pub const fn members(self) -> usize {
         2 * self.disks + 1
     }
 
-    /// Members that decide together in a set of so many as the loss of disks asks for. Where fewer stores
-    /// stand, the majority of a set follows from its own members.
+    /// Returns the majority of a set of [`members`](Self::members) members. A set of another size has another
+    /// majority.
     pub const fn majority(self) -> usize {
         self.disks + 1
     }
 
-    /// The fewest members of a set that is made where fewer stores stand than are wanted: with one more than
-    /// the disks that may be lost, a copy of what all members hold outlives the loss.
+    /// Returns the minimum size of a new set when there are fewer stores than the target requires. With one
+    /// member more than the disks that may be lost, one copy of what all members hold survives the loss.
     pub const fn minimum_members(self) -> usize {
         self.disks + 1
     }
 }
 
 impl Default for ToleranceTarget {
-    /// Three members, of which one may be lost.
+    /// Returns the target of three members, of which one may be lost.
     fn default() -> Self {
         Self::tolerating(1)
     }
@@ -72,45 +71,45 @@
     }
 }
 
-/// Why a set tolerates less than it should.
+/// The error of a set that does not meet its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "its {members} members tolerate the loss of {tolerance}, and {wanted} are wanted; start stores in other zones or \
      regions, or lower store.tolerated_losses, store.tolerated_zones or store.tolerated_regions"
 )]
 pub struct Shortfall {
-    /// How many members it has.
+    /// The number of members.
     pub members: usize,
-    /// What it tolerates.
+    /// The losses that the set tolerates.
     pub tolerance: FaultTolerance,
-    /// What it should tolerate.
+    /// The losses that the set should tolerate.
     pub wanted: ToleranceTarget,
 }
 
-/// What a set tolerates, each loss by itself.
+/// The losses that a set tolerates, each on its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Disks, or machines.
+    /// Number of disks or machines.
     pub disks: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
 }
 
 impl FaultTolerance {
-    /// What these members tolerate.
+    /// Computes the tolerance of these members.
     pub fn of(members: &[SetMember], places: &ZoneMap) -> Self {
         let spread = MemberSpread::of(members, places);
         let spare = spread.spare();
         Self {
             disks: spare,
-            zones: groups_within(&spread.in_zones, spare),
-            regions: groups_within(&spread.in_regions, spare),
+            zones: tolerated_groups(&spread.zone_sizes, spare),
+            regions: tolerated_groups(&spread.region_sizes, spare),
         }
     }
 
-    /// Whether every loss that is asked for is tolerated.
+    /// Returns whether the tolerance meets the target.
     pub const fn covers(self, target: ToleranceTarget) -> bool {
         self.disks >= target.disks && self.zones >= target.zones && self.regions >= target.regions
     }
@@ -122,17 +121,17 @@
     }
 }
 
-/// How members are spread over zones and regions.
+/// The distribution of members over zones and regions.
 pub(super) struct MemberSpread {
     members: usize,
-    /// Members in each zone, the most first.
-    in_zones: Vec<usize>,
-    /// Members in each region, the most first.
-    in_regions: Vec<usize>,
+    /// The number of members in each zone, in descending order.
+    zone_sizes: Vec<usize>,
+    /// The number of members in each region, in descending order.
+    region_sizes: Vec<usize>,
 }
 
 impl MemberSpread {
-    /// The spread of these members. Zones that the map does not name count as one region.
+    /// Computes the distribution of these members. All zones without a known region count as one region.
     pub(super) fn of(members: &[SetMember], places: &ZoneMap) -> Self {
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         let mut regions: BTreeMap<Option<&RegionName>, usize> = BTreeMap::new();
@@ -143,39 +142,40 @@
         }
         Self {
             members: members.len(),
-            in_zones: most_first(zones.into_values()),
-            in_regions: most_first(regions.into_values()),
+            zone_sizes: sorted_descending(zones.into_values()),
+            region_sizes: sorted_descending(regions.into_values()),
         }
     }
 
-    /// How many members more than may be lost would go with the greatest zones or regions that should be
-    /// tolerated; 0 where all of these are.
+    /// Returns how many members too many are lost with the largest zones or regions whose loss the target
+    /// requires to be tolerated; 0 if the target for zones and regions is met.
     pub(super) fn excess(&self, target: ToleranceTarget) -> usize {
-        let beyond = |groups: &[usize], lost: usize| {
+        let excess_of = |groups: &[usize], lost: usize| {
             groups.iter().take(lost).sum::<usize>().saturating_sub(self.spare())
         };
-        beyond(&self.in_zones, target.zones) + beyond(&self.in_regions, target.regions)
+        excess_of(&self.zone_sizes, target.zones) + excess_of(&self.region_sizes, target.regions)
     }
 
-    /// Whether a majority stands in one region.
+    /// Returns whether one region has a majority of the members.
     pub(super) fn has_regional_majority(&self) -> bool {
-        self.in_regions.first().is_some_and(|most| *most >= majority(self.members))
+        self.region_sizes.first().is_some_and(|most| *most >= majority(self.members))
     }
 
-    /// Members that may be lost.
+    /// Returns the number of members that may be lost.
     const fn spare(&self) -> usize {
         self.members.saturating_sub(majority(self.members))
     }
 }
 
-fn most_first(counts: impl Iterator<Item = usize>) -> Vec<usize> {
+fn sorted_descending(counts: impl Iterator<Item = usize>) -> Vec<usize> {
     let mut counts: Vec<usize> = counts.collect();
     counts.sort_unstable_by(|left, right| right.cmp(left));
     counts
 }
 
-/// How many of the greatest groups hold no more than `spare` members together.
-fn groups_within(groups: &[usize], spare: usize) -> usize {
+/// Returns how many of the largest groups have at most `spare` members together. `groups` is in descending
+/// order.
+fn tolerated_groups(groups: &[usize], spare: usize) -> usize {
     let mut lost = 0;
     let is_tolerated = |count: &&usize| {
         lost += **count;
--- a/crates/core/src/replication/group.rs
+++ b/crates/core/src/replication/group.rs
@@ -1,6 +1,6 @@
-//! What a store keeps about its part in a shard's replica set.
+//! A store's persistent state as a member of a shard's replica set.
 //!
-//! Stored as it stands: the order of fields and variants must not change.
+//! These types are stored in binary form, so the order of fields and variants must not change.
 
 use speedy::{Readable, Writable};
 
@@ -9,50 +9,51 @@
 use super::message::TransferId;
 use super::replica_set::{ReplicaSet, StoreId};
 
-/// A store's part in one shard. Written in the same transaction as the entries and claims it speaks of.
+/// A store's record of one shard, written in the same transaction as the entries and claims it refers to.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct GroupRecord {
     /// The replica set that the state belongs to.
     pub set: ReplicaSet,
-    /// Whether the store takes part in it.
+    /// Whether the store is active in it.
     pub phase: GroupPhase,
-    /// What is promised, decided and forgotten.
+    /// What is promised, decided and removed.
     pub position: LogPosition,
-    /// The run of positions accepted under the promised ballot.
-    pub run: AcceptedRange,
-    /// Copyings into the next generation that are under way.
+    /// The positions accepted under the promised ballot.
+    pub accepted: AcceptedRange,
+    /// Transfers of state into the next generation that are in progress.
     pub copying: Vec<CopyProgress>,
 }
 
-/// Whether a store takes part in its replica set.
+/// Whether a store is active in its replica set.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum GroupPhase {
-    /// It promises, accepts and votes.
+    /// The store promises, accepts and votes.
     Active,
-    /// It has stopped for good in this generation; the next one is named.
+    /// The store has permanently stopped in this generation.
     Sealed {
         /// The next generation.
         next: ReplicaSet,
     },
-    /// It is new to the shard and does not have its state yet.
+    /// The store is new to the replica set and does not have its state yet.
     Joining,
 }
 
-/// Marks in a shard's log and claims, apart from the entries and claims themselves.
+/// A replica's position in a shard's log and claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct LogPosition {
-    /// The highest ballot promised. Never goes back.
+    /// The highest promised ballot. Never decreases.
     pub promised: Ballot,
-    /// Positions before this one were dropped: a decided snapshot covers them. Zero and one mean the same.
+    /// Positions before this one are covered by a decided snapshot and were removed. Zero and one are
+    /// equivalent.
     pub base: LogIndex,
-    /// Every position from `base` to this one is here with its decided entry.
+    /// Every position from `base` to this one is stored here with its decided entry.
     pub decided_through: LogIndex,
-    /// Claims issued before this time, in milliseconds since the Unix epoch, may have been forgotten.
+    /// Claims issued before this time, in milliseconds since the Unix epoch, may have been removed.
     pub claims_removed_before_unix_ms: u64,
 }
 
 impl LogPosition {
-    /// The later of each mark.
+    /// Returns the maximum of each field of the two positions.
     #[must_use]
     pub fn merged(self, other: Self) -> Self {
         let promised =
@@ -66,47 +67,47 @@
         }
     }
 
-    /// The first position that has not been dropped.
+    /// Returns the first position that has not been removed.
     pub fn first(&self) -> LogIndex {
         self.base.max(LogIndex::FIRST)
     }
 }
 
-/// Positions in a row that were accepted under the promised ballot: what the owner calls decided among them is
-/// decided with the entries that are here.
+/// Consecutive positions that were accepted under the promised ballot. When the owner reports one of them as
+/// decided, the stored entry is the decided one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct AcceptedRange {
-    /// The first.
+    /// The first position.
     pub from: LogIndex,
-    /// The last; less than `from` where there is none.
+    /// The last position, less than `from` if the range is empty.
     pub through: LogIndex,
 }
 
-/// How much of the sealed replicas' state has arrived.
+/// The progress of one transfer of state from sealed replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CopyProgress {
-    /// The copying under way.
+    /// The transfer.
     pub transfer: TransferId,
-    /// Pages from each sealed replica.
+    /// The pages received from each sealed replica.
     pub sources: Vec<SourceProgress>,
 }
 
-/// Pages that arrived from one sealed replica.
+/// The pages received from one sealed replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct SourceProgress {
     /// The sealed replica.
     pub store: StoreId,
-    /// The number of the next page.
+    /// The number of the next page to receive.
     pub next: u64,
 }
 
 impl GroupRecord {
-    /// A member of the first generation, with nothing in it.
+    /// Creates the record of an empty member of the first generation.
     pub fn first(set: ReplicaSet) -> Self {
         Self::new(set, GroupPhase::Active)
     }
 
-    /// A new member of a later generation, which waits for its state.
+    /// Creates the record of a new member of a later generation, which does not have the state yet.
     pub fn joining(set: ReplicaSet) -> Self {
         Self::new(set, GroupPhase::Joining)
     }
@@ -116,7 +117,7 @@
             set,
             phase,
             position: LogPosition::default(),
-            run: AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO },
+            accepted: AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO },
             copying: Vec::new(),
         }
     }
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -1,63 +1,63 @@
-//! From entries to what an owner recovers, and from a snapshot to entries.
+//! Assembles a log from its entries, and splits a snapshot into entries.
 //!
-//! Leaves out what a later owner overtook, and joins the parts of a snapshot; relies on entries in order
-//! without a gap.
+//! Assembling joins the parts of a snapshot and skips records of superseded owners. It expects consecutive
+//! entries in order.
 
 use super::entry::{LogIndex, Payload};
 use super::replica_set::ReplicaSet;
 use crate::identity::Epoch;
 
-/// What an owner finds when it takes a shard over.
+/// The log that an owner recovers when it takes a shard over.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// The last snapshot, which stands for all records before `records`.
+    /// The last snapshot, which replaces all records before `records`.
     pub snapshot: Option<Vec<u8>>,
-    /// Records after the snapshot, in order. Each may have been acknowledged; none that was is missing.
+    /// Records after the snapshot, in order. Contains every acknowledged record and may contain others.
     pub records: Vec<Vec<u8>>,
-    /// The last set that an owner chose to follow; it is in force already where its generation is not a later
-    /// one.
+    /// The last replica set that an owner appended. The set is in use already if its generation is not later
+    /// than the current one.
     pub next_set: Option<ReplicaSet>,
     /// The epoch of the last owner that appended.
     pub latest_origin: Epoch,
 }
 
 impl RecoveredLog {
-    /// Bytes of the snapshot and the records.
+    /// Returns the size of the snapshot and the records in bytes.
     pub fn bytes(&self) -> usize {
         let records: usize = self.records.iter().map(Vec::len).sum();
         records + self.snapshot.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// What an owner knows already of a log that it takes over.
+/// The prefix of a log that an owner knows before it takes the log over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownLog {
     /// All positions up to this one are decided and known.
     pub through: LogIndex,
-    /// The epoch of the last owner that appended one of them.
+    /// The epoch of the last owner that appended an entry of the prefix.
     pub latest_origin: Epoch,
 }
 
-/// What one more entry adds to a log.
+/// The result of adding one entry to a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LogAddition {
-    /// Nothing yet, or nothing at all.
+    /// No complete item: a no-op, a skipped record or a part of an incomplete snapshot.
     Nothing,
     /// A record.
     Record(Vec<u8>),
-    /// A snapshot, which stands for all records before it.
+    /// A complete snapshot, which replaces all records before it.
     Snapshot(Vec<u8>),
-    /// The set that follows.
+    /// The next replica set.
     NextSet(ReplicaSet),
 }
 
-/// Puts a log together from its entries in order. A snapshot of which a part is missing counts for nothing:
-/// its owner was superseded while writing it, and nothing was dropped for it.
+/// Assembles a log from consecutive entries. A snapshot with a missing part is ignored: its owner was
+/// superseded while writing it, and no entry was removed for it.
 ///
-/// A position can come to hold what an owner left at a minority, after positions of a later owner that knew
-/// nothing of it. Such a record was never acknowledged: had it been decided, the later owner would have found
-/// it, and its own records would lie behind it. With `skip_superseded` it is left out, so that no record
-/// follows one of a later owner.
+/// A record that an owner wrote to a minority can be accepted again later, at a position after records of a
+/// later owner that did not know of it. Such a record was never acknowledged: if it had been decided, the
+/// later owner would have found it and appended its own records after it. `skip_superseded` skips these
+/// records, so that no record follows one of a later owner.
 #[derive(Debug)]
 pub(crate) struct LogAssembler {
     parts: PartialSnapshot,
@@ -66,17 +66,17 @@
 }
 
 impl LogAssembler {
-    /// Begins after entries of which the last was made under `latest_origin`.
+    /// Creates an assembler for the entries after those that owners up to epoch `latest_origin` appended.
     pub fn new(latest_origin: Epoch, skip_superseded: bool) -> Self {
         Self { parts: PartialSnapshot::default(), latest_origin, skip_superseded }
     }
 
-    /// The epoch of the last owner that appended.
+    /// Returns the epoch of the last owner that appended.
     pub const fn latest_origin(&self) -> Epoch {
         self.latest_origin
     }
 
-    /// Takes the next entry.
+    /// Adds the next entry.
     pub fn push(&mut self, payload: Payload) -> LogAddition {
         let origin = payload.origin().unwrap_or(self.latest_origin);
         if self.skip_superseded && origin < self.latest_origin {
@@ -98,7 +98,7 @@
     }
 }
 
-/// What the entries after what is known amount to.
+/// Assembles the log from the entries after the known prefix.
 pub fn assemble(
     payloads: impl IntoIterator<Item = Payload>,
     known: KnownLog,
@@ -121,7 +121,7 @@
     recovered
 }
 
-/// Cuts a snapshot into parts of at most `part_bytes`; an empty snapshot is one empty part.
+/// Splits a snapshot into parts of at most `part_bytes` bytes. An empty snapshot is one empty part.
 pub fn split_snapshot(snapshot: &[u8], part_bytes: usize, origin: Epoch) -> Vec<Payload> {
     if snapshot.is_empty() {
         return vec![Payload::SnapshotPart { origin, number: 0, count: 1, bytes: Vec::new() }];
@@ -138,7 +138,7 @@
     numbered.map(part).collect()
 }
 
-/// Parts of a snapshot read so far, without a gap.
+/// The consecutive parts of a snapshot that were read so far.
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     next: u32,
@@ -151,7 +151,7 @@
         self.bytes.clear();
     }
 
-    /// Adds a part; gives the snapshot once it is whole.
+    /// Adds a part. Returns the snapshot once it is complete.
     fn add(&mut self, number: u32, count: u32, bytes: &[u8]) -> Option<Vec<u8>> {
         if number == 0 {
             self.discard();
--- a/crates/core/src/replication/member_progress.rs
+++ b/crates/core/src/replication/member_progress.rs
@@ -1,21 +1,19 @@
-//! What a proposer knows of one replica.
-//!
-//! Owns when the replica is asked again, its promise, and how far it has accepted; the proposer decides by it.
+//! A proposer's view of one replica: its promise, its accepted entries, and when to resend a request.
 
 use super::entry::LogIndex;
 use super::group::LogPosition;
 use crate::time::Timestamp;
 
-/// What a replica had when it promised.
+/// The state of a replica when it promised the ballot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Promise {
-    /// Its marks.
+    /// Its log position.
     pub(super) position: LogPosition,
     /// Its last position with an entry.
     pub(super) last: LogIndex,
 }
 
-/// One replica as the proposer sees it. At most one request to it is on the way.
+/// A proposer's view of one replica, which has at most one outstanding request.
 #[derive(Debug, Default)]
 pub(super) struct MemberProgress {
     promise: Option<Promise>,
@@ -25,12 +23,12 @@
     retry_at: Option<Timestamp>,
     must_begin: bool,
     answered: bool,
-    /// How often it said that it takes no part in the set.
-    not_installed: u32,
+    /// How often it responded that it is not installed in the set.
+    not_installed_count: u32,
 }
 
 impl MemberProgress {
-    /// The same replica as a member of the next set, in which nothing was asked of it yet.
+    /// Returns the state of the same replica as a member of the next set, before any request in that set.
     pub(super) fn in_next_set(&self) -> Self {
         Self { base: self.base, free_bytes: self.free_bytes, ..Self::default() }
     }
@@ -43,16 +41,16 @@
         self.retry_at
     }
 
-    pub(super) fn sent(&mut self, retry_at: Timestamp) {
+    pub(super) fn mark_sent(&mut self, retry_at: Timestamp) {
         self.retry_at = Some(retry_at);
     }
 
-    pub(super) fn answered(&mut self) {
+    pub(super) fn mark_answered(&mut self) {
         self.answered = true;
         self.retry_at = None;
     }
 
-    pub(super) fn idle(&mut self) {
+    pub(super) fn clear_retry(&mut self) {
         self.retry_at = None;
     }
 
@@ -64,35 +62,35 @@
         self.must_begin
     }
 
-    pub(super) fn begun(&mut self) {
+    pub(super) fn mark_begun(&mut self) {
         self.must_begin = false;
         self.retry_at = None;
     }
 
-    pub(super) fn not_installed(&mut self, retry_at: Timestamp) {
-        // The first time it may begin at once; a member that still is not installed is asked again later.
+    pub(super) fn mark_not_installed(&mut self, retry_at: Timestamp) {
+        // After the first refusal the member may begin at once; after a repeated one it is retried later.
         self.retry_at = self.must_begin.then_some(retry_at);
         self.must_begin = true;
-        self.not_installed += 1;
+        self.not_installed_count += 1;
     }
 
-    pub(super) fn abstains(&mut self, retry_at: Timestamp) {
+    pub(super) fn defer(&mut self, retry_at: Timestamp) {
         self.retry_at = Some(retry_at);
     }
 
-    /// Whether it still took no part in the set after a pause: it is asked twice before that.
-    pub(super) fn was_asked_to_join_again(&self) -> bool {
-        self.not_installed > 2
+    /// Returns whether it was still not installed after a pause. Two requests are sent before the pause.
+    pub(super) fn is_still_not_installed(&self) -> bool {
+        self.not_installed_count > 2
     }
 
-    pub(super) fn forget_answers(&mut self) {
+    pub(super) fn reset_promise(&mut self) {
         self.promise = None;
         self.answered = false;
         self.retry_at = None;
     }
 
-    pub(super) fn promised(&mut self, position: LogPosition, last: LogIndex, free_bytes: u64) {
-        self.answered();
+    pub(super) fn record_promise(&mut self, position: LogPosition, last: LogIndex, free_bytes: u64) {
+        self.mark_answered();
         self.base = position.base;
         self.free_bytes = free_bytes;
         self.promise = Some(Promise { position, last });
@@ -106,17 +104,17 @@
         self.promise.as_ref()
     }
 
-    pub(super) fn start_from(&mut self, decided_through: LogIndex) {
+    pub(super) fn set_accepted_through(&mut self, decided_through: LogIndex) {
         self.accepted_through = decided_through;
     }
 
-    /// Every position of the proposer's window up to this one is on the replica's disk.
+    /// Returns the last position up to which all entries of the proposer's window are on the replica's disk.
     pub(super) fn accepted_through(&self) -> LogIndex {
         self.accepted_through
     }
 
-    pub(super) fn accepted(&mut self, through: LogIndex, base: LogIndex, free_bytes: u64) {
-        self.answered();
+    pub(super) fn record_accept(&mut self, through: LogIndex, base: LogIndex, free_bytes: u64) {
+        self.mark_answered();
         self.accepted_through = self.accepted_through.max(through);
         self.base = self.base.max(base);
         self.free_bytes = free_bytes;
--- a/crates/core/src/replication/memory_storage.rs
+++ b/crates/core/src/replication/memory_storage.rs
@@ -1,6 +1,6 @@
-//! A store's disk in memory, for simulations: what was synced survives a crash, the rest does not.
+//! In-memory [`ShardStorage`] for simulations, without a size limit.
 //!
-//! Implements the same contract as the file of a store, without its limits.
+//! Synced writes survive a simulated crash; other writes are lost.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -12,7 +12,7 @@
 use super::storage::{PageBudget, ShardStorage};
 use crate::identity::{RequestId, ShardId};
 
-/// Room on the disk: far more than a simulation writes.
+/// Reported free space, far more than a simulation writes.
 const CAPACITY_BYTES: u64 = 1 << 40;
 
 /// The tables of a disk.
@@ -23,7 +23,7 @@
     claims: BTreeMap<ShardId, BTreeMap<RequestId, ClaimRecord>>,
 }
 
-/// A disk with a write cache.
+/// A simulated disk with a write cache.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
     cached: Tables,
@@ -36,12 +36,12 @@
         self.synced = self.cached.clone();
     }
 
-    /// What a crash leaves.
+    /// Returns the state after a crash: the synced writes.
     pub fn after_crash(&self) -> Self {
         Self { cached: self.synced.clone(), synced: self.synced.clone() }
     }
 
-    /// The store's part in each of its shards.
+    /// Returns the store's record of each of its shards.
     pub fn groups(&self) -> impl Iterator<Item = &GroupRecord> {
         self.cached.groups.values()
     }
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -1,6 +1,7 @@
-//! What proposers, claimants and reconfigurers ask of a store replica, and what it answers.
+//! Requests of proposers, claimants and reconfigurers to a store replica, and its responses.
 //!
-//! Answers name what they answer, so they can be matched when they come late, twice or out of order.
+//! A response repeats the parameters of its request, so that the sender can match responses that are late,
+//! duplicated or out of order.
 
 use speedy::{Readable, Writable};
 
@@ -16,88 +17,90 @@
 pub struct ReplicaRequest {
     /// The shard.
     pub shard: ShardId,
-    /// The replica set as the sender knows it.
+    /// The generation of the replica set that the sender uses.
     pub generation: Generation,
-    /// The store that is meant: another store at the same address refuses.
+    /// The store that the request is for. Another store at the same address refuses it.
     pub store: StoreId,
-    /// What is asked.
+    /// The operation to perform.
     pub operation: Operation,
 }
 
-/// What is asked of a replica.
+/// An operation on a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Operation {
-    /// Begins to take part in a replica set of the first generation, or of one that a majority takes part in.
+    /// Makes the store an active member of a replica set that is of the first generation or active at a
+    /// majority.
     Begin(ReplicaSet),
-    /// Phase 1 of Paxos: promise to refuse lower ballots.
+    /// Phase 1 of Paxos: promises to refuse lower ballots.
     Prepare(Ballot),
-    /// Reads entries from `from` on. Only the promised ballot may, since later appends would tear the result.
+    /// Reads entries from `from` on. Only the promised ballot may read, since appends under a later ballot
+    /// could change entries between two pages.
     Read(Read),
-    /// Phase 2 of Paxos for several positions in a row.
+    /// Phase 2 of Paxos for several consecutive positions.
     Accept(Accept),
     /// Votes on a claim.
     Claim(ClaimRequest),
-    /// Reads entries that are known to be decided, to fill gaps of another replica.
+    /// Reads entries that are known to be decided, to repair another replica.
     ReadDecided(LogIndex),
-    /// Stops taking part in this generation for good; `ReplicaSet` is the next generation.
+    /// Permanently stops the replica in this generation. `ReplicaSet` is the next generation.
     Seal(ReplicaSet),
-    /// Reads a page of a replica's state. Only sealed replicas and installed members of the next generation are
-    /// asked.
+    /// Reads a page of a replica's state. Sent only to sealed replicas and to installed members of the next
+    /// generation.
     ReadState(PagePosition),
-    /// Stores a page of another replica's state at a member of the next generation.
+    /// Stores a page of another replica's state on a member of the next generation.
     Copy(CopyPage),
-    /// Makes a member of the next generation take part, once it has all pages.
+    /// Activates a member of the next generation once it has all pages.
     Install(Install),
 }
 
-/// Reads log entries.
+/// Parameters of [`Operation::Read`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Read {
     /// The reader's ballot.
     pub ballot: Ballot,
-    /// The first position wanted.
+    /// The first position to read.
     pub from: LogIndex,
 }
 
-/// Appends log entries.
+/// Parameters of [`Operation::Accept`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Accept {
     /// The owner's ballot.
     pub ballot: Ballot,
     /// The position of the first entry.
     pub from: LogIndex,
-    /// The entries, in order without a gap; may be empty.
+    /// The contents of consecutive entries; may be empty.
     pub payloads: Vec<Payload>,
     /// All positions up to this one are decided.
     pub decided_through: LogIndex,
-    /// All positions before this one are covered by a decided snapshot and may be dropped.
+    /// All positions before this one are covered by a decided snapshot and may be removed.
     pub truncate_before: LogIndex,
 }
 
 impl Accept {
-    /// The position of the last entry, the one before `from` where there is none.
+    /// Returns the position of the last entry, or the position before `from` if there are no entries.
     pub fn through(&self) -> LogIndex {
         LogIndex(self.from.0.saturating_add(self.payloads.len() as u64)).previous()
     }
 }
 
-/// Asks for a claim.
+/// Asks for the claim on a request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimRequest {
     /// The request that may run at most once.
     pub request: RequestId,
-    /// Milliseconds since the Unix epoch when the caller first issued this id.
+    /// When the caller first issued this id, in milliseconds since the Unix epoch.
     pub issued_at_unix_ms: u64,
-    /// The attempt that wants to run it.
+    /// The attempt to run it.
     pub attempt: AttemptId,
 }
 
-/// Where a page of a replica's state begins.
+/// The start of a page of a replica's state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum PagePosition {
     /// Log entries from this position on.
     Entries(LogIndex),
-    /// Claims after this request id; the first page where absent.
+    /// Claims after this request id; `None` for the first page of claims.
     Claims(Option<RequestId>),
 }
 
@@ -109,17 +112,17 @@
 /// A page of a replica's state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StatePage {
-    /// The replica's marks.
+    /// The replica's log position.
     pub position: LogPosition,
-    /// Log entries with the epochs under which they were accepted.
+    /// Log entries, each with the epoch under which it was accepted.
     pub entries: Vec<IndexedEntry>,
-    /// Claims.
+    /// Claims, in the order of request ids.
     pub claims: Vec<ClaimedRequest>,
-    /// Where the next page begins; absent after the last one.
+    /// The start of the next page, `None` after the last one.
     pub next: Option<PagePosition>,
 }
 
-/// A claim and the request it is on.
+/// A request and the claim on it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimedRequest {
     /// The request.
@@ -128,108 +131,110 @@
     pub record: ClaimRecord,
 }
 
-/// Names one reconfigurer's copying, so that pages of two can't be taken for one.
+/// Identifies one transfer of state by a reconfigurer, so that pages of two transfers are not mixed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct TransferId(pub String);
 
 impl TransferId {
-    /// The id of one pass of this copying. What an earlier pass brought is no page of a later one, whose sources may differ.
+    /// Returns the id of one pass of this transfer. Pages of an earlier pass do not count for a later one,
+    /// since the sources may differ.
     #[must_use]
     pub fn pass(&self, number: u64) -> Self {
         Self(format!("{}/{number}", self.0))
     }
 
-    /// Whether this is a pass of `whole`.
+    /// Returns whether this is a pass of the transfer `whole`.
     pub(crate) fn is_pass_of(&self, whole: &Self) -> bool {
         self.0.rsplit_once('/').is_some_and(|(copying, _)| copying == whole.0)
     }
 }
 
-/// A page for a member of the next generation.
+/// Parameters of [`Operation::Copy`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CopyPage {
     /// The next generation.
     pub set: ReplicaSet,
-    /// The copying it belongs to.
+    /// The transfer that it belongs to.
     pub transfer: TransferId,
-    /// The replica it was read from.
+    /// The replica that it was read from.
     pub source: StoreId,
-    /// Its number among the pages of that source; the first is 0.
+    /// Its number among the pages of that source, from 0.
     pub number: u64,
     /// The page.
     pub page: StatePage,
 }
 
-/// Makes a member take part in the next generation.
+/// Parameters of [`Operation::Install`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Install {
     /// The next generation.
     pub set: ReplicaSet,
-    /// The copying that provided its state.
+    /// The transfer that provided the state.
     pub transfer: TransferId,
-    /// What was copied.
+    /// Why the copied state is complete.
     pub basis: InstallBasis,
-    /// Members of the set before: a majority of them must be among sealed sources.
+    /// The number of members of the previous set. Sealed sources must be a majority of them.
     pub old_members: u64,
-    /// How many pages came from each source.
+    /// The sources and the number of pages from each.
     pub sources: Vec<CopiedSource>,
-    /// The highest ballot, the latest positions and the claims' horizon among the sources.
+    /// The highest ballot and the latest positions and claim expiry time of the sources.
     pub position: LogPosition,
 }
 
-/// Why what was copied is all that was decided.
+/// Why the copied state contains everything that was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum InstallBasis {
-    /// The sources are a majority of the sealed set: any majority that decided something shares a member with it.
+    /// The sources are a majority of the sealed set, so they share a member with every majority that decided
+    /// an entry.
     SealedMajority,
-    /// The source takes part in the next generation, installed there or begun by its owner. What it knows to be decided
-    /// beyond its pages is not taken over from it.
+    /// The source is an active member of the next generation, either installed or begun by its owner. Its
+    /// `decided_through` is not copied, since it may be beyond the pages that were read.
     InstalledMember,
 }
 
-/// A replica that was copied.
+/// A replica whose state was copied.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CopiedSource {
     /// The replica.
     pub store: StoreId,
-    /// How many pages it gave.
+    /// The number of pages that were read from it.
     pub pages: u64,
 }
 
-/// An answer of one replica of one shard.
+/// A response of one replica of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaResponse {
     /// The shard.
     pub shard: ShardId,
-    /// The generation asked about.
+    /// The generation of the request.
     pub generation: Generation,
-    /// Who answers.
+    /// The store that responds.
     pub store: StoreId,
-    /// The answer.
+    /// The result of the operation.
     pub outcome: ReplicaAnswer,
 }
 
-/// What a replica answers.
+/// The result of an operation on a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ReplicaAnswer {
-    /// The replica takes part in the generation.
+    /// The replica is an active member of the generation.
     Begun,
-    /// The ballot is promised; this is what the replica has.
+    /// The ballot is promised.
     Promised {
         /// The promised ballot.
         ballot: Ballot,
-        /// What the replica has.
+        /// The replica's log position.
         position: LogPosition,
         /// The last position with an entry.
         last: LogIndex,
         /// Bytes left for records.
         free_bytes: u64,
     },
-    /// Entries from `from` to `through`; positions without one have no entry.
+    /// Entries from `from` to `through`. A position that is missing in `entries` has no entry.
     Entries {
         /// The reader's ballot.
         ballot: Ballot,
-        /// The first position asked for.
+        /// The first position requested.
         from: LogIndex,
         /// The last position covered.
         through: LogIndex,
@@ -244,7 +249,7 @@
         from: LogIndex,
         /// The last position accepted.
         through: LogIndex,
-        /// The replica's own start of the log.
+        /// The first position that the replica has not removed.
         base: LogIndex,
         /// Bytes left for records.
         free_bytes: u64,
@@ -253,67 +258,67 @@
     Voted {
         /// The request.
         request: RequestId,
-        /// The attempt that asked.
+        /// The attempt that made the claim.
         attempt: AttemptId,
         /// The vote.
         vote: ClaimVote,
     },
-    /// Decided entries, and how far the replica knows of decisions.
+    /// Decided entries.
     Decided {
-        /// The first position asked for.
+        /// The first position requested.
         from: LogIndex,
-        /// The entries, in order without a gap.
+        /// Consecutive entries.
         entries: Vec<IndexedEntry>,
-        /// The replica's own start of the log.
+        /// The first position that the replica has not removed.
         base: LogIndex,
-        /// The last position known to be decided.
+        /// The last position that the replica knows to be decided.
         decided_through: LogIndex,
     },
-    /// The replica takes no further part in the generation.
+    /// The replica is sealed: it has permanently stopped in the generation.
     Sealed {
         /// The next generation.
         next: ReplicaSet,
-        /// The replica's marks, which don't change any more.
+        /// The replica's final log position in the generation.
         position: LogPosition,
     },
     /// A page of the replica's state.
     StatePage {
-        /// Where it begins.
+        /// The start of the page.
         from: PagePosition,
         /// The page.
         page: StatePage,
     },
-    /// A page is on disk.
+    /// The page is on disk.
     Copied {
-        /// The copying it belongs to.
+        /// The transfer that it belongs to.
         transfer: TransferId,
-        /// The replica it came from.
+        /// The replica that it was read from.
         source: StoreId,
-        /// The number of the next page wanted from it.
+        /// The number of the next page expected from that source.
         next: u64,
     },
-    /// The member takes part in the next generation.
+    /// The member is active in the next generation.
     Installed(Generation),
-    /// Refused; nothing was changed.
+    /// The operation was refused and changed nothing.
     Refused(StoreRefusal),
 }
 
-/// Why a replica refused.
+/// Why a replica refused an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, thiserror::Error)]
 pub enum StoreRefusal {
-    /// The address now belongs to another store: its disk was replaced.
-    #[error("this is store {store}; replace the member of the replica set that is gone")]
+    /// Another store uses the address now, since its disk was replaced.
+    #[error("another store, {store}, uses this address; replace the lost member of the replica set")]
     WrongStore {
-        /// The store that answers.
+        /// The store that responds.
         store: StoreId,
     },
-    /// The store has no state for this generation and must not start from nothing.
-    #[error("the store holds nothing for this replica set; install the set's state first")]
+    /// The store has no state for this generation and must not start empty.
+    #[error("the store has no state for this replica set; install the set's state first")]
     NotInstalled,
     /// The sender's replica set is out of date.
-    #[error("generation {} is in force; use it", current.generation)]
+    #[error("the replica set is out of date; use generation {}", current.generation)]
     NewerGeneration {
-        /// The set in force at this replica.
+        /// The set that this replica uses.
         current: ReplicaSet,
     },
     /// This generation is being replaced.
@@ -322,16 +327,16 @@
         /// The next generation.
         next: ReplicaSet,
     },
-    /// Another proposer is ahead.
-    #[error("ballot {promised} is promised; take the shard over again under a higher epoch")]
+    /// A higher ballot is promised to another proposer.
+    #[error("the higher ballot {promised} is promised; take the shard over again under a higher epoch")]
     HigherBallot {
-        /// What was promised.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// The disk has no room; what it has is kept.
+    /// The disk has no room for more entries; existing entries are kept.
     #[error("the store's disk is full; free space under its data folder")]
     DiskFull,
-    /// The request makes no sense in this state, such as pages out of order.
+    /// The request is not valid in the replica's state, for example pages out of order.
     #[error("the request does not fit the replica's state; start the exchange again")]
     OutOfOrder,
     /// The shard's state on disk can't be read.
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,12 +1,13 @@
-//! Epochs, fencing, and logs and write-once claims kept by a majority of store replicas.
+//! Replicated logs and write-once claims, kept by a majority of store replicas and fenced by epochs.
 //!
-//! A shard's log is multi-decree Paxos (Lamport, "Paxos Made Simple", 2001) with a single proposer, the shard's
-//! owner: phase 1 raises the epoch at a majority ([`proposer`], [`acceptor`]), phase 2 appends. Claims
-//! ([`claims`]) are write-once registers by majority vote. The store replicas of a shard form a versioned
-//! [`replica_set`], changed one member at a time by a [`reconfigurer`].
+//! A shard's log is multi-decree Paxos (Lamport, "Paxos Made Simple", 2001) with a single proposer, the
+//! shard's owner: phase 1 raises the epoch at a majority ([`proposer`], [`acceptor`]), phase 2 appends. An
+//! entry is decided, that is, committed, once a majority has it on disk. Claims ([`claims`]) are write-once
+//! registers by majority vote. The store replicas of a shard form a versioned [`replica_set`], changed one
+//! member at a time by a [`reconfigurer`].
 //!
-//! One replica as an epoch register: it promises an epoch to one owner, and refuses an owner that was superseded,
-//! however late it wakes.
+//! The example uses one replica. It promises an epoch to one owner at a time and refuses the requests of an
+//! owner that was superseded, however late they arrive.
 //!
 //! ```
 //! use lichenpulley_core::identity::{Epoch, ShardId};
@@ -55,7 +56,7 @@
 //! assert!(matches!(ask(Operation::Prepare(ballot(1, "first"))), ReplicaAnswer::Promised { .. }));
 //! assert!(matches!(ask(Operation::Prepare(ballot(2, "second"))), ReplicaAnswer::Promised { .. }));
 //!
-//! // The first owner was paused, wakes, and still believes that it owns the shard.
+//! // A late request of the first owner, which does not know yet that it was superseded.
 //! let promised = ballot(2, "second");
 //! assert_eq!(ask(append(ballot(1, "first"))), ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised }));
 //! assert!(matches!(ask(append(ballot(2, "second"))), ReplicaAnswer::Accepted { .. }));
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -1,11 +1,10 @@
-//! Where a log's stores stand: the first replica set, who takes the place of a member, and how a set grows.
-//! The one place that decides it.
+//! Placement of a log's stores: choosing the first replica set, replacements of members, and additional
+//! members.
 //!
-//! Inputs: the stores that answer with their zones, the tolerated losses of the settings, the region of each
-//! zone and the home region. Counts are of members, zones and regions. Reason: as many disks, zones or
-//! regions as the settings name may be lost while a majority is left, and appends should not cross to another
-//! region (`docs/design/log-placement.md`). With three members a grown deployment that may lose two disks at
-//! once lost six jobs on one day, with five none: `2 f + 1` members tolerate `f` lost disks.
+//! Inputs are the available stores with their zones, the losses to tolerate, the region of each zone and the
+//! home region. The goal is that a majority remains after the configured loss of disks, zones or regions (`2
+//! f + 1` members tolerate `f` lost disks), and that appends stay within one region if possible
+//! (`docs/design/log-placement.md`).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,58 +17,58 @@
 use crate::identity::{NodeId, RegionName, ShardId, ZoneName};
 use crate::ingress::places::ZoneMap;
 
-/// Most members of a set: each one more costs a copy of every append. Chosen, not measured, as is the bound
-/// of the search; a set that would need more tolerates less than is wanted, which is reported.
+/// Maximum members of a set, since each stores a copy of every append. A target that needs more is not met,
+/// which is reported as a [`Shortfall`].
 const MAX_MEMBERS: usize = 13;
-/// The regions with the most stores that a first set is spread over; more would be weighed without an end.
-/// Chosen, not measured: the ways to share members out grow steeply with it, and with fewer some set that
-/// tolerates more is not found.
+/// Maximum regions considered for a first set, those with the most stores. Bounds the number of distributions
+/// that are compared.
 const MAX_REGIONS: usize = 6;
 
-/// Fewer stores than the smallest set that may be made.
+/// The error of having fewer stores than the smallest allowed set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{live} stores answer and {needed} are needed at least; start more nodes with the store role")]
+#[error("{live} stores are available and at least {needed} are needed; start more nodes with the store role")]
 pub struct TooFewStores {
-    /// How many answer.
+    /// The number of available stores.
     pub live: usize,
-    /// The fewest with which a set is made.
+    /// The minimum number of members of a set.
     pub needed: usize,
 }
 
-/// A step by which a set tolerates more.
+/// A change of one member by which a set tolerates more losses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Improvement {
-    /// The set grows by this store.
+    /// Adds this store.
     Grow(SetMember),
-    /// A member makes room for a store that stands better.
+    /// Replaces a member by a store that is placed better.
     Move {
-        /// The member.
+        /// The member to replace.
         leaving: SetMember,
-        /// Who takes its place.
+        /// The store that replaces it.
         joining: SetMember,
     },
 }
 
-/// By what stores are chosen.
+/// The rules by which stores are chosen.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPolicy {
-    /// What a set should tolerate.
+    /// The losses that a set should tolerate.
     pub target: ToleranceTarget,
-    /// Which region each zone lies in; where it is empty, all stores stand in one.
+    /// The region of each zone. If empty, all stores are in one region.
     pub places: ZoneMap,
-    /// The region in which members are preferred; where none is given, the one with the most stores.
+    /// The preferred region of members; by default the one with the most stores.
     pub home: Option<RegionName>,
 }
 
 impl PlacementPolicy {
-    /// The first replica set: the smallest that tolerates what it should, with as many members as can be in the home region,
-    /// evenly over zones, and the stores with the highest weights in each. Where no set does, the one that comes
-    /// nearest; where fewer stores answer than that takes, all of them.
+    /// Chooses the first replica set: the smallest set that meets the target, with as many members as
+    /// possible in the home region, spread evenly over zones, and with the highest-weighted stores of each
+    /// zone. If no set meets the target, the one that comes closest is chosen; if there are too few stores
+    /// for that, all of them.
     ///
     /// # Errors
-    /// Where fewer stores answer than the smallest set has members.
+    /// When there are fewer stores than the minimum size of a set.
     pub fn first_set(&self, shard: &ShardId, candidates: &[SetMember]) -> Result<ReplicaSet, TooFewStores> {
-        let members = self.choose(shard, candidates);
+        let members = self.choose_members(shard, candidates);
         let needed = self.target.minimum_members();
         if members.len() < needed {
             return Err(TooFewStores { live: members.len(), needed });
@@ -77,37 +76,36 @@
         Ok(ReplicaSet { shard: shard.clone(), generation: Generation::FIRST, members })
     }
 
-    /// How many members a set has that is made of these stores, be they members now or not.
+    /// Returns the number of members that a set chosen from these stores should have.
     pub(crate) fn wanted_members(&self, shard: &ShardId, stores: &[SetMember]) -> usize {
-        self.choose(shard, stores).len().max(self.target.members())
+        self.choose_members(shard, stores).len().max(self.target.members())
     }
 
-    /// What these members tolerate.
+    /// Returns the losses that these members tolerate.
     pub fn fault_tolerance(&self, members: &[SetMember]) -> FaultTolerance {
         FaultTolerance::of(members, &self.places)
     }
 
-    /// Whether these members tolerate what they should.
+    /// Checks that these members meet the target.
     ///
     /// # Errors
-    /// Where they tolerate less.
+    /// When they tolerate less.
     pub fn check(&self, members: &[SetMember]) -> Result<(), Shortfall> {
         let (tolerance, wanted) = (self.fault_tolerance(members), self.target);
         let shortfall = Shortfall { members: members.len(), tolerance, wanted };
         if tolerance.covers(wanted) { Ok(()) } else { Err(shortfall) }
     }
 
-    /// The best store to add to `members`: one that leaves the smallest excess over the losses to tolerate,
-    /// then one in the region where most members stand, in a zone that has fewest of them, with the highest
-    /// weight.
+    /// Returns the best store to add to `members`. The criteria, in order, are the smallest excess over the
+    /// target, the region with the most members, the zone with the fewest members, and the highest weight.
     pub fn best_addition(
         &self,
         shard: &ShardId,
         members: &[SetMember],
         candidates: &[SetMember],
     ) -> Option<SetMember> {
-        let home = self.home_of(members, candidates);
-        let eligible = candidates.iter().filter(|candidate| !stands_in(members, candidate));
+        let home = self.home_region(members, candidates);
+        let eligible = candidates.iter().filter(|candidate| !has_member(members, candidate));
         let best = eligible.max_by_key(|candidate| {
             let mut joined = members.to_vec();
             joined.push(SetMember::clone(candidate));
@@ -123,10 +121,10 @@
         best.cloned()
     }
 
-    /// The next step by which a set whose members all answer tolerates more: it grows while it is smaller
-    /// than these stores allow, then members move. Never shrinks a set.
+    /// Returns the next change by which a set whose members are all available tolerates more losses. The set
+    /// first grows to its wanted size, then members are replaced. A set never shrinks.
     pub fn improvement(&self, set: &ReplicaSet, candidates: &[SetMember]) -> Option<Improvement> {
-        let free = candidates.iter().filter(|candidate| !stands_in(&set.members, candidate));
+        let free = candidates.iter().filter(|candidate| !has_member(&set.members, candidate));
         let free: Vec<SetMember> = free.cloned().collect();
         let all: Vec<SetMember> = set.members.iter().chain(&free).cloned().collect();
         if set.members.len() < self.wanted_members(&set.shard, &all) {
@@ -155,8 +153,9 @@
         MemberSpread::of(members, &self.places).excess(self.target)
     }
 
-    /// The region with the most members; without members, the preferred one, or the one with the most stores.
-    fn home_of(&self, members: &[SetMember], candidates: &[SetMember]) -> Option<RegionName> {
+    /// Returns the region with the most members; without members, the preferred region or the one with the
+    /// most stores.
+    fn home_region(&self, members: &[SetMember], candidates: &[SetMember]) -> Option<RegionName> {
         let regions = self.regions(if members.is_empty() { candidates } else { members });
         if members.is_empty() && self.home.is_some() {
             return self.home.clone();
@@ -164,7 +163,8 @@
         regions.into_iter().next().and_then(|(region, _)| region.cloned())
     }
 
-    /// Regions with their stores: those with the most first, among equals the preferred one.
+    /// Groups stores by region, ordered by descending number of stores, with the preferred region first among
+    /// equals.
     fn regions<'a>(&'a self, stores: &[SetMember]) -> Vec<(Option<&'a RegionName>, Vec<SetMember>)> {
         let mut regions: BTreeMap<Option<&RegionName>, Vec<SetMember>> = BTreeMap::new();
         for store in stores {
@@ -175,19 +175,20 @@
         regions
     }
 
-    /// The members of the best set of these stores: fewer than wanted only where fewer stores stand.
-    fn choose(&self, shard: &ShardId, candidates: &[SetMember]) -> Vec<SetMember> {
-        let stores = one_for_each_node(shard, candidates);
+    /// Returns the members of the best set of these stores, fewer than the target requires only if there are
+    /// too few stores.
+    fn choose_members(&self, shard: &ShardId, candidates: &[SetMember]) -> Vec<SetMember> {
+        let stores = best_store_per_node(shard, candidates);
         let mut regions = self.regions(&stores);
         regions.truncate(MAX_REGIONS);
-        let held: Vec<Vec<SetMember>> =
-            regions.into_iter().map(|(_, stores)| in_order_of_choice(shard, &stores)).collect();
-        let most: usize = held.iter().map(Vec::len).sum();
-        let first = self.target.members().min(most);
-        let sizes = (first..=most.min(MAX_MEMBERS)).step_by(2);
+        let by_region: Vec<Vec<SetMember>> =
+            regions.into_iter().map(|(_, stores)| interleave_zones(shard, &stores)).collect();
+        let available: usize = by_region.iter().map(Vec::len).sum();
+        let first = self.target.members().min(available);
+        let sizes = (first..=available.min(MAX_MEMBERS)).step_by(2);
         let mut best: Option<(usize, Vec<SetMember>)> = None;
         for members in sizes {
-            let Some((excess, chosen)) = self.best_of_size(&held, members) else { continue };
+            let Some((excess, chosen)) = self.best_of_size(&by_region, members) else { continue };
             if best.as_ref().is_none_or(|(least, _)| excess < *least) {
                 best = Some((excess, chosen));
             }
@@ -198,57 +199,56 @@
         best.map(|(_, chosen)| chosen).unwrap_or_default()
     }
 
-    /// The best set of so many members, and by how much it misses what it should tolerate. Within a region,
-    /// stores taken evenly over its zones lose the fewest with any number of zones: only the share of each
-    /// region is to be found.
-    fn best_of_size(&self, held: &[Vec<SetMember>], members: usize) -> Option<(usize, Vec<SetMember>)> {
-        let capacities: Vec<usize> = held.iter().map(Vec::len).collect();
-        let sets = shares(&capacities, members).into_iter().map(|shares| {
-            let taken = held.iter().zip(shares).flat_map(|(stores, share)| &stores[..share]);
+    /// Returns the best set of a given size with its excess over the target. Within a region, choosing stores
+    /// evenly from its zones minimizes the loss with any number of zones, so only the number of members of
+    /// each region is searched.
+    fn best_of_size(&self, by_region: &[Vec<SetMember>], members: usize) -> Option<(usize, Vec<SetMember>)> {
+        let capacities: Vec<usize> = by_region.iter().map(Vec::len).collect();
+        let sets = distributions(&capacities, members).into_iter().map(|shares| {
+            let taken = by_region.iter().zip(shares).flat_map(|(stores, share)| &stores[..share]);
             let chosen: Vec<SetMember> = taken.cloned().collect();
             let spread = MemberSpread::of(&chosen, &self.places);
-            let outside = chosen.iter().filter(|member| self.is_away(&member.zone)).count();
+            let outside = chosen.iter().filter(|member| self.is_outside_home(&member.zone)).count();
             let cost = (spread.excess(self.target), !spread.has_regional_majority(), outside);
             (cost, spread.excess(self.target.with_zones(1)), chosen)
         });
-        // Among equals the first has the largest share in the region with the most stores.
-        let best = sets.min_by_key(|(cost, unasked, _)| (*cost, *unasked));
+        // Of equal sets, the first one has the most members in the region with the most stores.
+        let best = sets.min_by_key(|(cost, zone_excess, _)| (*cost, *zone_excess));
         best.map(|((excess, ..), _, chosen)| (excess, chosen))
     }
 
-    /// Whether a zone lies outside the preferred region.
-    fn is_away(&self, zone: &ZoneName) -> bool {
+    /// Returns whether a zone is outside the preferred region.
+    fn is_outside_home(&self, zone: &ZoneName) -> bool {
         self.home.is_some() && self.region(zone) != self.home.as_ref()
     }
 }
 
-/// The first replica set by the loss of disks alone, where all stores stand in one region. `None` where there
-/// are too few.
+/// Chooses the first replica set if all stores are in one region. Returns `None` if there are too few stores.
 pub fn first_set(shard: &ShardId, candidates: &[SetMember], size: ToleranceTarget) -> Option<ReplicaSet> {
     let policy = PlacementPolicy { target: size, ..PlacementPolicy::default() };
     policy.first_set(shard, candidates).ok()
 }
 
-/// The best store to add to `members` where all stores stand in one region: first one in a zone that has
-/// fewest of them, then the highest weight. So a set of five in three zones never has three members in one,
-/// and tolerates the loss of any.
+/// Returns the best store to add to `members` if all stores are in one region: one from the zone with the
+/// fewest members, with the highest weight. A set of five in three zones then has at most two members in a
+/// zone and tolerates the loss of any zone.
 pub fn best_addition(shard: &ShardId, members: &[SetMember], candidates: &[SetMember]) -> Option<SetMember> {
     PlacementPolicy::default().best_addition(shard, members, candidates)
 }
 
-/// The weight of a store for a shard, the same on every node (highest random weight hashing, Thaler and
-/// Ravishankar 1998).
+/// Returns the weight of a store for a shard, which is the same on every node (highest random weight hashing,
+/// Thaler and Ravishankar 1998).
 fn weight(shard: &ShardId, candidate: &SetMember) -> u64 {
     xxh3_64(format!("{shard}\n{}", candidate.store).as_bytes())
 }
 
-/// Whether a store or its node has a place among the members.
-fn stands_in(members: &[SetMember], candidate: &SetMember) -> bool {
+/// Returns whether a store or another store on its node is a member.
+fn has_member(members: &[SetMember], candidate: &SetMember) -> bool {
     members.iter().any(|member| member.store == candidate.store || member.node == candidate.node)
 }
 
-/// The store with the highest weight of each node.
-fn one_for_each_node(shard: &ShardId, candidates: &[SetMember]) -> Vec<SetMember> {
+/// Returns the store with the highest weight of each node, in descending order of weight.
+fn best_store_per_node(shard: &ShardId, candidates: &[SetMember]) -> Vec<SetMember> {
     let mut stores = candidates.to_vec();
     stores.sort_by_cached_key(|store| Reverse((weight(shard, store), store.store.clone())));
     let mut seen: BTreeSet<NodeId> = BTreeSet::new();
@@ -256,28 +256,29 @@
     stores
 }
 
-/// Stores in the order in which a set takes them: evenly over their zones, by weight within each. `stores`
-/// are in the order of their weights.
-fn in_order_of_choice(shard: &ShardId, stores: &[SetMember]) -> Vec<SetMember> {
-    let mut turns: BTreeMap<&ZoneName, usize> = BTreeMap::new();
+/// Returns stores in the order in which they are chosen: evenly from their zones, by weight within a zone.
+/// `stores` must be in descending order of weight.
+fn interleave_zones(shard: &ShardId, stores: &[SetMember]) -> Vec<SetMember> {
+    let mut rounds: BTreeMap<&ZoneName, usize> = BTreeMap::new();
     let mut ordered: Vec<(usize, &SetMember)> = Vec::new();
     for store in stores {
-        let turn = turns.entry(&store.zone).or_default();
-        ordered.push((*turn, store));
-        *turn += 1;
+        let round = rounds.entry(&store.zone).or_default();
+        ordered.push((*round, store));
+        *round += 1;
     }
-    ordered.sort_by_cached_key(|(turn, store)| (*turn, Reverse(weight(shard, store)), store.store.clone()));
+    ordered.sort_by_cached_key(|(round, store)| (*round, Reverse(weight(shard, store)), store.store.clone()));
     ordered.into_iter().map(|(_, store)| store.clone()).collect()
 }
 
-/// All ways to take `members` out of groups of these sizes, the largest share of the first group first.
-fn shares(capacities: &[usize], members: usize) -> Vec<Vec<usize>> {
+/// Returns all ways to choose `members` members from groups of these sizes, starting with those that choose
+/// the most from the first group.
+fn distributions(capacities: &[usize], members: usize) -> Vec<Vec<usize>> {
     let Some((first, rest)) = capacities.split_first() else {
         return if members == 0 { vec![Vec::new()] } else { Vec::new() };
     };
     let mut found = Vec::new();
     for share in (0..=members.min(*first)).rev() {
-        for mut others in shares(rest, members - share) {
+        for mut others in distributions(rest, members - share) {
             others.insert(0, share);
             found.push(others);
         }
--- a/crates/core/src/replication/proposer.rs
+++ b/crates/core/src/replication/proposer.rs
@@ -1,11 +1,12 @@
-//! A shard's owner: raises the epoch, finishes what an earlier owner may have decided, then appends.
+//! The owner of a shard's log, as a Paxos proposer without I/O.
 //!
-//! The driver asks [`Proposer::poll_transmit`] for requests until there are none, sends them, hands answers to
-//! [`Proposer::step`], and calls again by [`Proposer::poll_timeout`] for what got no answer.
+//! It raises the epoch, completes entries that earlier owners may have got decided, then appends. The driver
+//! calls [`Proposer::poll_transmit`] until it returns `None`, sends the requests, passes responses to
+//! [`Proposer::step`], and polls again at [`Proposer::poll_timeout`] to resend unanswered requests.
 //!
-//! Invariants: nothing is appended before a majority has promised the ballot and every entry that an earlier owner
-//! may have got decided is accepted again; a position never gets two entries under one ballot; a position is
-//! called decided only once a majority has it on disk.
+//! Invariants: nothing is appended before a majority has promised the ballot and has accepted again every
+//! entry that an earlier owner may have got decided; a position never gets two entries under one ballot; a
+//! position is reported as decided only once a majority has its entry on disk.
 
 mod append;
 mod config;
@@ -26,19 +27,19 @@
 use super::message::{ReplicaAnswer, ReplicaResponse, StoreRefusal};
 use super::recovery::Recovery;
 use super::replica_set::{ReplicaSet, StoreId};
-use super::window::Window;
+use super::window::SendWindow;
 use crate::identity::Epoch;
 use crate::time::Timestamp;
 
 enum Phase {
-    Preparing { raises: u32 },
+    Preparing { epoch_raises: u32 },
     Reading(Recovery),
     Confirming { through: LogIndex, recovered: RecoveredLog },
     Leading,
     Ended,
 }
 
-/// A shard's owner, or one that wants to be.
+/// The owner of a shard, or a candidate that is taking it over.
 pub struct Proposer {
     config: ProposerConfig,
     checks: ProposerChecks,
@@ -46,18 +47,18 @@
     ballot: Ballot,
     phase: Phase,
     members: BTreeMap<StoreId, MemberProgress>,
-    window: Window,
+    window: SendWindow,
     decided_through: LogIndex,
-    /// What the embedder has read: taking over leaves it out.
+    /// The prefix of the log that the driver has read, which a take-over does not read again.
     known: KnownLog,
     truncation: Truncation,
     events: VecDeque<ProposerEvent>,
 }
 
 impl Proposer {
-    /// Begins to take a shard over, under an epoch of at least `at_least`.
-    pub fn new(set: ReplicaSet, proposer: ProposerId, at_least: Epoch, config: ProposerConfig) -> Self {
-        let epoch = Epoch(at_least.0.max(1));
+    /// Creates a proposer that takes a shard over under an epoch of at least `minimum_epoch`.
+    pub fn new(set: ReplicaSet, proposer: ProposerId, minimum_epoch: Epoch, config: ProposerConfig) -> Self {
+        let epoch = Epoch(minimum_epoch.0.max(1));
         let members = set.members.iter().map(|member| (member.store.clone(), MemberProgress::default()));
         Self {
             config,
@@ -65,8 +66,8 @@
             members: members.collect(),
             set,
             ballot: Ballot { epoch, proposer },
-            phase: Phase::Preparing { raises: 0 },
-            window: Window::default(),
+            phase: Phase::Preparing { epoch_raises: 0 },
+            window: SendWindow::default(),
             decided_through: LogIndex::ZERO,
             known: KnownLog::default(),
             truncation: Truncation::default(),
@@ -74,69 +75,69 @@
         }
     }
 
-    /// The same with some mechanisms switched off, for proofs that they are needed.
+    /// Sets which safety checks are enabled, for tests that show that each is needed.
     #[must_use]
     pub fn with_checks(mut self, checks: ProposerChecks) -> Self {
         self.checks = checks;
         self
     }
 
-    /// The same for an owner that knows what is decided up to a position, from another set or from following the log:
-    /// only what follows is read and recovered.
+    /// Sets the decided prefix of the log that the owner knows, from the previous set or from following the
+    /// log. Only later entries are read and recovered.
     #[must_use]
     pub const fn with_known(mut self, known: KnownLog) -> Self {
         self.known = known;
         self
     }
 
-    /// The epoch asked for or held.
+    /// Returns the epoch requested or held.
     pub fn epoch(&self) -> Epoch {
         self.ballot.epoch
     }
 
-    /// The ballot asked for or held.
+    /// Returns the ballot requested or held.
     pub const fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// The replica set used.
+    /// Returns the replica set in use.
     pub fn set(&self) -> &ReplicaSet {
         &self.set
     }
 
-    /// How many replicas have answered under the present ballot.
+    /// Returns the number of replicas that have responded under the current ballot.
     pub fn answered(&self) -> usize {
         self.members.values().filter(|member| member.has_answered()).count()
     }
 
-    /// Everything up to this position is on disk at a majority.
+    /// Returns the last position up to which all entries are on disk at a majority.
     pub fn decided_through(&self) -> LogIndex {
         self.decided_through
     }
 
-    /// What happened since the last call.
+    /// Returns the next event, or `None` if there are no more.
     pub fn poll_event(&mut self) -> Option<ProposerEvent> {
         self.events.pop_front()
     }
 
-    /// When [`Self::poll_transmit`] has something to send again, if nothing is answered before.
+    /// Returns when [`Self::poll_transmit`] next has a request to resend, unless a response arrives before.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         self.members.values().filter_map(MemberProgress::retry_at).min()
     }
 
-    /// A request could not be delivered: it is sent again after `retry_after`.
+    /// Reports that a request to `store` could not be delivered. It is sent again after `retry_after`.
     pub fn unreachable(&mut self, now: Timestamp, store: &StoreId, retry_after: Duration) {
         if let Some(member) = self.members.get_mut(store) {
-            member.sent(now + retry_after);
+            member.mark_sent(now + retry_after);
         }
     }
 
-    /// Stops for good: what was appended and not decided may or may not be kept.
+    /// Stops permanently. Entries that were appended but not decided may or may not survive.
     pub fn stop(&mut self) {
         self.phase = Phase::Ended;
     }
 
-    /// Takes an answer.
+    /// Handles a response.
     pub fn step(&mut self, now: Timestamp, response: ReplicaResponse) {
         let stale = response.shard != self.set.shard || response.generation != self.set.generation;
         if stale || !self.members.contains_key(&response.store) {
@@ -144,46 +145,46 @@
         }
         let store = response.store;
         match response.outcome {
-            ReplicaAnswer::Begun => self.member(&store, MemberProgress::begun),
+            ReplicaAnswer::Begun => self.update_member(&store, MemberProgress::mark_begun),
             ReplicaAnswer::Promised { ballot, position, last, free_bytes } if ballot == self.ballot => {
-                self.member(&store, |member| member.promised(position, last, free_bytes));
-                self.after_promise(&store);
+                self.update_member(&store, |member| member.record_promise(position, last, free_bytes));
+                self.handle_promise(&store);
             }
             ReplicaAnswer::Entries { ballot, from, through, entries } if ballot == self.ballot => {
-                self.member(&store, MemberProgress::answered);
+                self.update_member(&store, MemberProgress::mark_answered);
                 if let Phase::Reading(recovery) = &mut self.phase {
                     recovery.add(&store, from, through, entries);
                 }
                 self.finish_reading();
             }
             ReplicaAnswer::Accepted { ballot, through, base, free_bytes, .. } if ballot == self.ballot => {
-                self.member(&store, |member| member.accepted(through, base, free_bytes));
-                self.after_accept();
+                self.update_member(&store, |member| member.record_accept(through, base, free_bytes));
+                self.handle_accept();
             }
-            ReplicaAnswer::Refused(refusal) => self.refused(now, &store, refusal),
+            ReplicaAnswer::Refused(refusal) => self.handle_refusal(now, &store, refusal),
             _ => {}
         }
     }
 
-    fn member(&mut self, store: &StoreId, change: impl FnOnce(&mut MemberProgress)) {
+    fn update_member(&mut self, store: &StoreId, change: impl FnOnce(&mut MemberProgress)) {
         if let Some(member) = self.members.get_mut(store) {
             change(member);
         }
     }
 
-    fn refused(&mut self, now: Timestamp, store: &StoreId, refusal: StoreRefusal) {
+    fn handle_refusal(&mut self, now: Timestamp, store: &StoreId, refusal: StoreRefusal) {
         let retry_at = now + self.config.retransmit_after;
         match refusal {
             StoreRefusal::HigherBallot { promised } if !promised.admits(&self.ballot) => {
-                self.outbid(promised.epoch)
+                self.handle_higher_epoch(promised.epoch)
             }
             StoreRefusal::SealedFor { next } => self.end(EndReason::Replaced { next }),
             StoreRefusal::NewerGeneration { current } => self.end(EndReason::Replaced { next: current }),
             StoreRefusal::NotInstalled => {
-                self.member(store, |member| member.not_installed(retry_at));
+                self.update_member(store, |member| member.mark_not_installed(retry_at));
                 self.check_installed();
             }
-            _ => self.member(store, |member| member.abstains(retry_at)),
+            _ => self.update_member(store, |member| member.defer(retry_at)),
         }
     }
 
--- a/crates/core/src/replication/proposer/append.rs
+++ b/crates/core/src/replication/proposer/append.rs
@@ -1,6 +1,7 @@
-//! What an owner that leads appends: records, the set that follows, snapshots; and when it is decided.
+//! Appending records, the next replica set and snapshots as the leader, and detecting when entries are
+//! decided.
 //!
-//! Invariant: a position is called decided only once a majority has it on disk.
+//! Invariant: a position is reported as decided only once a majority has its entry on disk.
 
 use super::{AppendError, Phase, Proposer, ProposerEvent};
 use crate::replication::entry::{ENTRY_OVERHEAD_BYTES, LogIndex, Payload};
@@ -8,22 +9,22 @@
 use crate::replication::member_progress::MemberProgress;
 use crate::replication::quorum::majority;
 use crate::replication::replica_set::{ReplicaSet, StoreId};
-use crate::replication::window::Window;
+use crate::replication::window::SendWindow;
 
-/// Positions to be dropped.
+/// The positions that replicas may remove.
 #[derive(Default)]
 pub(super) struct Truncation {
-    /// Covered by a decided snapshot.
+    /// Positions before this one are covered by a decided snapshot.
     pub(super) before: LogIndex,
-    /// Covered by a snapshot that is not decided yet: the positions of its first and last parts.
+    /// The positions of the first and last parts of a snapshot that is not decided yet.
     pub(super) pending: Option<(LogIndex, LogIndex)>,
 }
 
 impl Proposer {
-    /// Appends records; they are decided once [`ProposerEvent::Decided`] reaches the returned position.
+    /// Appends records. They are decided once [`ProposerEvent::Decided`] reaches the returned position.
     ///
     /// # Errors
-    /// When the proposer does not lead or the disks are full; nothing was sent then.
+    /// When the proposer does not lead or the disks are full. Nothing is sent then.
     pub fn append(&mut self, records: Vec<Vec<u8>>) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         let bytes: usize = records.iter().map(|record| record.len() + ENTRY_OVERHEAD_BYTES).sum();
@@ -37,8 +38,8 @@
         Ok(self.window.last())
     }
 
-    /// Appends the members that are to follow. Once that is decided, this set and no other is the next generation, and
-    /// the change may begin; the owner appends nothing after it until it goes on in that set ([`Self::continue_in`]).
+    /// Appends the next replica set. Once it is decided, no other set can become the next generation, and the
+    /// reconfiguration may begin. The owner must append nothing more until [`Self::continue_in`].
     ///
     /// # Errors
     /// When the proposer does not lead.
@@ -48,46 +49,48 @@
         Ok(self.window.last())
     }
 
-    /// Goes on in the next set, a majority of which is installed, under the same ballot. Gives the position whose decision
-    /// shows that this owner was not superseded: nobody else can get anything decided before it under a lower ballot.
+    /// Switches to the next set under the same ballot. A majority of the next set must be installed. Returns
+    /// the position of a no-op entry; once it is decided, this owner is known not to have been superseded,
+    /// since no other owner can get an entry decided before it under a lower ballot.
     ///
-    /// Invariant: nothing was appended after the entry that names the next set, so that no position gets two entries under
-    /// this ballot, and all that the old set decided is known here. A later owner that a majority of the old set has
-    /// promised is known to every installed member, which then refuses this one.
+    /// Invariant: nothing was appended after the entry with the next set, so no position gets two entries
+    /// under this ballot, and this owner knows every entry that the old set decided. If a majority of the old
+    /// set has promised a later owner's ballot, every installed member knows that ballot and refuses this
+    /// owner.
     ///
     /// # Errors
-    /// When the proposer does not lead, or something that it appended is not decided.
+    /// When the proposer does not lead, or an appended entry is not decided yet.
     pub fn continue_in(&mut self, next: ReplicaSet) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         if self.window.last() > self.decided_through {
             return Err(AppendError::Undecided);
         }
         let known = self.decided_through;
-        let stays = |store: &StoreId| self.members.get(store);
+        let current_progress = |store: &StoreId| self.members.get(store);
         let members = next.members.iter().map(|member| {
-            let progress =
-                stays(&member.store).map_or_else(MemberProgress::default, MemberProgress::in_next_set);
+            let progress = current_progress(&member.store)
+                .map_or_else(MemberProgress::default, MemberProgress::in_next_set);
             (member.store.clone(), progress)
         });
         self.members = members.collect();
         self.set = next;
         if !self.checks.keep_ballot {
             self.known.through = known;
-            self.phase = Phase::Preparing { raises: 0 };
+            self.phase = Phase::Preparing { epoch_raises: 0 };
             return Ok(known.next());
         }
         for member in self.members.values_mut() {
-            member.start_from(known);
+            member.set_accepted_through(known);
         }
-        self.window = Window::starting_after(known);
+        self.window = SendWindow::starting_after(known);
         self.window.push(Payload::Noop);
         Ok(self.window.last())
     }
 
-    /// Appends a snapshot that stands for everything appended before, which is dropped once it is decided.
+    /// Appends a snapshot that replaces all earlier entries. They are removed once it is decided.
     ///
     /// # Errors
-    /// When the proposer does not lead. A full disk is no hindrance: room is kept back for snapshots.
+    /// When the proposer does not lead. A full disk is not an error here, since space is reserved for snapshots.
     pub fn compact(&mut self, snapshot: &[u8]) -> Result<LogIndex, AppendError> {
         self.check_leading()?;
         let first = self.window.last().next();
@@ -105,7 +108,7 @@
         }
     }
 
-    pub(super) fn after_accept(&mut self) {
+    pub(super) fn handle_accept(&mut self) {
         let mut accepted: Vec<LogIndex> =
             self.members.values().map(MemberProgress::accepted_through).collect();
         accepted.sort_unstable_by(|left, right| right.cmp(left));
@@ -117,8 +120,8 @@
             self.finish_confirming();
             self.events.push_back(ProposerEvent::Decided(decided));
         }
-        let everywhere = accepted.last().copied().unwrap_or_default();
-        self.window.release(everywhere, self.decided_through, self.config.window_bytes);
+        let accepted_by_all = accepted.last().copied().unwrap_or_default();
+        self.window.release(accepted_by_all, self.decided_through, self.config.window_bytes);
     }
 
     fn advance_truncation(&mut self) {
--- a/crates/core/src/replication/proposer/config.rs
+++ b/crates/core/src/replication/proposer/config.rs
@@ -1,46 +1,43 @@
-//! Limits and times of a proposer, and the mechanisms that proofs switch off one by one.
+//! Limits and time-outs of a proposer, and its safety checks.
 
 use std::time::Duration;
 
-/// Limits and times of a proposer.
+/// Limits and time-outs of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposerConfig {
-    /// A request without an answer is sent again after this time.
+    /// Time after which a request without a response is sent again.
     pub retransmit_after: Duration,
-    /// Bytes of entries in one request; one larger record makes a request of its own.
+    /// Maximum size of the entries in one request, in bytes. A larger record is sent alone.
     pub maximum_batch_bytes: usize,
-    /// Bytes of decided entries kept for replicas that are behind; older ones are left to their repair.
+    /// Maximum size of the entries kept for replicas that are behind, in bytes. Decided entries beyond it are
+    /// left to the replicas' repair.
     pub window_bytes: usize,
-    /// How often a higher epoch met while preparing is outbid before the other proposer is let through.
+    /// How often the epoch is raised above a higher one met while preparing, before the take-over is given
+    /// up.
     pub maximum_epoch_raises: u32,
 }
 
 impl Default for ProposerConfig {
-    /// All chosen, not measured; what a wrong value costs stands beside each.
     fn default() -> Self {
         Self {
-            // Shorter sends entries twice to a store that is only busy, longer delays a record whose request was lost.
             retransmit_after: Duration::from_millis(500),
-            // Less takes more round trips for a long log, more holds a connection and a store for longer at a time.
             maximum_batch_bytes: 1 << 20,
-            // Less sends stores that were away for a moment to the slower repair, more takes memory for each log.
             window_bytes: 8 << 20,
-            // Fewer gives up against an owner that is gone, more lets two proposers outbid each other for longer.
             maximum_epoch_raises: 3,
         }
     }
 }
 
-/// Mechanisms of a proposer. All on in service; proofs switch one off to show that it is needed.
+/// Safety checks of a proposer. All are enabled in production; tests disable one to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposerChecks {
-    /// Read a majority and accept again what may be decided.
+    /// Reads a majority and has entries that may be decided accepted again.
     pub recover: bool,
-    /// Call a position decided only once a majority has it.
+    /// Reports a position as decided only once a majority has its entry.
     pub wait_for_majority: bool,
-    /// Leave out records that a later owner overtook before they were decided.
+    /// Skips records of a superseded owner that were not decided before a later owner appended.
     pub skip_superseded: bool,
-    /// Go on under the same ballot in the next set, instead of asking for the shard anew.
+    /// Keeps the ballot in the next set instead of taking the shard over again.
     pub keep_ballot: bool,
 }
 
--- a/crates/core/src/replication/proposer/event.rs
+++ b/crates/core/src/replication/proposer/event.rs
@@ -1,4 +1,4 @@
-//! What a proposer hands to its driver: requests to send, what has happened, and why it takes no records.
+//! Outputs of a proposer: requests to send, events and append errors.
 
 use crate::identity::Epoch;
 use crate::replication::entry::LogIndex;
@@ -6,58 +6,59 @@
 use crate::replication::message::ReplicaRequest;
 use crate::replication::replica_set::{ReplicaSet, StoreId};
 
-/// A request on its way out.
+/// A request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// Where to.
+    /// The receiving store.
     pub to: StoreId,
-    /// What.
+    /// The request.
     pub request: ReplicaRequest,
 }
 
-/// What a proposer reports.
+/// An event of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposerEvent {
-    /// The shard is taken over: this is all that earlier owners may have got acknowledged.
+    /// The shard is taken over. The log contains all records that earlier owners may have acknowledged.
     Recovered(RecoveredLog),
-    /// Everything up to this position is on disk at a majority.
+    /// All entries up to this position are on disk at a majority.
     Decided(LogIndex),
-    /// The proposer has stopped for good.
+    /// The proposer has stopped permanently.
     Ended(EndReason),
 }
 
 /// Why a proposer stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Another owner is ahead.
+    /// Another owner has a higher epoch.
     Superseded {
         /// Its epoch.
         highest: Epoch,
     },
-    /// The replica set is being replaced or has been.
+    /// The replica set is being replaced or has been replaced.
     Replaced {
         /// The later set.
         next: ReplicaSet,
     },
-    /// Too many members take no part in the set yet: the change that led to it stopped halfway and has to be finished.
+    /// Too many members are not installed in the set yet. The reconfiguration that led to it was interrupted
+    /// and has to be completed.
     NotInstalled,
-    /// A replica doesn't have an entry that it called decided.
+    /// A replica lacks an entry that it reported as decided.
     Damaged {
         /// The replica.
         store: StoreId,
     },
 }
 
-/// Why records were not taken; nothing was sent.
+/// Why records were not appended. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
-    /// The proposer does not lead: still taking over, or ended.
-    #[error("the shard is not taken over; wait for it or take it over again")]
+    /// The proposer does not lead: it is still taking over, or has ended.
+    #[error("this owner does not lead the shard; wait until it is taken over, or take it over again")]
     NotLeading,
-    /// Less than a majority of the replicas has room.
+    /// Fewer than a majority of the replicas have space left.
     #[error("the store disks are full; free space under the data folder and try again")]
     DiskFull,
-    /// Something appended is not decided yet.
-    #[error("entries are on their way; wait until they are decided")]
+    /// An appended entry is not decided yet.
+    #[error("some appended entries are not decided yet; wait until they are")]
     Undecided,
 }
--- a/crates/core/src/replication/proposer/take_over.rs
+++ b/crates/core/src/replication/proposer/take_over.rs
@@ -1,8 +1,8 @@
-//! Taking a shard over: from promises of a majority through reading what earlier owners may have got decided to
-//! having it accepted again. Until then nothing is appended.
+//! Taking a shard over: collecting promises from a majority, reading entries that earlier owners may have got
+//! decided, and having them accepted again. Nothing is appended before that.
 //!
-//! A higher epoch that is met while promises are collected is outbid a few times, since it may be an old one; met later it
-//! ends the proposer.
+//! A higher epoch met while collecting promises is exceeded a limited number of times, since its proposer may
+//! be gone. A higher epoch met later ends the proposer.
 
 use super::{EndReason, Phase, Proposer, ProposerEvent};
 use crate::identity::Epoch;
@@ -11,10 +11,10 @@
 use crate::replication::quorum::majority;
 use crate::replication::recovery::Recovery;
 use crate::replication::replica_set::StoreId;
-use crate::replication::window::Window;
+use crate::replication::window::SendWindow;
 
 impl Proposer {
-    pub(super) fn after_promise(&mut self, store: &StoreId) {
+    pub(super) fn handle_promise(&mut self, store: &StoreId) {
         match &mut self.phase {
             Phase::Preparing { .. } => self.begin_reading(),
             Phase::Reading(recovery) => {
@@ -50,12 +50,12 @@
         };
         self.decided_through = log.decided_through;
         self.truncation.before = log.first;
-        self.window = Window::starting_after(log.decided_through);
+        self.window = SendWindow::starting_after(log.decided_through);
         for payload in &log.undecided {
             self.window.push(payload.clone());
         }
         for member in self.members.values_mut() {
-            member.start_from(log.decided_through);
+            member.set_accepted_through(log.decided_through);
         }
         let payloads = log.decided.into_iter().chain(log.undecided);
         let recovered = assemble(payloads, self.known, self.checks.skip_superseded);
@@ -73,27 +73,29 @@
         self.events.push_back(ProposerEvent::Recovered(recovered));
     }
 
-    /// Without a majority that takes part in a later set nobody can be promised anything. Members whose disks were lost
-    /// don't answer to their names: where one still takes no part after a pause, the change may wait for it.
+    /// Ends the proposer if too few members of a later generation are installed to promise a ballot. A member
+    /// that is still not installed after a pause also ends it: members that lost their disks never respond
+    /// under their ids, so the reconfiguration may depend on this one.
     pub(super) fn check_installed(&mut self) {
         if self.may_begin() {
             return;
         }
         let missing = self.members.values().filter(|member| member.must_begin()).count();
-        let waited = self.members.values().any(MemberProgress::was_asked_to_join_again);
+        let waited = self.members.values().any(MemberProgress::is_still_not_installed);
         if waited || missing > self.members.len() - majority(self.members.len()) {
             self.end(EndReason::NotInstalled);
         }
     }
 
-    /// Another proposer is ahead: outbid it while preparing, since its epoch may be an old one; stop afterwards.
-    pub(super) fn outbid(&mut self, highest: Epoch) {
+    /// Handles a higher promised epoch: raises the epoch above it while preparing, up to the configured
+    /// number of times, and otherwise ends the proposer.
+    pub(super) fn handle_higher_epoch(&mut self, highest: Epoch) {
         match &mut self.phase {
-            Phase::Preparing { raises } if *raises < self.config.maximum_epoch_raises => {
-                *raises += 1;
+            Phase::Preparing { epoch_raises } if *epoch_raises < self.config.maximum_epoch_raises => {
+                *epoch_raises += 1;
                 self.ballot.epoch = highest.next();
                 for member in self.members.values_mut() {
-                    member.forget_answers();
+                    member.reset_promise();
                 }
             }
             Phase::Ended => {}
--- a/crates/core/src/replication/quorum.rs
+++ b/crates/core/src/replication/quorum.rs
@@ -1,39 +1,37 @@
-//! Majorities of a replica set.
-//!
-//! More than half of the members: any two majorities of a set share one.
+//! Majorities of a replica set. Any two majorities of a set share a member.
 
 use std::collections::BTreeSet;
 
 use super::replica_set::StoreId;
 
-/// How many of `members` make a majority: any two majorities share a member.
+/// Returns the smallest majority of `members` members.
 pub const fn majority(members: usize) -> usize {
     members / 2 + 1
 }
 
-/// Distinct members that agreed to something.
+/// Counts the distinct members that gave a vote.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct VoteCount {
     voters: BTreeSet<StoreId>,
 }
 
 impl VoteCount {
-    /// Counts a member; once, however often it answers.
+    /// Counts a member's vote, at most once for each member.
     pub fn add(&mut self, voter: &StoreId) {
         self.voters.insert(voter.clone());
     }
 
-    /// How many agreed.
+    /// Returns the number of votes.
     pub fn len(&self) -> usize {
         self.voters.len()
     }
 
-    /// Whether nobody agreed yet.
+    /// Returns whether there are no votes.
     pub fn is_empty(&self) -> bool {
         self.voters.is_empty()
     }
 
-    /// Whether a majority of `members` agreed.
+    /// Returns whether the votes are a majority of `members` members.
     pub(crate) fn is_majority_of(&self, members: usize) -> bool {
         self.voters.len() >= majority(members)
     }
--- a/crates/core/src/replication/reconfigurer.rs
+++ b/crates/core/src/replication/reconfigurer.rs
@@ -1,11 +1,13 @@
-//! Replaces a shard's replica set by the next generation: seal a majority, copy it, install a majority.
+//! Replaces a shard's replica set by the next generation: seals a majority of the old set, copies its state,
+//! and installs a majority of the next set.
 //!
-//! Invariant: at no time can two generations decide. A majority of the old set is sealed before anything is
-//! installed, so the old one decides nothing any more; the next one decides nothing before a majority of it is
-//! installed, each with all that the old one may have decided. Whoever meets a sealed replica can run this again
-//! from the start: nothing in it needs the platform, and every step may be repeated. A member that is late is
-//! copied to from one that is installed: since it has not taken part yet, it may begin with anything that
-//! the others once had.
+//! Invariant: no two generations can decide entries at the same time. A majority of the old set is sealed
+//! before any member is installed, so the old set can no longer decide. The next set cannot decide until a
+//! majority of it is installed, and each installed member has everything that the old set may have decided.
+//!
+//! Every step may be repeated and none depends on the platform, so any node that meets a sealed replica can
+//! run the reconfiguration again from the start. A member that is late copies the state of an installed
+//! member: since it was not active before, it may begin with any earlier state of the others.
 
 mod copying;
 mod sealing;
@@ -15,9 +17,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use self::sealing::Sealing;
+use self::sealing::SealProgress;
 pub(super) use self::sources::Sources;
-use self::staying_first::StayingFirst;
+use self::staying_first::JoinerDelay;
 use super::ballot::Ballot;
 use super::copy_target::CopyTarget;
 use super::entry::LogIndex;
@@ -29,14 +31,15 @@
 use crate::identity::Epoch;
 use crate::time::Timestamp;
 
-/// Mechanisms of a reconfigurer. All on in service; proofs switch one off to show that it is needed.
+/// Safety checks of a reconfigurer. All are enabled in production; tests disable one to show that it is
+/// needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReconfigurerChecks {
-    /// Seal a majority of the old set before copying.
+    /// Seals a majority of the old set before copying.
     pub seal_majority: bool,
-    /// Copy before installing.
+    /// Copies state before installing.
     pub copy: bool,
-    /// Have an owner stop once a replica has promised a higher ballot.
+    /// Stops an owner's reconfiguration once a replica has promised a higher ballot.
     pub stop_superseded: bool,
 }
 
@@ -46,59 +49,61 @@
     }
 }
 
-/// How far a change of replica set has come.
+/// The progress of a reconfiguration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReconfigurerEvent {
-    /// A majority of the next set takes part in it. Copying to the others goes on.
+    /// A majority of the next set is installed. Copying to the other members continues.
     Installed,
-    /// All of the next set takes part in it.
+    /// All members of the next set are installed.
     Complete,
-    /// A still later set is known: this change was finished before.
+    /// A replica reported a later set, so this reconfiguration was completed before.
     AlreadyReplaced(ReplicaSet),
-    /// The owner for whom it was run was superseded: nothing more is sent.
+    /// The owner that runs the reconfiguration was superseded. Nothing more is sent.
     Superseded {
-        /// The epoch of the owner that is ahead.
+        /// The epoch of the new owner.
         highest: Epoch,
     },
 }
 
-/// The owner of the log that changes its stores.
+/// The log owner that runs a reconfiguration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeOwner {
-    /// The ballot under which it goes on in the next set.
+    /// The ballot that it continues to use in the next set.
     pub ballot: Ballot,
-    /// All that the old set decided; members that it installs know this from the start.
+    /// The last position that the old set decided, which newly installed members learn at once.
     pub decided_through: LogIndex,
 }
 
-/// One run of a change of replica set.
+/// One run of a reconfiguration, without I/O.
 pub struct Reconfigurer {
     checks: ReconfigurerChecks,
     retransmit_after: Duration,
-    /// For whom it is run; `None` where whoever met a change that was begun finishes it.
+    /// The log owner that runs it, `None` if another node completes an interrupted reconfiguration.
     owner: Option<ChangeOwner>,
     old: ReplicaSet,
     next: ReplicaSet,
     transfer: TransferId,
-    sealing: BTreeMap<StoreId, Sealing>,
-    /// Whether members of the old set that never took part may begin, to be sealed: a change is only begun once a
-    /// majority of the old set has been installed.
+    sealing: BTreeMap<StoreId, SealProgress>,
+    /// Whether members of the old set that were never active may begin in order to be sealed. This is safe
+    /// because a reconfiguration only starts once a majority of the old set is installed.
     may_begin_old: bool,
     sealed: VoteCount,
-    /// Marks of the members that are sealed.
+    /// Log positions of the sealed members.
     sealed_positions: BTreeMap<StoreId, LogPosition>,
     sources: Option<Sources>,
     targets: BTreeMap<StoreId, CopyTarget>,
-    staying_first: StayingFirst,
+    joiner_delay: JoinerDelay,
     installed: VoteCount,
     events: VecDeque<ReconfigurerEvent>,
     ended: bool,
 }
 
 impl Reconfigurer {
-    /// Begins to replace `old` by `next`, which must be the pending set of the shard. `transfer` must be unique.
+    /// Creates a reconfigurer that replaces `old` by `next`, the pending set of the shard. `transfer` must be
+    /// unique.
     pub fn new(old: ReplicaSet, next: ReplicaSet, transfer: TransferId, retransmit_after: Duration) -> Self {
-        let sealing = old.members.iter().map(|member| (member.store.clone(), Sealing::default())).collect();
+        let sealing =
+            old.members.iter().map(|member| (member.store.clone(), SealProgress::default())).collect();
         let targets = next.members.iter().map(|member| (member.store.clone(), CopyTarget::default()));
         Self {
             checks: ReconfigurerChecks::default(),
@@ -113,53 +118,55 @@
             sealed: VoteCount::default(),
             sealed_positions: BTreeMap::new(),
             sources: None,
-            staying_first: StayingFirst::Pending,
+            joiner_delay: JoinerDelay::Pending,
             installed: VoteCount::default(),
             events: VecDeque::new(),
             ended: false,
         }
     }
 
-    /// Begins to bring in members of `set` that have not been installed while the others have.
+    /// Creates a reconfigurer that installs the remaining members of `set` after the others have been
+    /// installed.
     pub fn catch_up(set: ReplicaSet, transfer: TransferId, retransmit_after: Duration) -> Self {
         let before = Generation(set.generation.0.saturating_sub(1));
-        // Those that are installed are copied from; those that are not yet may be sealed in the generation before.
+        // Installed members are copied from. The others may still have to be sealed in the previous
+        // generation.
         let old = ReplicaSet { generation: before, ..set.clone() };
         let catch_up = Self::new(old, set, transfer, retransmit_after);
         Self { may_begin_old: false, ..catch_up }
     }
 
-    /// The same with some mechanisms switched off, for proofs that they are needed.
+    /// Sets which safety checks are enabled, for tests that show that each is needed.
     #[must_use]
     pub fn with_checks(mut self, checks: ReconfigurerChecks) -> Self {
         self.checks = checks;
         self
     }
 
-    /// The same for the log's owner, which stops once it meets a higher ballot.
+    /// Sets the log owner that runs the reconfiguration. It stops once a replica reports a higher ballot.
     #[must_use]
     pub fn with_owner(mut self, owner: ChangeOwner) -> Self {
         self.owner = Some(owner);
         self
     }
 
-    /// What happened since the last call.
+    /// Returns the next event, or `None` if there are no more.
     pub fn poll_event(&mut self) -> Option<ReconfigurerEvent> {
         self.events.pop_front()
     }
 
-    /// When [`Self::poll_transmit`] has something to send again.
+    /// Returns when [`Self::poll_transmit`] next has a request to send.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         let sealing = self.sealing.values().filter_map(|sealing| sealing.retry_at);
         let copying = self.targets.values().filter_map(|target| target.retry_at);
-        let joining = match self.staying_first {
-            StayingFirst::Until(until) => Some(until),
-            StayingFirst::Pending | StayingFirst::Over => None,
+        let delayed = match self.joiner_delay {
+            JoinerDelay::Until(until) => Some(until),
+            JoinerDelay::Pending | JoinerDelay::Ended => None,
         };
-        sealing.chain(copying).chain(joining).min()
+        sealing.chain(copying).chain(delayed).min()
     }
 
-    /// The next request to send.
+    /// Returns the next request to send.
     pub fn poll_transmit(&mut self, now: Timestamp) -> Option<Transmit> {
         if self.ended {
             return None;
@@ -167,7 +174,7 @@
         self.poll_seal(now).or_else(|| self.poll_copy(now))
     }
 
-    /// Takes an answer.
+    /// Handles a response.
     pub fn step(&mut self, response: ReplicaResponse) {
         if self.ended || response.shard != self.old.shard {
             return;
@@ -175,19 +182,19 @@
         let store = response.store;
         match response.outcome {
             ReplicaAnswer::Sealed { next, position } if next == self.next => {
-                self.after_seal(&store, position)
+                self.handle_sealed(&store, position)
             }
-            ReplicaAnswer::Begun => self.begun(&store),
+            ReplicaAnswer::Begun => self.handle_begun(&store),
             ReplicaAnswer::StatePage { from, page } => {
-                self.page_read(&store, response.generation, &from, &page)
+                self.handle_page(&store, response.generation, &from, &page)
             }
             ReplicaAnswer::Copied { transfer, source, next } if transfer.is_pass_of(&self.transfer) => {
-                self.copied(&store, &source, next);
+                self.handle_copied(&store, &source, next);
             }
             ReplicaAnswer::Installed(generation) if generation == self.next.generation => {
-                self.after_install(&store);
+                self.handle_installed(&store);
             }
-            ReplicaAnswer::Refused(refusal) => self.refused(&store, refusal),
+            ReplicaAnswer::Refused(refusal) => self.handle_refusal(&store, refusal),
             _ => {}
         }
     }
@@ -197,13 +204,13 @@
         Transmit { to: to.clone(), request: ReplicaRequest { shard, generation, store: to, operation } }
     }
 
-    fn refused(&mut self, store: &StoreId, refusal: StoreRefusal) {
+    fn handle_refusal(&mut self, store: &StoreId, refusal: StoreRefusal) {
         match refusal {
-            StoreRefusal::NewerGeneration { current } if current == self.next => self.found_installed(store),
+            StoreRefusal::NewerGeneration { current } if current == self.next => self.adopt_installed(store),
             StoreRefusal::NewerGeneration { current } if current.generation > self.next.generation => {
                 self.end(ReconfigurerEvent::AlreadyReplaced(current));
             }
-            StoreRefusal::NotInstalled if self.may_begin_old => self.not_installed(store),
+            StoreRefusal::NotInstalled if self.may_begin_old => self.handle_not_installed(store),
             StoreRefusal::OutOfOrder => {
                 if let Some(target) = self.targets.get_mut(store) {
                     target.restart(target.retry_at);
@@ -213,7 +220,8 @@
         }
     }
 
-    /// Whether a replica has promised more than the owner's ballot; nothing is sent for it from then on.
+    /// Returns whether a replica has promised a higher ballot than the owner's, and ends the reconfiguration
+    /// if so.
     fn is_superseded(&mut self, promised: &Ballot) -> bool {
         let Some(owner) = self.owner.as_ref().filter(|_| self.checks.stop_superseded) else { return false };
         let is_ahead = !promised.admits(&owner.ballot);
--- a/crates/core/src/replication/reconfigurer/copying.rs
+++ b/crates/core/src/replication/reconfigurer/copying.rs
@@ -1,4 +1,4 @@
-//! Copying the state of the sources to members of the next set, and installing them.
+//! Copying the state of the sources to members of the next set, and installing these members.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
     pub(super) fn poll_copy(&mut self, now: Timestamp) -> Option<Transmit> {
         self.sources.as_ref()?;
         let retry_at = now + self.retransmit_after;
-        let staying_first = self.update_staying_first(now);
+        let delay_joiners = self.update_joiner_delay(now);
         let sources = self.sources.as_ref()?;
-        let (next, transfer, stays) = (&self.next, &self.transfer, &self.sealed_positions);
+        let (next, transfer, staying) = (&self.next, &self.transfer, &self.sealed_positions);
         let found = self.targets.iter_mut().find_map(|(store, target)| {
-            if !target.is_due(now) || (staying_first && !stays.contains_key(store)) {
+            if !target.is_due(now) || (delay_joiners && !staying.contains_key(store)) {
                 return None;
             }
-            let (to, generation, operation) = target.wanted(store, sources, next, transfer)?;
+            let (to, generation, operation) = target.next_request(store, sources, next, transfer)?;
             target.retry_at = Some(retry_at);
             Some((to, generation, operation))
         });
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn page_read(
+    pub(super) fn handle_page(
         &mut self,
         store: &StoreId,
         generation: Generation,
@@ -56,18 +56,18 @@
         }
         sources.positions.insert(store.clone(), page.position.clone());
         for target in self.targets.values_mut() {
-            target.page_read(sources, store, from, page);
+            target.handle_page(sources, store, from, page);
         }
     }
 
-    pub(super) fn copied(&mut self, store: &StoreId, source: &StoreId, next: u64) {
+    pub(super) fn handle_copied(&mut self, store: &StoreId, source: &StoreId, next: u64) {
         let target = self.targets.get_mut(store);
         if let (Some(sources), Some(target)) = (&self.sources, target) {
-            target.copied(sources, source, next);
+            target.handle_copied(sources, source, next);
         }
     }
 
-    pub(super) fn after_install(&mut self, store: &StoreId) {
+    pub(super) fn handle_installed(&mut self, store: &StoreId) {
         if self.next.member(store).is_none() {
             return;
         }
@@ -83,10 +83,11 @@
         }
     }
 
-    /// This run or another got this far: the installed member has all there is to copy.
-    pub(super) fn found_installed(&mut self, store: &StoreId) {
+    /// Handles a member that is installed already, by this run or another. It has the complete state, so the
+    /// other members copy from it from now on.
+    pub(super) fn adopt_installed(&mut self, store: &StoreId) {
         self.sealing.remove(store);
-        self.after_install(store);
+        self.handle_installed(store);
         let sources = self.sources.as_ref();
         let copies_sealed = sources.is_none_or(|sources| sources.basis == InstallBasis::SealedMajority);
         if copies_sealed && !self.ended {
--- a/crates/core/src/replication/reconfigurer/sealing.rs
+++ b/crates/core/src/replication/reconfigurer/sealing.rs
@@ -1,4 +1,4 @@
-//! Sealing the old set: once a majority of it is sealed it decides nothing any more, and copying begins.
+//! Sealing the old set. Once a majority is sealed, the old set can no longer decide, and copying begins.
 
 use super::{Reconfigurer, Transmit};
 use crate::replication::group::LogPosition;
@@ -8,14 +8,14 @@
 
 /// A member of the old set that is not sealed yet.
 #[derive(Default)]
-pub(super) struct Sealing {
+pub(super) struct SealProgress {
     pub(super) retry_at: Option<Timestamp>,
     pub(super) must_begin: bool,
 }
 
 impl Reconfigurer {
     pub(super) fn poll_seal(&mut self, now: Timestamp) -> Option<Transmit> {
-        let is_due = |sealing: &Sealing| sealing.retry_at.is_none_or(|at| at <= now);
+        let is_due = |sealing: &SealProgress| sealing.retry_at.is_none_or(|at| at <= now);
         let (to, sealing) = self.sealing.iter_mut().find(|(_, sealing)| is_due(sealing))?;
         sealing.retry_at = Some(now + self.retransmit_after);
         let (to, must_begin) = (to.clone(), sealing.must_begin);
@@ -24,19 +24,19 @@
         Some(self.request(to, self.old.generation, operation))
     }
 
-    pub(super) fn begun(&mut self, store: &StoreId) {
+    pub(super) fn handle_begun(&mut self, store: &StoreId) {
         if let Some(sealing) = self.sealing.get_mut(store) {
-            *sealing = Sealing::default();
+            *sealing = SealProgress::default();
         }
     }
 
-    pub(super) fn not_installed(&mut self, store: &StoreId) {
+    pub(super) fn handle_not_installed(&mut self, store: &StoreId) {
         if let Some(sealing) = self.sealing.get_mut(store).filter(|sealing| !sealing.must_begin) {
-            *sealing = Sealing { retry_at: None, must_begin: true };
+            *sealing = SealProgress { retry_at: None, must_begin: true };
         }
     }
 
-    pub(super) fn after_seal(&mut self, store: &StoreId, position: LogPosition) {
+    pub(super) fn handle_sealed(&mut self, store: &StoreId, position: LogPosition) {
         if self.is_superseded(&position.promised) || self.sealing.remove(store).is_none() {
             return;
         }
@@ -45,7 +45,7 @@
         let needed = if self.checks.seal_majority { self.old.majority() } else { 1 };
         if self.sources.is_none() && self.sealed.len() >= needed {
             let mut stores: Vec<StoreId> = self.sealed_positions.keys().cloned().collect();
-            // What is known to be decided is copied from the one that has most of it.
+            // Decided entries are copied from the member that knows the most of them.
             stores.sort_by_key(|store| {
                 std::cmp::Reverse(self.sealed_positions.get(store).map(|position| position.decided_through))
             });
--- a/crates/core/src/replication/reconfigurer/sources.rs
+++ b/crates/core/src/replication/reconfigurer/sources.rs
@@ -1,4 +1,4 @@
-//! Whose state is copied into the next set, from where on, and what is known of it.
+//! The replicas whose state is copied into the next set, and the positions to copy from.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,23 @@
 use crate::replication::message::{InstallBasis, PagePosition};
 use crate::replication::replica_set::{Generation, StoreId};
 
-/// Whose state is copied.
+/// The replicas whose state is copied.
 pub(in crate::replication) struct Sources {
     pub(in crate::replication) basis: InstallBasis,
     pub(in crate::replication) generation: Generation,
     pub(in crate::replication) stores: Vec<StoreId>,
     pub(in crate::replication) positions: BTreeMap<StoreId, LogPosition>,
-    /// Members of the set that was sealed.
+    /// The number of members of the sealed set.
     pub(in crate::replication) old_members: u64,
-    /// What the owner knows to be decided; among the pages of a majority there is all of it.
+    /// The last position that the owner knows to be decided. The pages of a majority contain all entries up
+    /// to it.
     pub(in crate::replication) known_decided: LogIndex,
 }
 
 impl Sources {
-    /// Where copying of a source begins for a target: after what is known to be decided there already, be it the
-    /// target's own or copied from the sources before. Decided entries are the same everywhere.
+    /// Returns the position at which copying from a source to a target starts: after the decided entries that
+    /// the target has itself or gets from the preceding sources, since a decided entry is the same on all
+    /// replicas.
     pub(in crate::replication) fn start(&self, source: usize, target: &StoreId) -> PagePosition {
         let before = self.stores.iter().take(source).chain(std::iter::once(target));
         let decided =
@@ -33,8 +35,9 @@
         PagePosition::Entries(decided.next())
     }
 
-    /// The later of each mark of the sources, as far as their pages hold what it speaks of. A member of the next set works
-    /// on while it is copied: what it knows to be decided may lie in no page, and is learnt from the owner instead.
+    /// Returns the merged log position of the sources, limited to entries that are in their pages. An
+    /// installed member continues to accept entries while it is copied, so its `decided_through` may be
+    /// beyond the pages; the target learns it from the owner instead.
     pub(in crate::replication) fn position(&self) -> LogPosition {
         let merged = self.positions.values().cloned().fold(LogPosition::default(), LogPosition::merged);
         let decided_through = match self.basis {
--- a/crates/core/src/replication/reconfigurer/staying_first.rs
+++ b/crates/core/src/replication/reconfigurer/staying_first.rs
@@ -1,48 +1,47 @@
-//! In which order members of the next set are brought in: those that stay go before those that join.
+//! Delays copying to joining members of the next set until a majority of staying members is installed.
 //!
-//! Members that stay have nearly the whole log. Behind the pages of a whole log for a member that joins, their few
-//! requests would wait, and nothing is decided until a majority of the next set is in. Input: which members are sealed and
-//! which are installed. Traced on a grown deployment (75 gateways, 14 stores): without this order each of these requests
-//! waited 460 ms in place of 4 ms, and a change took 1.4 s and more.
+//! Staying members have nearly the whole log and need few requests. Nothing can be decided until a majority
+//! of the next set is installed, so these requests must not queue behind the pages of a whole log for a
+//! joining member.
 
 use std::time::Duration;
 
 use super::Reconfigurer;
 use crate::time::Timestamp;
 
-/// Whether members that stay go before those that join.
+/// Whether joining members wait for staying ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StayingFirst {
-    /// Nothing is copied yet.
+pub(super) enum JoinerDelay {
+    /// Copying has not started.
     Pending,
-    /// Until then.
+    /// Joining members wait until this time at the latest.
     Until(Timestamp),
-    /// No more.
-    Over,
+    /// Joining members no longer wait.
+    Ended,
 }
 
-/// How long members that join wait for those that stay, in milliseconds of the driver's clock. Chosen above the 1.4 s traced for a change whose requests wait:
-/// too short, and pages of a whole log hold up the members that stay; too long, and a change where one of those is gone
-/// waits in vain, though never for longer than this.
-const STAYING_FIRST: Duration = Duration::from_millis(1_500);
+/// Maximum time that joining members wait for staying ones, in case a staying member is unavailable.
+const JOINER_DELAY: Duration = Duration::from_millis(1_500);
 
 impl Reconfigurer {
-    /// Whether members that join wait now.
+    /// Returns whether joining members wait at `now`.
     ///
-    /// Invariant: once the time is over it is no time-out any more, so that a driver does not wake for it without end.
-    pub(super) fn update_staying_first(&mut self, now: Timestamp) -> bool {
-        if self.staying_first == StayingFirst::Pending {
-            self.staying_first = StayingFirst::Until(now + STAYING_FIRST);
+    /// Invariant: once the delay has ended it is no longer reported as a time-out, so the driver does not
+    /// wake up for it repeatedly.
+    pub(super) fn update_joiner_delay(&mut self, now: Timestamp) -> bool {
+        if self.joiner_delay == JoinerDelay::Pending {
+            self.joiner_delay = JoinerDelay::Until(now + JOINER_DELAY);
         }
-        let is_waiting = matches!(self.staying_first, StayingFirst::Until(until) if now < until);
-        if !is_waiting || !self.can_decide_without_joining() {
-            self.staying_first = StayingFirst::Over;
+        let is_waiting = matches!(self.joiner_delay, JoinerDelay::Until(until) if now < until);
+        if !is_waiting || !self.awaits_staying_majority() {
+            self.joiner_delay = JoinerDelay::Ended;
         }
-        self.staying_first != StayingFirst::Over
+        self.joiner_delay != JoinerDelay::Ended
     }
 
-    /// Whether a majority of the next set is sealed, and not yet installed.
-    fn can_decide_without_joining(&self) -> bool {
+    /// Returns whether staying members that are sealed form a majority of the next set that is not installed
+    /// yet.
+    fn awaits_staying_majority(&self) -> bool {
         let staying = self.sealed_positions.keys().filter(|store| self.next.member(store).is_some());
         let majority = self.next.majority();
         self.installed.len() < majority && staying.count() >= majority
--- a/crates/core/src/replication/recovery.rs
+++ b/crates/core/src/replication/recovery.rs
@@ -1,6 +1,6 @@
-//! Reading a majority after it promised: which entries may be decided.
+//! Reading the logs of a majority after it promised, to find the entries that may be decided.
 //!
-//! Owns the entries read so far. Of two entries at a position the one with the higher epoch may be decided.
+//! Of two entries at a position, only the one with the higher epoch may be decided.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 use super::member_progress::Promise;
 use super::replica_set::StoreId;
 
-/// What a take-over found.
-pub(super) struct FoundLog {
-    /// The first position that has not been dropped.
+/// The entries that a take-over read.
+pub(super) struct RecoveredEntries {
+    /// The first position that has not been removed.
     pub(super) first: LogIndex,
     /// The last position known to be decided.
     pub(super) decided_through: LogIndex,
-    /// Entries up to `decided_through`, but for those that were known.
+    /// Entries up to `decided_through`, without those that were known before.
     pub(super) decided: Vec<Payload>,
     /// Entries after `decided_through` that may be decided and must be accepted again.
     pub(super) undecided: Vec<Payload>,
 }
 
-/// Reads in progress.
+/// The state of reading the logs of a majority.
 ///
-/// Positions known to be decided are read from the one replica that knows most of them. Of the others, the
-/// entry with the highest epoch among a majority is taken, as in phase 1 of Paxos.
+/// Positions known to be decided are read from the replica that knows the most of them. For later positions,
+/// the entry with the highest epoch in a majority is selected, as in phase 1 of Paxos.
 pub(super) struct Recovery {
     first: LogIndex,
-    /// The first position that is read; those before are decided and known.
+    /// The first position to read. Earlier positions are decided and known.
     read_from: LogIndex,
     decided_through: LogIndex,
     source: StoreId,
@@ -46,8 +46,8 @@
 }
 
 impl Recovery {
-    /// Reads from replicas that promised; with `read_undecided` off, only what is known to be decided. What
-    /// is decided up to `known_through` is known already and left out.
+    /// Starts reading from replicas that promised. Skips decided entries up to `known_through`, which the
+    /// caller knows. Reads only entries known to be decided if `read_undecided` is false.
     pub(super) fn new(
         promises: &[(StoreId, Promise)],
         read_undecided: bool,
@@ -71,25 +71,25 @@
         recovery
     }
 
-    /// The replica that knows most decided positions.
+    /// Returns the replica that knows the most decided positions.
     pub(super) fn source(&self) -> &StoreId {
         &self.source
     }
 
-    /// Reads from another replica too.
+    /// Adds a replica to read from.
     pub(super) fn add_reader(&mut self, store: &StoreId, promise: &Promise) {
         let next =
             if store == &self.source { self.read_from } else { self.decided_through.next().max(self.first) };
         self.readers.entry(store.clone()).or_insert(Reader { next, last: promise.last });
     }
 
-    /// Where a replica is to be read next.
+    /// Returns the next position to read from a replica, or `None` if it is read completely.
     pub(super) fn next_read(&self, store: &StoreId) -> Option<LogIndex> {
         let reader = self.readers.get(store)?;
         (!reader.is_done()).then_some(reader.next)
     }
 
-    /// Takes what a replica has from `from` to `through`.
+    /// Adds a replica's entries from `from` to `through`.
     pub(super) fn add(
         &mut self,
         store: &StoreId,
@@ -114,26 +114,26 @@
         }
     }
 
-    /// Whether a majority, the source among it, has been read.
+    /// Returns whether a majority that includes the source has been read.
     pub(super) fn is_complete(&self, majority: usize) -> bool {
         let done = self.readers.values().filter(|reader| reader.is_done()).count();
         done >= majority && self.readers.get(&self.source).is_some_and(Reader::is_done)
     }
 
-    /// What was found; `None` where the source lacks an entry that it called decided.
-    pub(super) fn take_log(&mut self) -> Option<FoundLog> {
+    /// Returns the entries read, or `None` if the source lacks an entry that it reported as decided.
+    pub(super) fn take_log(&mut self) -> Option<RecoveredEntries> {
         let mut found = std::mem::take(&mut self.found);
         let last = found.keys().next_back().copied().unwrap_or_default();
         let mut decided = Vec::new();
         for index in (self.read_from.0..=self.decided_through.0).map(LogIndex) {
             decided.push(found.remove(&index)?.payload);
         }
-        let open = self.decided_through.next().max(self.first);
-        let undecided = (open.0..=last.0).map(LogIndex);
+        let first_undecided = self.decided_through.next().max(self.first);
+        let undecided = (first_undecided.0..=last.0).map(LogIndex);
         let undecided =
             undecided.map(|index| found.remove(&index).map_or(Payload::Noop, |entry| entry.payload));
         let undecided = undecided.collect();
         let (first, decided_through) = (self.first, self.decided_through);
-        Some(FoundLog { first, decided_through, decided, undecided })
+        Some(RecoveredEntries { first, decided_through, decided, undecided })
     }
 }
--- a/crates/core/src/replication/replica_set.rs
+++ b/crates/core/src/replication/replica_set.rs
@@ -1,6 +1,7 @@
 //! The store replicas of a shard, versioned by generation.
 //!
-//! A set never changes; a change makes the next generation. Stored and sent as it stands.
+//! A set is immutable; every change creates the next generation. These types are stored and sent, so the
+//! order and names of fields must not change.
 
 use std::fmt;
 
@@ -10,9 +11,8 @@
 use super::quorum::majority;
 use crate::identity::{NodeId, ShardId, ZoneName};
 
-/// One store: one disk in one life. A store draws a new id when it finds its folder empty, so a replica that
-/// lost its disk is no longer the member that the replica set names, and abstains until it is made a member
-/// again.
+/// Identifies one store with one disk. A store generates a new id when its data folder is empty. A replica
+/// that lost its disk is therefore no longer a member of its replica set, until it is added again.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Readable, Writable,
 )]
@@ -20,12 +20,12 @@
 pub struct StoreId(String);
 
 impl StoreId {
-    /// Wraps an id as it stands.
+    /// Wraps an id without checking it.
     pub fn new(id: impl Into<String>) -> Self {
         Self(id.into())
     }
 
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts the replica sets of a shard; the first is 1.
+/// The number of a replica set of a shard, from 1.
 #[derive(
     Clone,
     Copy,
@@ -57,10 +57,10 @@
 pub struct Generation(pub u64);
 
 impl Generation {
-    /// The generation whose members begin empty.
+    /// The first generation, whose members begin empty.
     pub const FIRST: Self = Self(1);
 
-    /// The generation after this one.
+    /// Returns the generation after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -82,35 +82,36 @@
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneName,
-    /// Its peer address when it was chosen; used where the node isn't in the member list.
+    /// Its peer address when it was chosen, used if the node isn't in the member list.
     pub address: String,
 }
 
-/// The store replicas of a shard in one generation. Never changed: a change makes the next generation.
+/// The store replicas of a shard in one generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Readable, Writable)]
 pub struct ReplicaSet {
     /// The shard.
     pub shard: ShardId,
-    /// Which set of the shard this is.
+    /// The generation.
     pub generation: Generation,
     /// Its members.
     pub members: Vec<SetMember>,
 }
 
 impl ReplicaSet {
-    /// The member with this store.
+    /// Returns the member with this store.
     pub fn member(&self, store: &StoreId) -> Option<&SetMember> {
         self.members.iter().find(|member| &member.store == store)
     }
 
-    /// How many members make a majority.
+    /// Returns the number of members of a majority.
     pub fn majority(&self) -> usize {
         majority(self.members.len())
     }
 
-    /// The next generation, with `leaving` replaced by `joining`. One member at a time, so that most of the
-    /// next set already has most of the state. Where `leaving` is the joining store itself, nobody leaves and
-    /// the set grows. `None` where `leaving` is no member otherwise or `joining` is one already.
+    /// Returns the next generation, with `leaving` replaced by `joining`. Only one member changes, so that
+    /// most members of the next set already have most of the state. If `leaving` is the joining store itself,
+    /// the set grows by it. Returns `None` if `joining` is a member already, or if another `leaving` is not a
+    /// member.
     pub fn with_replaced(&self, leaving: &StoreId, joining: SetMember) -> Option<Self> {
         if self.member(&joining.store).is_some() {
             return None;
@@ -125,24 +126,24 @@
     }
 }
 
-/// What the object API holds at `replica-sets/<shard>`. A pending set is never withdrawn or changed: it becomes
-/// current, so each generation names one set only.
+/// The document of a shard in the object API, at `replica-sets/<shard>`. A pending set is never withdrawn or
+/// changed and always becomes current, so there is only one set of each generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSetDocument {
     /// The set in force.
     pub current: ReplicaSet,
-    /// The set that is taking its place.
+    /// The set that is replacing it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pending: Option<ReplicaSet>,
 }
 
 impl ReplicaSetDocument {
-    /// A document without a change under way.
+    /// Creates a document without a pending set.
     pub const fn settled(current: ReplicaSet) -> Self {
         Self { current, pending: None }
     }
 
-    /// The document once its pending set has been installed at a majority.
+    /// Returns the document after its pending set, if any, was installed at a majority.
     #[must_use]
     pub fn completed(self) -> Self {
         match self.pending {
--- a/crates/core/src/replication/storage.rs
+++ b/crates/core/src/replication/storage.rs
@@ -1,7 +1,6 @@
-//! What an acceptor needs of its disk.
+//! The storage interface of an acceptor.
 //!
-//! The contract between the acceptor and a disk: one transaction for each answer, synced before the answer
-//! leaves.
+//! Each request is one transaction, which is synced to disk before the response is sent.
 
 use super::claims::ClaimRecord;
 use super::entry::{Entry, IndexedEntry, LogIndex};
@@ -9,31 +8,31 @@
 use super::message::ClaimedRequest;
 use crate::identity::{RequestId, ShardId};
 
-/// One transaction on a store's disk. The driver commits it, synced, before it sends the acceptor's answer, and
-/// drops it whole where it can't: an answer never speaks of what a crash could undo.
+/// One transaction on a store's disk. The driver commits and syncs it before it sends the acceptor's
+/// response, and discards it if that fails, so that a crash cannot undo what a response reports.
 pub trait ShardStorage {
-    /// Why the disk could not be used.
+    /// The error of a failed read or write.
     type Error;
 
-    /// The store's part in a shard.
+    /// Returns the store's record of a shard.
     ///
     /// # Errors
     /// When the disk can't be read.
     fn group(&self, shard: &ShardId) -> Result<Option<GroupRecord>, Self::Error>;
 
-    /// Replaces the store's part in a shard.
+    /// Replaces the store's record of a shard.
     ///
     /// # Errors
     /// When the disk can't be written.
     fn put_group(&mut self, shard: &ShardId, record: &GroupRecord) -> Result<(), Self::Error>;
 
-    /// The entry at a position.
+    /// Returns the entry at a position.
     ///
     /// # Errors
     /// When the disk can't be read.
     fn entry(&self, shard: &ShardId, index: LogIndex) -> Result<Option<Entry>, Self::Error>;
 
-    /// Entries from a position on, in order, up to about `maximum_bytes` but at least one.
+    /// Returns entries from a position on, in order, up to about `maximum_bytes` but at least one.
     ///
     /// # Errors
     /// When the disk can't be read.
@@ -44,25 +43,25 @@
         maximum_bytes: usize,
     ) -> Result<Vec<IndexedEntry>, Self::Error>;
 
-    /// The last position with an entry, zero where there is none.
+    /// Returns the last position with an entry, or zero if there are no entries.
     ///
     /// # Errors
     /// When the disk can't be read.
     fn last_index(&self, shard: &ShardId) -> Result<LogIndex, Self::Error>;
 
-    /// Writes an entry over what is there.
+    /// Writes an entry, replacing any entry at the position.
     ///
     /// # Errors
     /// When the disk can't be written.
     fn put_entry(&mut self, shard: &ShardId, index: LogIndex, entry: &Entry) -> Result<(), Self::Error>;
 
-    /// Drops entries before a position.
+    /// Removes the entries before a position.
     ///
     /// # Errors
     /// When the disk can't be written.
     fn remove_entries_before(&mut self, shard: &ShardId, before: LogIndex) -> Result<(), Self::Error>;
 
-    /// The claim on a request.
+    /// Returns the claim on a request.
     ///
     /// # Errors
     /// When the disk can't be read.
@@ -79,7 +78,7 @@
         record: &ClaimRecord,
     ) -> Result<(), Self::Error>;
 
-    /// Claims after a request id, in the order of ids, at most `limit`.
+    /// Returns at most `limit` claims after a request id, in the order of ids.
     ///
     /// # Errors
     /// When the disk can't be read.
@@ -90,20 +89,20 @@
         limit: usize,
     ) -> Result<Vec<ClaimedRequest>, Self::Error>;
 
-    /// Drops claims issued before a time, in milliseconds since the Unix epoch.
+    /// Removes claims issued before a time, in milliseconds since the Unix epoch.
     ///
     /// # Errors
     /// When the disk can't be written.
     fn remove_claims_issued_before(&mut self, shard: &ShardId, unix_ms: u64) -> Result<(), Self::Error>;
 
-    /// Bytes left for records before owners are told that the disk is full.
+    /// Returns the bytes left for records before owners are told that the disk is full.
     fn free_bytes(&self) -> u64;
 
-    /// Whether `bytes` more still fit, with the part kept back for snapshots and recovery.
+    /// Returns whether `bytes` more fit, including the space reserved for snapshots and recovery.
     fn has_room(&self, bytes: u64) -> bool;
 }
 
-/// How many entries a page takes: as many as fit into its bytes, but at least one.
+/// Limits a page of entries to a number of bytes, but to at least one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct PageBudget {
     maximum_bytes: usize,
@@ -111,12 +110,12 @@
 }
 
 impl PageBudget {
-    /// The budget of an empty page.
+    /// Creates the budget of an empty page.
     pub const fn new(maximum_bytes: usize) -> Self {
         Self { maximum_bytes, used_bytes: 0 }
     }
 
-    /// Counts an entry of these bytes; `false` where the page ends before it.
+    /// Counts an entry of this size. Returns `false` if the entry does not fit into the page.
     pub const fn try_add(&mut self, bytes: usize) -> bool {
         let is_first = self.used_bytes == 0;
         self.used_bytes = self.used_bytes.saturating_add(bytes);
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -1,6 +1,7 @@
-//! A replica's side of changing the replica set: seal, hand out pages, take pages, install.
+//! A replica's part in a reconfiguration: sealing, reading pages of state, storing pages, and installing.
 //!
-//! Owns nothing: it works on the group record and the storage that the acceptor hands it.
+//! These functions work on the group record and storage passed by the acceptor, and keep no state of their
+//! own.
 
 use super::acceptor::AcceptorChecks;
 use super::claims;
@@ -14,18 +15,16 @@
 use super::storage::ShardStorage;
 use crate::identity::ShardId;
 
-/// Bytes of log entries in a page; one larger entry makes a page of its own. Chosen, not measured. On a grown
-/// deployment small requests behind such pages waited 460 ms in place of 4 ms: larger pages hold up what
-/// waits behind them for longer, smaller ones cost more round trips.
+/// Maximum size of the log entries in a page, in bytes; a larger entry is sent alone. Small requests queue
+/// behind pages, so larger pages increase their latency.
 pub(super) const PAGE_BYTES: usize = 1 << 20;
-/// Claims in a page. Chosen, not measured: too many make an answer outlast the call timeout, too few cost
-/// calls.
-const PAGE_CLAIMS: usize = 4_096;
-/// Copyings of which a member remembers how far they have come. Chosen, not measured: with fewer, copyings
-/// that run side by side push each other out and begin again.
-const MAX_COPYINGS: usize = 8;
+/// Maximum number of claims in a page, which keeps a response within the call timeout.
+const MAX_PAGE_CLAIMS: usize = 4_096;
+/// Maximum number of concurrent transfers whose progress a member records. Further ones evict the oldest,
+/// which then has to start again.
+const MAX_TRANSFERS: usize = 8;
 
-/// Stops the replica in its generation, for good.
+/// Permanently stops the replica in its generation.
 pub(super) fn seal<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
@@ -45,7 +44,7 @@
     })
 }
 
-/// Hands out a page of a replica's state: first its log, then its claims.
+/// Reads a page of a replica's state. The pages of the log come first, then those of the claims.
 pub(super) fn read_state<S: ShardStorage>(
     storage: &S,
     shard: &ShardId,
@@ -61,7 +60,7 @@
             StatePage { position, entries, claims: Vec::new(), next }
         }
         PagePosition::Claims(after) => {
-            let claims = storage.claims_after(shard, after.as_ref(), PAGE_CLAIMS)?;
+            let claims = storage.claims_after(shard, after.as_ref(), MAX_PAGE_CLAIMS)?;
             let next = claims.last().map(|last| PagePosition::Claims(Some(last.request.clone())));
             StatePage { position, entries: Vec::new(), claims, next }
         }
@@ -69,10 +68,10 @@
     Ok(ReplicaAnswer::StatePage { from, page })
 }
 
-/// Takes a page into a member of the next generation that doesn't take part in it yet.
+/// Stores a page on a member of the next generation that is not active in it yet.
 ///
-/// Entries of the sealed generation are only added to, and only by others accepted in it under a higher
-/// epoch, so a copying that stops halfway leaves a state that can itself be copied from.
+/// An entry is only added or replaced by one accepted under a higher epoch in the sealed generation. An
+/// interrupted transfer therefore leaves a state that can itself be copied from.
 pub(super) fn copy<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
@@ -96,7 +95,7 @@
     Ok(ReplicaAnswer::Copied { transfer: copy.transfer, source: copy.source, next })
 }
 
-/// Makes the member take part in the next generation, if it has every page from a majority of the last one.
+/// Activates the member in the next generation if it has all pages of the sources.
 pub(super) fn install<S: ShardStorage>(
     storage: &mut S,
     shard: &ShardId,
@@ -118,9 +117,9 @@
     if !checks.carry_promise {
         record.position.promised = promised.clone();
     }
-    // What was accepted under a ballot that is still the highest one stays what its owner proposed.
+    // The accepted range stays valid only while the ballot under which it was accepted is the highest one.
     if record.position.promised != promised {
-        record.run = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
+        record.accepted = AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO };
     }
     record.set = install.set;
     record.phase = GroupPhase::Active;
@@ -131,9 +130,11 @@
     Ok(ReplicaAnswer::Installed(generation))
 }
 
-/// The record into which state of a later generation may be copied. That generation `n` is pending says that
-/// `n - 1` was installed, so that every earlier one is sealed for good; and its state is copied only once a
-/// majority of `n - 1` is sealed. So a replica that missed its sealing may make up for it here.
+/// Returns the record to copy the state of a later generation into, or the answer if that is not possible.
+///
+/// Generation `n` can only be pending if `n - 1` was installed, so all earlier generations are sealed. Its
+/// state is copied only once a majority of `n - 1` is sealed. A replica of `n - 1` that missed its sealing
+/// can therefore be sealed here.
 fn joining_record(record: Option<GroupRecord>, set: &ReplicaSet) -> Result<GroupRecord, Box<ReplicaAnswer>> {
     let Some(mut record) = record else {
         return Ok(GroupRecord::joining(set.clone()));
@@ -149,9 +150,9 @@
             }
         };
     }
-    let takes_part_until_now =
+    let is_previous_member =
         record.set.generation.next() == set.generation && record.phase != GroupPhase::Joining;
-    if takes_part_until_now {
+    if is_previous_member {
         record.phase = GroupPhase::Sealed { next: set.clone() };
     } else {
         record.set = set.clone();
@@ -167,8 +168,8 @@
 ) -> &'a mut SourceProgress {
     let known = record.copying.iter().position(|copying| &copying.transfer == transfer);
     let position = known.unwrap_or_else(|| {
-        // Several may copy at a time, each all that there is: none undoes what another has brought.
-        if record.copying.len() >= MAX_COPYINGS {
+        // Several reconfigurers may copy the complete state at the same time. Their progress is kept apart.
+        if record.copying.len() >= MAX_TRANSFERS {
             record.copying.remove(0);
         }
         record.copying.push(CopyProgress { transfer: transfer.clone(), sources: Vec::new() });
@@ -191,12 +192,13 @@
         }
     }
     for claimed in &page.claims {
-        claims::copy(storage, shard, &claimed.request, &claimed.record)?;
+        claims::merge_copied(storage, shard, &claimed.request, &claimed.record)?;
     }
     Ok(())
 }
 
-/// Whether everything that was to be copied is here. A sealed replica has its own pages.
+/// Returns whether all pages of all sources are stored. A sealed replica that is itself a source has its own
+/// pages.
 fn has_all_pages(record: &GroupRecord, store: &StoreId, install: &Install) -> bool {
     let arrived = |source: &CopiedSource| {
         let copying = record.copying.iter().filter(|copying| copying.transfer == install.transfer);
@@ -206,7 +208,7 @@
     let is_self = |source: &CopiedSource| &source.store == store && record.phase != GroupPhase::Joining;
     let complete = install.sources.iter().all(|source| is_self(source) || arrived(source));
     let needed = match install.basis {
-        // A set that grows has a greater majority than the one before, of which a majority was sealed.
+        // The majority of the old set, which is smaller than that of the next set if the set grows.
         InstallBasis::SealedMajority => install.old_members / 2 + 1,
         InstallBasis::InstalledMember => 1,
     };
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -215,7 +215,7 @@
         set: set(1),
         phase,
         position: position(),
-        run: AcceptedRange { from: LogIndex(3), through: LogIndex(9) },
+        accepted: AcceptedRange { from: LogIndex(3), through: LogIndex(9) },
         copying: vec![progress.clone()],
     };
     check(&record(GroupPhase::Active), STORED[0]);
