--- a/crates/core/src/replication/reconfigurer.rs
+++ b/crates/core/src/replication/reconfigurer.rs
@@ -10,16 +10,16 @@
 //! member: since it was not active before, it may begin with any earlier state of the others.
 
 mod copying;
+mod joiner_delay;
 mod sealing;
 mod sources;
-mod staying_first;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+use self::joiner_delay::JoinerDelay;
 use self::sealing::SealProgress;
 pub(super) use self::sources::Sources;
-use self::staying_first::JoinerDelay;
 use super::ballot::Ballot;
 use super::copy_target::CopyTarget;
 use super::entry::LogIndex;
