--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -1,6 +1,4 @@
-//! A starting node's question to the quorum set: which revision may have been in force before?
-//!
-//! Owns the answers so far; relies on the placement for who is in the quorum set.
+//! Bootstrap of a starting node: queries the quorum set for the revision that may already be in force.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,30 +9,32 @@
 use crate::identity::{NodeId, Revision};
 use crate::time::Timestamp;
 
-/// The answers heard so far.
+/// Answers received from the quorum set.
 ///
-/// Invariant (brief point 9): a node that was restarted puts nothing in force below what it may have had
-/// before. Whatever was in force anywhere is held by a majority of the quorum set; so it asks until it has
-/// heard a read quorum of settled members, and starts at no less than the highest revision among them.
+/// Invariant (brief point 9): after a restart, a node never puts a revision in force that is lower than the one
+/// it may have had before. Any revision in force is held by a majority of the quorum set. The node therefore
+/// queries until a read quorum of authoritative members has answered, and starts at the highest revision among
+/// the answers or a later one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bootstrap {
     answers: BTreeMap<NodeId, Revision>,
 }
 
 impl Bootstrap {
-    /// Takes in what a member holds. Only settled members count: one that is starting too may have forgotten.
-    pub(super) fn note_revision(&mut self, from: NodeId, revision: Revision) {
+    /// Records the revision that an authoritative member holds. Other members, for example ones that are starting
+    /// too, may have lost a revision and must not be recorded.
+    pub(super) fn record_revision(&mut self, from: NodeId, revision: Revision) {
         let highest = self.answers.entry(from).or_default();
         *highest = revision.max(*highest);
     }
 
-    /// Forgets the answers of members that are gone: what they hold can't be pulled any more.
+    /// Removes the answers of members that are no longer live, since their revisions can't be pulled.
     pub(super) fn members_changed(&mut self, placement: &Placement) {
         self.answers.retain(|node, _| placement.contains(node));
     }
 
-    /// Members of the quorum set that are still to be asked.
-    pub(super) fn unheard<'placement>(
+    /// Returns the members of the quorum set that have not answered.
+    pub(super) fn unanswered<'placement>(
         &self,
         placement: &'placement Placement,
         own: &NodeId,
@@ -43,8 +43,9 @@
         others.filter(|member| !self.answers.contains_key(*member)).collect()
     }
 
-    /// The least revision to start at and a member that holds it, once a read quorum has answered.
-    pub(super) fn floor(&self, placement: &Placement, own: &NodeId) -> Option<(Revision, NodeId)> {
+    /// Returns the lowest revision that this node may start at and a member that holds it, once a read quorum has
+    /// answered.
+    pub(super) fn lower_bound(&self, placement: &Placement, own: &NodeId) -> Option<(Revision, NodeId)> {
         let counted = self.answers.iter().filter(|(node, _)| *node != own && placement.in_quorum_set(node));
         if counted.count() < placement.read_quorum() {
             return None;
@@ -55,27 +56,28 @@
 }
 
 impl Disseminator {
-    /// A starting node goes on once a read quorum has answered: it pulls the highest revision heard, and
-    /// makes sure that a majority holds it before it puts it in force.
+    /// Once a read quorum has answered, pulls the highest revision among the answers, and collects a majority of
+    /// holders before putting it in force.
     pub(super) fn finish_bootstrap(&mut self, now: Timestamp) {
         if self.in_force.is_some() || self.config.ablation.without_quorum {
             return;
         }
-        let Some((floor, holder)) = self.bootstrap.floor(&self.placement, &self.node) else { return };
+        let Some((bound, holder)) = self.bootstrap.lower_bound(&self.placement, &self.node) else { return };
         match &self.staged {
-            Some(staged) if staged.document.revision() >= floor => {
+            Some(staged) if staged.document.revision() >= bound => {
                 if staged.holders.is_none() {
                     let document = Arc::clone(&staged.document);
-                    self.gather(document, now);
+                    self.collect_majority(document, now);
                 }
             }
-            _ => self.pull(holder, floor),
+            _ => self.pull(holder, bound),
         }
     }
 
-    pub(super) fn ask_quorum_set(&mut self, now: Timestamp) {
-        let unheard = self.bootstrap.unheard(&self.placement, &self.node);
-        let queries = unheard.into_iter().map(|to| Action::Send { to: to.clone(), message: Message::Query });
+    pub(super) fn query_quorum_set(&mut self, now: Timestamp) {
+        let unanswered = self.bootstrap.unanswered(&self.placement, &self.node);
+        let queries =
+            unanswered.into_iter().map(|to| Action::Send { to: to.clone(), message: Message::Query });
         let queries: Vec<Action> = queries.collect();
         self.actions.extend(queries);
         if self.may_read_once(now) {
@@ -83,12 +85,13 @@
         }
     }
 
-    /// Members of the quorum set read the platform themselves while they start, so that a cluster which
-    /// starts as a whole finds its way; any other node only where the quorum set has not answered for a
-    /// while.
+    /// Returns whether a starting node may read the platform once.
+    ///
+    /// Members of the quorum set may, so that a cluster can start when no node has a revision in force. Other
+    /// nodes may once the quorum set has not answered within the bootstrap timeout.
     fn may_read_once(&self, now: Timestamp) -> bool {
-        let waited =
-            self.started.is_some_and(|since| now.saturating_since(since) >= self.config.bootstrap_timeout);
-        waited || self.duties.in_quorum_set(self.config.settle, now)
+        let timed_out =
+            self.started_at.is_some_and(|since| now.saturating_since(since) >= self.config.bootstrap_timeout);
+        timed_out || self.duties.in_quorum_set(self.config.settle, now)
     }
 }
--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -1,6 +1,6 @@
-//! One node's part in spreading one document.
+//! Dissemination state of one document on one node, and its interface to the driver.
 //!
-//! Owns what is in force, what is held and what is asked; the modules beside it extend it by one job each.
+//! The sibling modules implement the individual tasks of [`Disseminator`].
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,42 +9,42 @@
 use super::duties::Duties;
 use super::gather::{Confirmation, Staged};
 use super::placement::{Peer, Placement};
-use super::pull::Pulling;
+use super::pull::PendingPull;
 use super::{Config, Message};
 use crate::configuration::document::Document;
 use crate::identity::{NodeId, Revision};
 use crate::time::Timestamp;
 
-/// What the driver does for the disseminator.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message; it may be lost.
+    /// Send a message. Delivery is not required to be reliable.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// The document is in force on this node: publish it, and announce its revision on the heartbeats.
+    /// Publish the document, which is now in force on this node, and announce its revision through membership.
     PutInForce {
         /// The document.
         document: Arc<Document>,
-        /// How it is known that a majority of the quorum set holds it.
+        /// Evidence that a majority of the quorum set holds it.
         confirmation: Confirmation,
     },
-    /// Read the platform once and hand the document to [`Disseminator::receive_platform_document`].
+    /// Read the platform once and pass the document to [`Disseminator::receive_platform_document`].
     ReadOnce,
-    /// Keep watching the platform, and hand over each document.
+    /// Watch the platform and pass each document to [`Disseminator::receive_platform_document`].
     StartReading,
-    /// Stop watching.
+    /// Stop watching the platform.
     StopReading,
 }
 
-/// Spreads one document, as one node takes part in it.
+/// State machine that disseminates one document on one node.
 ///
-/// Invariant (brief point 9): the revision in force never goes down, and it goes up only to a revision that a
-/// majority of the quorum set holds: by this node's own count, or by the announcement of a node where it is
-/// in force.
+/// Invariant (brief point 9): the revision in force never decreases. It increases only to a revision that a
+/// majority of the quorum set holds, as counted by this node or as implied by the announcement of a node on
+/// which the revision is in force.
 #[derive(Clone, Debug)]
 pub struct Disseminator {
     pub(super) node: NodeId,
@@ -53,20 +53,20 @@
     pub(super) placement: Placement,
     pub(super) in_force: Option<Arc<Document>>,
     pub(super) staged: Option<Staged>,
-    /// The highest revision known to be in force anywhere, and a node that has it.
+    /// The highest revision known to be in force on any node, and a node that holds it.
     pub(super) announced: Option<(Revision, NodeId)>,
-    pub(super) pulling: Option<Pulling>,
+    pub(super) pending_pull: Option<PendingPull>,
     pub(super) bootstrap: Bootstrap,
     pub(super) duties: Duties,
-    /// When it began, by its first event.
-    pub(super) started: Option<Timestamp>,
+    /// Time of the first event.
+    pub(super) started_at: Option<Timestamp>,
     pub(super) reading: bool,
     pub(super) retry_at: Option<Timestamp>,
     pub(super) actions: VecDeque<Action>,
 }
 
 impl Disseminator {
-    /// A node that holds nothing.
+    /// Creates the state of a node that holds no revision.
     pub fn new(node: NodeId, document: &'static str, config: Config) -> Self {
         Self {
             node,
@@ -76,54 +76,55 @@
             in_force: None,
             staged: None,
             announced: None,
-            pulling: None,
+            pending_pull: None,
             bootstrap: Bootstrap::default(),
             duties: Duties::default(),
-            started: None,
+            started_at: None,
             reading: false,
             retry_at: None,
             actions: VecDeque::new(),
         }
     }
 
-    /// The document in force, `None` until the node knows enough to put one in force.
+    /// Returns the document in force, or `None` until bootstrap has finished.
     pub fn in_force(&self) -> Option<&Arc<Document>> {
         self.in_force.as_ref()
     }
 
-    /// The highest revision held, in force or not.
+    /// Returns the highest revision held, in force or staged.
     pub fn held(&self) -> Option<Revision> {
         let staged = self.staged.as_ref().map(|staged| staged.document.revision());
         staged.max(self.in_force_revision())
     }
 
-    /// The highest document held, in force or not.
+    /// Returns the document with the highest revision held, in force or staged.
     pub fn latest(&self) -> Option<&Arc<Document>> {
         self.staged.as_ref().map(|staged| &staged.document).or(self.in_force.as_ref())
     }
 
-    /// Whether this node is one of the readers of the platform now.
+    /// Returns whether this node is watching the platform.
     pub fn is_reading(&self) -> bool {
         self.reading
     }
 
-    /// The next thing to do.
+    /// Returns the next action.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When to call [`Self::wake`].
+    /// Returns when to call [`Self::wake`].
     pub fn next_wake(&self) -> Option<Timestamp> {
-        let settled = self.duties.reads_from(self.config.settle).filter(|_| !self.reading);
-        [settled, self.retry_at].into_iter().flatten().min()
+        let reading_starts_at = self.duties.reading_starts_at(self.config.settle).filter(|_| !self.reading);
+        [reading_starts_at, self.retry_at].into_iter().flatten().min()
     }
 
-    /// The live members changed; this node is among them.
+    /// Handles a change of the live members, which include this node.
     pub fn members_changed(&mut self, members: &[Peer], now: Timestamp) {
         self.placement = Placement::new(self.document, members, self.config.quorum_size);
         self.bootstrap.members_changed(&self.placement);
-        if self.pulling.as_ref().is_some_and(|pulling| !self.placement.contains(&pulling.from)) {
-            self.pulling = None;
+        if self.pending_pull.as_ref().is_some_and(|pending_pull| !self.placement.contains(&pending_pull.from))
+        {
+            self.pending_pull = None;
         }
         self.duties.members_changed(&self.placement, &self.node, &self.config, now);
         if self.reading && !self.duties.is_reader() {
@@ -133,7 +134,7 @@
         self.advance(now);
     }
 
-    /// A heartbeat says that a revision is in force on a member.
+    /// Handles an announcement that a revision is in force on a member.
     pub fn receive_announcement(&mut self, revision: Revision, holder: NodeId, now: Timestamp) {
         if self.announced.as_ref().is_some_and(|(highest, _)| *highest > revision) {
             return;
@@ -142,20 +143,20 @@
         self.advance(now);
     }
 
-    /// The platform gave this document, by a read that began after this node had started, or by a write.
+    /// Handles a document returned by the platform, from a read started after this node or from a write.
     pub fn receive_platform_document(&mut self, document: Document, now: Timestamp) {
         let revision = document.revision();
-        if self.is_news(revision) || self.is_unconfirmed(revision) {
-            self.gather(Arc::new(document), now);
+        if self.is_newer_or_unconfirmed(revision) || self.is_unconfirmed(revision) {
+            self.collect_majority(Arc::new(document), now);
         }
         self.advance(now);
     }
 
-    /// A message arrived. It may be late, doubled or out of order.
+    /// Handles a message. Messages may be delayed, duplicated or reordered.
     pub fn receive(&mut self, from: NodeId, message: Message, now: Timestamp) {
         match message {
             Message::Query => self.send_holds(from, now),
-            Message::Holds { revision, settled } => self.receive_holds(from, revision, settled),
+            Message::Holds { revision, authoritative } => self.receive_holds(from, revision, authoritative),
             Message::Offer { revision } => self.receive_offer(from, revision, now),
             Message::Announce { revision } => return self.receive_announcement(revision, from, now),
             Message::Pull { after, offered } => self.answer_pull(from, after, offered, now),
@@ -164,17 +165,17 @@
         self.advance(now);
     }
 
-    /// The time of [`Self::next_wake`] has come.
+    /// Runs all due timers; see [`Self::next_wake`].
     pub fn wake(&mut self, now: Timestamp) {
-        let reads = self.duties.reads_from(self.config.settle).is_some_and(|from| from <= now);
-        if reads && !self.reading {
+        let should_read = self.duties.reading_starts_at(self.config.settle).is_some_and(|from| from <= now);
+        if should_read && !self.reading {
             self.reading = true;
             self.actions.push_back(Action::StartReading);
         }
         if self.retry_at.is_some_and(|retry_at| retry_at <= now) {
             self.retry_at = None;
             self.take_over_staged(now);
-            self.send_again(now);
+            self.resend_requests(now);
         }
         self.advance(now);
     }
@@ -183,29 +184,29 @@
         self.in_force.as_ref().map(|document| document.revision())
     }
 
-    /// Does whatever has become possible.
+    /// Makes all state transitions that have become possible and schedules retries.
     fn advance(&mut self, now: Timestamp) {
-        self.started = self.started.or(Some(now));
+        self.started_at = self.started_at.or(Some(now));
         self.finish_bootstrap(now);
         self.confirm_staged();
-        self.follow_announced();
-        if self.has_unanswered() && self.retry_at.is_none() {
-            self.retry_at = Some(now + self.config.retry);
+        self.pull_announced();
+        if self.has_pending_requests() && self.retry_at.is_none() {
+            self.retry_at = Some(now + self.config.retry_interval);
         }
     }
 
-    /// Whether something was asked that may have been lost.
-    fn has_unanswered(&self) -> bool {
-        self.in_force.is_none() || self.staged.is_some() || self.pulling.is_some()
+    /// Returns whether there are requests without an answer, which may have been lost.
+    fn has_pending_requests(&self) -> bool {
+        self.in_force.is_none() || self.staged.is_some() || self.pending_pull.is_some()
     }
 
-    fn send_again(&mut self, now: Timestamp) {
+    fn resend_requests(&mut self, now: Timestamp) {
         if let Some(revision) = self.staged.as_ref().map(|staged| staged.document.revision()) {
             self.offer(revision);
         }
-        self.turn_pull();
+        self.retry_pull();
         if self.in_force.is_none() {
-            self.ask_quorum_set(now);
+            self.query_quorum_set(now);
         }
     }
 }
--- a/crates/core/src/configuration/dissemination/duties.rs
+++ b/crates/core/src/configuration/dissemination/duties.rs
@@ -1,4 +1,4 @@
-//! What a node's place among the live members asks of it, and whether it may speak for the cluster.
+//! Roles of a node, derived from the live members: platform reader, quorum set member, member of a majority.
 
 use std::time::Duration;
 
@@ -7,22 +7,24 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// The duties of one node. Each begins only once the node's place has held for [`Config::settle`], so that a view
-/// which is still filling up makes no crowd of readers.
+/// Roles of one node and when it acquired them.
+///
+/// A role takes effect after it has been held for [`Config::settle`], so that an incomplete view of the
+/// members at startup does not produce too many readers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Duties {
-    /// Since when the node is among the readers of its region.
+    /// When the node became a reader of its region.
     reader_since: Option<Timestamp>,
-    /// Since when the node is in the quorum set.
+    /// When the node joined the quorum set.
     quorum_since: Option<Timestamp>,
-    /// The most live members seen, until that has been forgotten.
-    most_members: usize,
-    /// Since when fewer than a majority of them are seen.
+    /// Highest recent number of live members.
+    peak_members: usize,
+    /// When the node last lost sight of a majority of `peak_members`.
     minority_since: Option<Timestamp>,
 }
 
 impl Duties {
-    /// The live members changed.
+    /// Updates the roles after a change of the live members.
     pub(super) fn members_changed(
         &mut self,
         placement: &Placement,
@@ -34,39 +36,42 @@
         self.reader_since = self.reader_since.or(Some(now)).filter(|_| reader);
         let in_quorum_set = placement.in_quorum_set(node);
         self.quorum_since = self.quorum_since.or(Some(now)).filter(|_| in_quorum_set);
-        self.forget_lost_members(config, now);
-        self.most_members = self.most_members.max(placement.len());
-        let majority = placement.len() * 2 > self.most_members;
-        self.minority_since = self.minority_since.or(Some(now)).filter(|_| !majority);
+        self.reset_peak_members(config, now);
+        self.peak_members = self.peak_members.max(placement.len());
+        let is_majority = placement.len() * 2 > self.peak_members;
+        self.minority_since = self.minority_since.or(Some(now)).filter(|_| !is_majority);
     }
 
-    /// Members that have been gone for long were taken away for good.
-    fn forget_lost_members(&mut self, config: &Config, now: Timestamp) {
-        let forgotten = |since: Timestamp| now.saturating_since(since) >= config.member_memory;
-        if self.minority_since.is_some_and(forgotten) {
-            self.most_members = 0;
+    /// Resets the peak once the view has been a minority for `member_retention`; the missing members are then
+    /// considered removed.
+    fn reset_peak_members(&mut self, config: &Config, now: Timestamp) {
+        let is_expired = |since: Timestamp| now.saturating_since(since) >= config.member_retention;
+        if self.minority_since.is_some_and(is_expired) {
+            self.peak_members = 0;
             self.minority_since = None;
         }
     }
 
-    /// Whether the node sees a majority of the members that it has known lately. In a minority that was cut off it
-    /// may lack a revision that is in force elsewhere, so its word does not count for a starting node.
+    /// Returns whether the node sees a majority of the recently known members.
+    ///
+    /// A node in a partitioned minority may lack a revision that is in force elsewhere, so its answers must not
+    /// count for the bootstrap of other nodes.
     pub(super) fn sees_majority(&self, config: &Config, now: Timestamp) -> bool {
-        let forgotten = |since: Timestamp| now.saturating_since(since) >= config.member_memory;
-        self.minority_since.is_none_or(forgotten)
+        let is_expired = |since: Timestamp| now.saturating_since(since) >= config.member_retention;
+        self.minority_since.is_none_or(is_expired)
     }
 
-    /// Whether the node is to read the platform.
+    /// Returns whether the node has the reader role, in effect or not.
     pub(super) fn is_reader(&self) -> bool {
         self.reader_since.is_some()
     }
 
-    /// When a reader's place has held for long enough.
-    pub(super) fn reads_from(&self, settle: Duration) -> Option<Timestamp> {
+    /// Returns when the reader role takes effect, or `None` if the node is not a reader.
+    pub(super) fn reading_starts_at(&self, settle: Duration) -> Option<Timestamp> {
         self.reader_since.map(|since| since + settle)
     }
 
-    /// Whether the node has been in the quorum set for long enough.
+    /// Returns whether the node has been in the quorum set for `settle`.
     pub(super) fn in_quorum_set(&self, settle: Duration, now: Timestamp) -> bool {
         self.quorum_since.is_some_and(|since| now.saturating_since(since) >= settle)
     }
--- a/crates/core/src/configuration/dissemination/gather.rs
+++ b/crates/core/src/configuration/dissemination/gather.rs
@@ -1,10 +1,8 @@
-//! When a revision of a document is in force: the one place that holds it until a majority of the quorum set
-//! holds it too.
+//! Decides when a revision of a document is in force.
 //!
-//! Inputs: the members of the quorum set that said that they hold a revision, and announcements of nodes
-//! where it is in force. Reason: what a majority of the quorum set holds is found again by any node that
-//! starts, so that no node goes back to an earlier revision. Without the quorum set or without the guard
-//! against lower revisions the simulations show nodes going back.
+//! A revision is staged until a majority of the quorum set confirms that it holds it, or another node announces
+//! it as in force. Any starting node then finds it through a read quorum, so no node reverts to an earlier
+//! revision.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,17 +15,17 @@
 use crate::identity::{NodeId, Revision};
 use crate::time::Timestamp;
 
-/// How a node knows that a revision may be put in force.
+/// Evidence that a revision may be put in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It counted a majority of the quorum set itself.
+    /// This node counted a majority of the quorum set.
     Majority,
-    /// The revision, or a later one, is in force on another node.
+    /// Another node announced this or a later revision as in force.
     Announced,
 }
 
 impl Confirmation {
-    /// The reason in the stream of decisions.
+    /// Returns the reason used in the decision log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Majority => "majority_holds",
@@ -36,20 +34,20 @@
     }
 }
 
-/// A revision that is held and not yet in force here.
+/// A revision that this node holds but that is not yet in force on it.
 #[derive(Clone, Debug)]
 pub(super) struct Staged {
     pub(super) document: Arc<Document>,
-    /// Members of the quorum set known to hold it, while this node gathers a majority; `None` where another
-    /// node does, and this one only holds it.
+    /// Quorum set members known to hold the revision, if this node collects the majority; `None` if another node
+    /// collects it.
     pub(super) holders: Option<BTreeSet<NodeId>>,
-    /// Since when it is held.
+    /// When the revision was staged.
     pub(super) since: Timestamp,
 }
 
 impl Disseminator {
-    /// Begins to gather a majority of the quorum set for a revision.
-    pub(super) fn gather(&mut self, document: Arc<Document>, now: Timestamp) {
+    /// Stages a revision and starts to collect a majority of the quorum set for it.
+    pub(super) fn collect_majority(&mut self, document: Arc<Document>, now: Timestamp) {
         if self.config.ablation.without_quorum {
             return self.put_in_force(document, Confirmation::Majority);
         }
@@ -62,17 +60,18 @@
         self.offer(revision);
     }
 
-    /// Gathers a majority for a revision whose own gatherer seems to have gone.
+    /// Takes over a staged revision if the node that offered it has not completed it in time.
     pub(super) fn take_over_staged(&mut self, now: Timestamp) {
-        let waits = |staged: &&Staged| {
-            staged.holders.is_none() && now.saturating_since(staged.since) >= self.config.takeover
+        let is_overdue = |staged: &&Staged| {
+            staged.holders.is_none() && now.saturating_since(staged.since) >= self.config.takeover_timeout
         };
-        if let Some(staged) = self.staged.as_ref().filter(waits) {
+        if let Some(staged) = self.staged.as_ref().filter(is_overdue) {
             let document = Arc::clone(&staged.document);
-            self.gather(document, now);
+            self.collect_majority(document, now);
         }
     }
 
+    /// Offers a revision to the quorum set members that are not known to hold it.
     pub(super) fn offer(&mut self, revision: Revision) {
         let Some(holders) = self.staged.as_ref().and_then(|staged| staged.holders.as_ref()) else { return };
         let missing = self.placement.quorum_set().filter(|member| !holders.contains(*member));
@@ -82,7 +81,7 @@
         self.actions.extend(offers);
     }
 
-    /// Puts the staged revision in force where a majority holds it or where it is announced by others.
+    /// Puts the staged revision in force if a majority holds it or if another node announced it.
     pub(super) fn confirm_staged(&mut self) {
         let Some(staged) = &self.staged else { return };
         let revision = staged.document.revision();
@@ -113,15 +112,15 @@
         }
         self.in_force = Some(Arc::clone(&document));
         self.actions.push_back(Action::PutInForce { document, confirmation });
-        self.tell_some(revision);
+        self.announce_to_sample(revision);
     }
 
-    /// Tells a few random members, others for each revision.
-    pub(super) fn tell_some(&mut self, revision: Revision) {
+    /// Announces a revision to a random sample of members, seeded by the revision.
+    pub(super) fn announce_to_sample(&mut self, revision: Revision) {
         let seed = xxh3_64(format!("{}\n{}\n{revision}", self.node, self.document).as_bytes());
-        let told = self.placement.sample(&self.node, seed, self.config.fanout);
+        let recipients = self.placement.sample(&self.node, seed, self.config.fanout);
         let announcements =
-            told.map(|to| Action::Send { to: to.clone(), message: Message::Announce { revision } });
+            recipients.map(|to| Action::Send { to: to.clone(), message: Message::Announce { revision } });
         let announcements: Vec<Action> = announcements.collect();
         self.actions.extend(announcements);
     }
@@ -134,7 +133,7 @@
         self.actions.push_back(Action::Send { to: from, message: Message::Pull { after, offered: true } });
     }
 
-    pub(super) fn receive_holds(&mut self, from: NodeId, revision: Option<Revision>, settled: bool) {
+    pub(super) fn receive_holds(&mut self, from: NodeId, revision: Option<Revision>, authoritative: bool) {
         let Some(revision) = revision else { return };
         if let Some(staged) = &mut self.staged
             && staged.document.revision() <= revision
@@ -142,29 +141,30 @@
         {
             holders.insert(from.clone());
         }
-        if settled && self.in_force.is_none() {
-            self.bootstrap.note_revision(from, revision);
+        if authoritative && self.in_force.is_none() {
+            self.bootstrap.record_revision(from, revision);
         }
     }
 
     pub(super) fn send_holds(&mut self, to: NodeId, now: Timestamp) {
-        let message = self.holds(now);
+        let message = self.holds_message(now);
         self.actions.push_back(Action::Send { to, message });
     }
 
-    /// What this node says it holds.
-    pub(super) fn holds(&self, now: Timestamp) -> Message {
-        let settled = self.in_force.is_some() && self.duties.sees_majority(&self.config, now);
-        Message::Holds { revision: self.held(), settled }
+    /// Returns the message that reports the revision held by this node.
+    pub(super) fn holds_message(&self, now: Timestamp) -> Message {
+        let authoritative = self.in_force.is_some() && self.duties.sees_majority(&self.config, now);
+        Message::Holds { revision: self.held(), authoritative }
     }
 
-    pub(super) fn is_news(&self, revision: Revision) -> bool {
+    pub(super) fn is_newer_or_unconfirmed(&self, revision: Revision) -> bool {
         self.config.ablation.without_monotone_guard
             || self.held().is_none_or(|held| revision > held)
             || self.is_unconfirmed(revision)
     }
 
-    /// Whether a revision is held for another node that may never finish what it began.
+    /// Returns whether a revision is staged here but its majority is collected by another node, which may never
+    /// complete it.
     pub(super) fn is_unconfirmed(&self, revision: Revision) -> bool {
         let staged = self.staged.as_ref().filter(|staged| staged.holders.is_none());
         staged.is_some_and(|staged| staged.document.revision() == revision)
--- a/crates/core/src/configuration/dissemination/placement.rs
+++ b/crates/core/src/configuration/dissemination/placement.rs
@@ -1,7 +1,7 @@
-//! Who reads the platform and who is in the quorum set, computed alike by all from the live members.
+//! Selection of the platform readers and the quorum set by rendezvous hashing over the live members.
 //!
-//! Owns the ranking by rendezvous weights; a node with another view of the members may rank otherwise for a
-//! while.
+//! Nodes with the same view of the members compute the same selection. Views, and so selections, may differ
+//! temporarily.
 
 use std::cmp::Reverse;
 
@@ -15,22 +15,22 @@
 /// A live member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The node.
+    /// Node id.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
 }
 
-/// The region of a zone: what stands before the first `/` of its name, as in `west/sando-hall`. Zones without a
-/// `/` share one region.
+/// Returns the region of a zone: the part of its name before the first `/`, as in `west/sando-hall`. Zones
+/// without a `/` belong to one unnamed region.
 pub fn region_of(zone: &ZoneName) -> &str {
     zone.as_str().split_once('/').map_or("", |(region, _)| region)
 }
 
-/// The part that each member plays for one document, as this node's view of the members gives it.
+/// Ranking of the live members for one document, from this node's view of the members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Placement {
-    /// Highest rendezvous weight first (highest random weight hashing, Thaler and Ravishankar 1998).
+    /// Members by descending rendezvous weight (highest random weight hashing, Thaler and Ravishankar 1998).
     ranked: Vec<Peer>,
     quorum: usize,
 }
@@ -47,7 +47,7 @@
         Self { ranked, quorum }
     }
 
-    /// Whether a node is among the readers of its region.
+    /// Returns whether a node is one of the readers of its region.
     pub(crate) fn is_reader(&self, node: &NodeId, readers_per_region: usize) -> bool {
         let Some(own) = self.ranked.iter().find(|peer| &peer.node == node) else { return false };
         let region = region_of(&own.zone);
@@ -55,42 +55,43 @@
         in_region.take(readers_per_region).any(|peer| &peer.node == node)
     }
 
-    /// The quorum set.
+    /// Returns the members of the quorum set.
     pub(crate) fn quorum_set(&self) -> impl Iterator<Item = &NodeId> {
         self.ranked.iter().take(self.quorum).map(|peer| &peer.node)
     }
 
-    /// How many live members there are.
+    /// Returns the number of live members.
     pub fn len(&self) -> usize {
         self.ranked.len()
     }
 
-    /// Whether a node is a live member.
+    /// Returns whether a node is a live member.
     pub fn contains(&self, node: &NodeId) -> bool {
         self.ranked.iter().any(|peer| &peer.node == node)
     }
 
-    /// Whether a node is in the quorum set.
+    /// Returns whether a node is in the quorum set.
     pub(crate) fn in_quorum_set(&self, node: &NodeId) -> bool {
         self.quorum_set().any(|member| member == node)
     }
 
-    /// Some other members, drawn from a seed.
+    /// Returns a random sample of up to `count` members other than `own`, determined by `seed`.
     pub fn sample(&self, own: &NodeId, seed: u64, count: usize) -> impl Iterator<Item = &NodeId> {
         let others = self.ranked.iter().map(|peer| &peer.node).filter(move |node| *node != own);
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         others.sample(&mut random, count).into_iter()
     }
 
-    /// Members of the quorum set that must hold a revision before it is put in force.
+    /// Returns how many members of the quorum set must hold a revision before it is put in force.
     pub(crate) fn write_quorum(&self) -> usize {
         self.quorum / 2 + 1
     }
 
-    /// Other members of the quorum set that a starting node must hear.
+    /// Returns how many other members of the quorum set must answer a starting node.
     ///
-    /// Invariant: of the `n` members at least `w` held what was in force, the starting node perhaps among
-    /// them. Of the other `n - 1`, at least `w - 1` still do, so any `n - w + 1` of them include one.
+    /// Invariant: at least `w` of the `n` members held the revision in force, possibly including the starting
+    /// node. At least `w - 1` of the other `n - 1` members still hold it, so any `n - w + 1` of them include one
+    /// that does.
     pub(crate) fn read_quorum(&self) -> usize {
         self.quorum + 1 - self.write_quorum().min(self.quorum)
     }
--- a/crates/core/src/configuration/document.rs
+++ b/crates/core/src/configuration/document.rs
@@ -1,6 +1,7 @@
-//! A keyed document with revisions: its entries, the last changes, and what brings an older copy up to date.
+//! A versioned key-value document with incremental updates.
 //!
-//! Owns the entries and the last changes; a delta applies only to the revision that it names.
+//! A document retains its recent changes. Copies that are slightly behind are updated by a delta, others by a
+//! snapshot. A delta applies only to the revision on which it is based.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +11,33 @@
 
 use crate::identity::Revision;
 
-/// Changes that a document remembers, so that copies not further behind get a delta. Chosen, not measured:
-/// a copy that is further behind gets the whole document.
-pub const REMEMBERED_CHANGES: usize = 64;
+/// Number of change records that a document retains for deltas.
+pub const RETAINED_CHANGES: usize = 64;
 
-/// One entry set or removed.
+/// A change that sets or removes one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct EntryChange {
-    /// The entry's key.
+    /// Key of the entry.
     pub key: String,
-    /// Its new value as JSON text; `None` removes it.
+    /// New value as JSON text; `None` removes the entry.
     pub value: Option<String>,
 }
 
 /// The entries that changed between two revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct ChangeRecord {
-    /// The revision before.
+    /// Revision before the changes.
     pub base: Revision,
-    /// The revision after.
+    /// Revision after the changes.
     pub revision: Revision,
-    /// What changed.
+    /// The changed entries.
     pub changes: Vec<EntryChange>,
 }
 
 /// A document at one revision.
 ///
-/// Invariant: `recent` is a chain that ends at `revision`: each record's base is the revision of the one
-/// before.
+/// Invariant: `recent` is a chain that ends at `revision`: the base of each record is the revision of the
+/// previous record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct Document {
     revision: Revision,
@@ -45,32 +45,32 @@
     recent: Vec<ChangeRecord>,
 }
 
-/// What brings a copy up to date.
+/// An update that brings a copy of a document up to date.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Update {
     /// The changes after the copy's revision.
     Delta {
-        /// In order; the first is based on the copy's revision.
+        /// Change records in order. The first is based on the copy's revision.
         records: Vec<ChangeRecord>,
-        /// The digest of all entries after the last.
+        /// Digest of all entries after the last record.
         digest: u64,
     },
-    /// The whole document, for a copy too far behind.
+    /// The whole document.
     Snapshot(Document),
 }
 
-/// Why an update does not fit a copy: ask for a snapshot.
+/// Why an update does not apply to a copy. The remedy is to request a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// The update begins at another revision than the copy's.
+    /// The update is based on a different revision than the copy's.
     #[error("the update is based on revision {base}, the copy is at {held}; ask for a snapshot")]
     Base {
-        /// Where the update begins.
+        /// Base revision of the update.
         base: Revision,
         /// The copy's revision.
         held: Revision,
     },
-    /// The entries after the update are not the sender's.
+    /// The entries after the update differ from the sender's.
     #[error("the copy differs from the sender's after the update to revision {revision}; ask for a snapshot")]
     Digest {
         /// The revision after the update.
@@ -79,27 +79,27 @@
 }
 
 impl Document {
-    /// A document whose past is unknown.
+    /// Creates a document without retained changes.
     pub fn new(revision: Revision, entries: BTreeMap<String, String>) -> Self {
         Self { revision, entries, recent: Vec::new() }
     }
 
-    /// The revision.
+    /// Returns the revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Every entry, by key.
+    /// Returns all entries by key.
     pub fn entries(&self) -> &BTreeMap<String, String> {
         &self.entries
     }
 
-    /// The value of one entry.
+    /// Returns the value of an entry.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.entries.get(key).map(String::as_str)
     }
 
-    /// The document after some changes, at a later revision.
+    /// Returns the document with changes applied, at a later revision.
     #[must_use]
     pub fn with_changes(&self, revision: Revision, changes: Vec<EntryChange>) -> Self {
         let mut next = self.clone();
@@ -107,7 +107,7 @@
         next
     }
 
-    /// The document with exactly these entries, at a later revision; what differs is remembered as changes.
+    /// Returns the document with its entries replaced, at a later revision. Records the differences as changes.
     #[must_use]
     pub fn with_entries(&self, revision: Revision, entries: &BTreeMap<String, String>) -> Self {
         let set = entries.iter().filter(|(key, value)| self.entries.get(*key) != Some(value));
@@ -117,7 +117,7 @@
         self.with_changes(revision, set.chain(removed).collect())
     }
 
-    /// What brings a copy at `after` up to date; `None` where it is not behind.
+    /// Returns the update for a copy at revision `after`, or `None` if the copy is not behind.
     pub fn update_after(&self, after: Revision) -> Option<Update> {
         if after >= self.revision {
             return None;
@@ -133,10 +133,10 @@
         Some(update)
     }
 
-    /// This copy after an update.
+    /// Returns this copy with an update applied.
     ///
     /// # Errors
-    /// When a delta does not fit this copy.
+    /// Returns an error if a delta does not apply to this copy.
     pub fn with_update(&self, update: Update) -> Result<Self, UpdateError> {
         let (records, digest) = match update {
             Update::Snapshot(document) => return Ok(document),
@@ -155,7 +155,7 @@
         Ok(next)
     }
 
-    /// A digest of all entries; equal entries have equal digests on every node.
+    /// Returns a digest of all entries. Equal entries have equal digests on all nodes.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for (key, value) in &self.entries {
@@ -176,7 +176,7 @@
         }
         self.revision = record.revision;
         self.recent.push(record);
-        if self.recent.len() > REMEMBERED_CHANGES {
+        if self.recent.len() > RETAINED_CHANGES {
             self.recent.remove(0);
         }
     }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,9 +1,13 @@
-//! The settings tree: what may be set, what is in force, and how a change reaches every node (brief point 9).
+//! Hierarchical settings, their storage and their dissemination to every node (brief point 9).
 //!
-//! [`tree`] answers which value holds at a level and where it comes from, [`schema`] which values may be written.
-//! [`document`] is a keyed document with revisions and deltas; the configuration is one, the directory of machines
-//! another. [`register`] is the configuration as the object API keeps it, and [`writer`] settles one change of it
-//! even when replies are lost. [`dissemination`] brings each revision to every node.
+//! - [`schema`] defines the settings and validates values.
+//! - [`path`] defines the levels at which settings can be set, and [`tree`] resolves the effective value at a
+//!   level.
+//! - [`document`] is a versioned key-value document with incremental updates. The configuration and the
+//!   directory of machines are stored as documents.
+//! - [`register`] is the configuration as stored in the object API, and [`writer`] applies one change to it
+//!   exactly once, even if replies are lost.
+//! - [`dissemination`] distributes each revision of a document to every node.
 
 pub mod dissemination;
 pub mod document;
--- a/crates/core/src/configuration/path.rs
+++ b/crates/core/src/configuration/path.rs
@@ -1,10 +1,10 @@
-//! Paths of levels: `/` is the organisation, then site, pool, job and policy.
+//! Paths of the levels at which settings can be set: organisation (`/`), site, pool, job and policy.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What a level of the tree stands for, from the top down.
+/// A level of the settings tree, from the top down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
@@ -21,10 +21,10 @@
 }
 
 impl Level {
-    /// Every level, from the top down.
+    /// All levels, from the top down.
     pub const ALL: [Self; 5] = [Self::Organisation, Self::Site, Self::Pool, Self::Job, Self::Policy];
 
-    /// The name used in messages.
+    /// Returns the name used in messages.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Organisation => "organisation",
@@ -36,14 +36,14 @@
     }
 }
 
-/// A checked path: at most four names of letters, digits, `-`, `_` and `.`, each after a slash.
+/// A valid level path: `/`, or up to four names of letters, digits, `-`, `_` and `.`, each preceded by a slash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LevelPath(String);
 
-/// Why a text is no path of a level.
+/// Why a text is not a valid level path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// No slash at the beginning, or one at the end.
+    /// The text does not begin with a slash, or ends with one.
     #[error(
         "path `{path}` must begin with `/` and must not end with it; write it like /site/pool/job/policy"
     )]
@@ -51,17 +51,17 @@
         /// The text.
         path: String,
     },
-    /// A name is empty, too long, or holds a character that is not allowed.
+    /// A name is empty, too long, or contains a character that is not allowed.
     #[error(
-        "path `{path}`: `{name}` is no name; use 1 to {MAX_NAME_LENGTH} letters, digits, `-`, `_` and `.` between slashes"
+        "path `{path}`: `{name}` is not a valid name; use 1 to {MAX_NAME_LENGTH} letters, digits, `-`, `_` and `.` between slashes"
     )]
     Name {
         /// The text.
         path: String,
-        /// The name in it.
+        /// The invalid name.
         name: String,
     },
-    /// More names than there are levels.
+    /// The path has more names than there are levels.
     #[error("path `{path}` is too deep; the levels are organisation (/), site, pool, job and policy")]
     Depth {
         /// The text.
@@ -69,20 +69,19 @@
     },
 }
 
-/// Characters in a name at most. Chosen, not measured: longer takes memory in each document, shorter refuses names that
-/// operators use.
+/// Maximum length of a name, in characters.
 pub(crate) const MAX_NAME_LENGTH: usize = 64;
 
 impl LevelPath {
-    /// The organisation.
+    /// Returns the path of the organisation.
     pub fn root() -> Self {
         Self("/".to_owned())
     }
 
-    /// Checks a text.
+    /// Parses a path.
     ///
     /// # Errors
-    /// Says what is wrong and how to write it.
+    /// Returns an error if the text is not a valid level path.
     pub fn parse(text: &str) -> Result<Self, PathError> {
         if text == "/" {
             return Ok(Self::root());
@@ -98,27 +97,27 @@
         Ok(Self(text.to_owned()))
     }
 
-    /// The path one level below.
+    /// Returns the path of a child.
     ///
     /// # Errors
-    /// As for [`Self::parse`].
+    /// See [`Self::parse`].
     pub fn child(&self, name: &str) -> Result<Self, PathError> {
         let parent = self.0.trim_end_matches('/');
         Self::parse(&format!("{parent}/{name}"))
     }
 
-    /// Which level it is.
+    /// Returns the level of the path.
     pub fn level(&self) -> Level {
         let depth = if self.0 == "/" { 0 } else { self.0.matches('/').count() };
         Level::ALL[depth.min(Level::ALL.len() - 1)]
     }
 
-    /// The last name; empty for the organisation.
+    /// Returns the last name of the path, or an empty string for the organisation.
     pub fn name(&self) -> &str {
         self.0.rsplit('/').next().unwrap_or_default()
     }
 
-    /// The level that this one inherits from; `None` for the organisation.
+    /// Returns the path that this one inherits from, or `None` for the organisation.
     pub fn parent(&self) -> Option<Self> {
         if self.0 == "/" {
             return None;
@@ -127,12 +126,12 @@
         Some(if parent.is_empty() { Self::root() } else { Self(parent.to_owned()) })
     }
 
-    /// This level and those that it inherits from, nearest first.
+    /// Returns this path and all paths that it inherits from, nearest first.
     pub(crate) fn with_ancestors(&self) -> impl Iterator<Item = Self> {
         std::iter::successors(Some(self.clone()), Self::parent)
     }
 
-    /// The path as text.
+    /// Returns the path as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -1,7 +1,7 @@
-//! The configuration as the object API keeps it: the document and the changes that it has taken in.
+//! The configuration as stored in the object API: the document and the ids of recently applied changes.
 //!
-//! Owns the ids of changes taken in, so that a repeated change takes effect once. Stored as JSON under its
-//! present names.
+//! The ids ensure that a repeated change takes effect only once. Stored as JSON; field names are part of the
+//! storage format.
 
 use std::collections::VecDeque;
 
@@ -15,80 +15,79 @@
 use super::tree::SettingsTree;
 use crate::identity::Revision;
 
-/// The key of the register in the object API.
+/// Key of the register in the object API.
 pub const OBJECT_KEY: &str = "config/tree";
 
-/// Change ids that are remembered; a repeat of an older one is refused by its base revision. Chosen, not
-/// measured: with fewer, an operator who repeats a change late is told of a conflict although it was
-/// written.
-pub(crate) const REMEMBERED_CHANGE_IDS: usize = 256;
+/// Number of change ids retained. A repeat of an older change is refused because its base revision is outdated.
+pub(crate) const RETAINED_CHANGE_IDS: usize = 256;
 
-/// Characters in a change id at most. Chosen, not measured: longer takes memory for each of the ids that are remembered.
+/// Maximum length of a change id, in characters.
 pub(crate) const MAX_CHANGE_ID_LENGTH: usize = 128;
 
-/// A change of one setting, as an operator asks for it.
+/// A change of one setting, as requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Names the change, so that a repeat after a lost reply takes effect once.
+    /// Idempotency key. A repeat of the change after a lost reply takes effect once.
     pub change_id: String,
-    /// The revision that it was based on.
+    /// Revision that the change is based on.
     pub base_revision: Revision,
-    /// The level's path.
+    /// Path of the level.
     pub path: String,
-    /// The setting's key.
+    /// Key of the setting.
     pub key: String,
-    /// The new value; `None` removes it, so that the level inherits again.
+    /// New value; `None` removes the value, so that the level inherits it again.
     pub value: Option<Value>,
 }
 
-/// A change that has been taken in.
+/// A change that has been applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
-    /// Its id.
+    /// Id of the change.
     pub change_id: String,
-    /// The revision that it made.
+    /// Revision that the change produced.
     pub revision: Revision,
-    /// What it set, so that an id used again for something else is found out.
+    /// Hash of the change's content. Detects the reuse of an id for a different change.
     pub fingerprint: u64,
 }
 
-/// Why a change was refused; nothing was written.
+/// Why a change was refused. A refused change has not been written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeRefused {
-    /// The path, key or value is wrong.
+    /// The path, key or value is invalid.
     #[error(transparent)]
     Schema(#[from] SchemaError),
-    /// Another change came first.
+    /// The base revision is not the current one.
     #[error(
-        "the change is based on revision {base}, and {current} is current; look at it and change it again"
+        "the change is based on revision {base}, but the current revision is {current}; review it and repeat the change"
     )]
     Conflict {
-        /// The revision that the change was based on.
+        /// Revision that the change was based on.
         base: Revision,
-        /// The current one.
+        /// Current revision.
         current: Revision,
     },
-    /// The id names another change.
-    #[error("change id `{change_id}` made revision {revision} with other content; choose a new id")]
+    /// The id was used for a different change.
+    #[error(
+        "change id `{change_id}` was used for a different change in revision {revision}; choose a new id"
+    )]
     ChangeIdReused {
-        /// The id.
+        /// The reused id.
         change_id: String,
-        /// The revision that it made.
+        /// Revision that the other change produced.
         revision: Revision,
     },
     /// The id is empty or too long.
     #[error("the change id has {length} characters; choose one of 1 to {MAX_CHANGE_ID_LENGTH}")]
     ChangeIdLength {
-        /// Its length.
+        /// Length of the id, in characters.
         length: usize,
     },
 }
 
-/// The document with the ids of its last changes.
+/// The configuration document and its recently applied changes.
 ///
-/// Invariant (brief point 9): a change is in the document at most once. Its id is looked for first, and it is
-/// only taken in on top of the revision that it names; the object API refuses a write whose base is not
-/// current.
+/// Invariant (brief point 9): each change is applied at most once. A writer first looks for its id, and applies
+/// it only to its base revision; the object API refuses a write whose base version is not current.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     document: Document,
@@ -96,20 +95,20 @@
 }
 
 impl Register {
-    /// The document.
+    /// Returns the document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The changes remembered, oldest first.
+    /// Returns the retained changes, oldest first.
     pub fn applied(&self) -> impl Iterator<Item = &AppliedChange> {
         self.applied.iter()
     }
 
-    /// The revision that this change made, where it has been taken in already.
+    /// Returns the revision that a change produced, or `None` if it has not been applied.
     ///
     /// # Errors
-    /// When its id was used for another change.
+    /// Returns an error if the id was used for a different change.
     pub fn find(&self, change: &Change) -> Result<Option<Revision>, ChangeRefused> {
         let Some(applied) = self.applied.iter().find(|applied| applied.change_id == change.change_id) else {
             return Ok(None);
@@ -121,10 +120,10 @@
         Err(ChangeRefused::ChangeIdReused { change_id, revision: applied.revision })
     }
 
-    /// The register after a change.
+    /// Returns the register with a change applied.
     ///
     /// # Errors
-    /// When the change is wrong or lost a race.
+    /// Returns an error if the change is invalid or its base revision is not the current one.
     pub fn apply(&self, change: &Change) -> Result<Self, ChangeRefused> {
         let entry = change.checked_entry()?;
         let current = self.document.revision();
@@ -136,7 +135,7 @@
         next.document = self.document.with_changes(revision, vec![entry]);
         let change_id = change.change_id.clone();
         next.applied.push_back(AppliedChange { change_id, revision, fingerprint: change.fingerprint() });
-        if next.applied.len() > REMEMBERED_CHANGE_IDS {
+        if next.applied.len() > RETAINED_CHANGE_IDS {
             next.applied.pop_front();
         }
         Ok(next)
@@ -144,10 +143,10 @@
 }
 
 impl Change {
-    /// Checks what can be checked without the register.
+    /// Validates the change independently of the register.
     ///
     /// # Errors
-    /// When the id, path, key or value is wrong.
+    /// Returns an error if the id, path, key or value is invalid.
     pub fn check(&self) -> Result<(), ChangeRefused> {
         self.checked_entry().map(drop)
     }
--- a/crates/core/src/configuration/schema.rs
+++ b/crates/core/src/configuration/schema.rs
@@ -1,4 +1,4 @@
-//! What may be set: each key with its unit, bounds, default and levels. A bad key or value is refused at the write.
+//! Schema of the settings: key, unit, bounds, default and levels of each setting, and validation of values.
 
 use std::ops::RangeInclusive;
 
@@ -6,47 +6,47 @@
 
 use super::path::{Level, LevelPath, PathError};
 
-/// A setting whose value is a whole number.
+/// An integer setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntegerSetting {
-    /// Its key; carries the unit where there is one.
+    /// Key of the setting, including the unit if any.
     pub key: &'static str,
-    /// What it does, in one line.
+    /// One-line description.
     pub description: &'static str,
-    /// Unit of the value, for people.
+    /// Unit of the value, for display.
     pub unit: &'static str,
-    /// In force where no level sets it.
+    /// Value if no level sets it.
     pub default: u64,
     /// Allowed values.
     pub bounds: RangeInclusive<u64>,
-    /// Levels at which it may be set.
+    /// Levels at which the setting can be set.
     pub levels: RangeInclusive<Level>,
 }
 
-/// A setting whose value is true or false.
+/// A boolean setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BooleanSetting {
-    /// Its key.
+    /// Key of the setting.
     pub key: &'static str,
-    /// What it does, in one line.
+    /// One-line description.
     pub description: &'static str,
-    /// In force where no level sets it.
+    /// Value if no level sets it.
     pub default: bool,
-    /// Levels at which it may be set.
+    /// Levels at which the setting can be set.
     pub levels: RangeInclusive<Level>,
 }
 
-/// Any setting.
+/// A setting of any type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// A whole number.
+    /// An integer setting.
     Integer(&'static IntegerSetting),
-    /// True or false.
+    /// A boolean setting.
     Boolean(&'static BooleanSetting),
 }
 
-/// The highest staleness bound that a job may be submitted with: the oldest weights in a sample, counted back from
-/// the version that its trainer is about to train (brief point 2).
+/// Maximum staleness bound with which a job can be submitted. Staleness is the age of the oldest weights in a
+/// sample, counted in versions before the one that the trainer is about to produce (brief point 2).
 pub static STALENESS_BOUND: IntegerSetting = IntegerSetting {
     key: "staleness_bound",
     description: "a job with a higher staleness bound than this is refused",
@@ -56,7 +56,7 @@
     levels: Level::Organisation..=Level::Job,
 };
 
-/// Retries in proportion to first attempts.
+/// Retry budget as a percentage of first attempts.
 pub static RETRY_BUDGET_PERCENT: IntegerSetting = IntegerSetting {
     key: "retry_budget_percent",
     description: "retries in proportion to first attempts",
@@ -66,7 +66,7 @@
     levels: Level::Organisation..=Level::Pool,
 };
 
-/// Concurrency of each replica that only live requests may use.
+/// Share of each replica's concurrency reserved for live requests.
 pub static LIVE_RESERVED_PERCENT: IntegerSetting = IntegerSetting {
     key: "live_reserved_percent",
     description: "share of each replica's concurrency that rollouts leave free for live requests",
@@ -76,7 +76,7 @@
     levels: Level::Organisation..=Level::Pool,
 };
 
-/// The deadline of a request that names none.
+/// Deadline of a request that does not specify one.
 pub static REQUEST_DEADLINE_MS: IntegerSetting = IntegerSetting {
     key: "request_deadline_ms",
     description: "deadline of a request that names none",
@@ -86,7 +86,7 @@
     levels: Level::Organisation..=Level::Pool,
 };
 
-/// Puts a pool under its site, or a job under its pool, where nothing else is set there.
+/// Places a pool under its site, or a job under its pool, when no other setting is set at that level.
 pub(crate) static ATTACHED: BooleanSetting = BooleanSetting {
     key: "attached",
     description: "set it to give a pool or a job its place in the tree, so that it inherits from there",
@@ -94,7 +94,7 @@
     levels: Level::Pool..=Level::Job,
 };
 
-/// Whether a pool takes rollouts.
+/// Whether a pool accepts new rollout jobs.
 pub static ROLLOUTS_ENABLED: BooleanSetting = BooleanSetting {
     key: "rollouts_enabled",
     description: "whether new rollout jobs may use the pool",
@@ -102,7 +102,7 @@
     levels: Level::Organisation..=Level::Pool,
 };
 
-/// Every setting, by kind.
+/// All settings.
 pub const ALL: [Setting; 6] = [
     Setting::Integer(&STALENESS_BOUND),
     Setting::Integer(&RETRY_BUDGET_PERCENT),
@@ -112,46 +112,46 @@
     Setting::Boolean(&ROLLOUTS_ENABLED),
 ];
 
-/// Why a value may not be written.
+/// Why a value was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SchemaError {
-    /// The path is wrong.
+    /// The path is invalid.
     #[error(transparent)]
     Path(#[from] PathError),
-    /// There is no such setting.
+    /// No setting has this key.
     #[error("{path}: there is no setting `{key}`; the settings are {known}")]
     UnknownKey {
         /// The level.
         path: LevelPath,
         /// The key.
         key: String,
-        /// The keys that exist, for people.
+        /// Comma-separated list of the existing keys.
         known: String,
     },
-    /// The setting has no meaning at this level.
+    /// The setting can't be set at this level.
     #[error("{path}: `{key}` can't be set for a {level}; set it on a level from {first} to {last}")]
     Level {
-        /// The level's path.
+        /// The path of the level.
         path: LevelPath,
         /// The key.
         key: &'static str,
         /// The level.
         level: &'static str,
-        /// The highest level allowed.
+        /// The topmost allowed level.
         first: &'static str,
-        /// The lowest level allowed.
+        /// The lowest allowed level.
         last: &'static str,
     },
-    /// The value is of the wrong kind or out of bounds.
+    /// The value has the wrong type or is out of bounds.
     #[error("{path}: `{key}` can't be {value}; give {allowed}")]
     Value {
         /// The level.
         path: LevelPath,
         /// The key.
         key: &'static str,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
@@ -164,7 +164,7 @@
 }
 
 impl Setting {
-    /// Its key.
+    /// Returns the key.
     pub fn key(self) -> &'static str {
         match self {
             Self::Integer(setting) => setting.key,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The value in force where no level sets it.
+    /// Returns the value if no level sets it.
     pub fn default_value(self) -> Value {
         match self {
             Self::Integer(setting) => Value::from(setting.default),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Levels at which it may be set.
+    /// Returns the levels at which the setting can be set.
     pub fn levels(self) -> RangeInclusive<Level> {
         match self {
             Self::Integer(setting) => setting.levels.clone(),
@@ -188,12 +188,12 @@
         }
     }
 
-    /// What values are allowed, for people.
+    /// Returns a description of the allowed values.
     pub fn allowed(self) -> String {
         match self {
             Self::Integer(setting) => {
-                let (least, most) = setting.bounds.clone().into_inner();
-                format!("a whole number from {least} to {most} ({})", setting.unit)
+                let (min, max) = setting.bounds.clone().into_inner();
+                format!("a whole number from {min} to {max} ({})", setting.unit)
             }
             Self::Boolean(_) => "true or false".to_owned(),
         }
@@ -207,15 +207,15 @@
     }
 }
 
-/// The setting with this key.
+/// Returns the setting with a key.
 pub fn find(key: &str) -> Option<Setting> {
     ALL.into_iter().find(|setting| setting.key() == key)
 }
 
-/// Checks a key at a level.
+/// Checks that a setting exists and can be set at a level.
 ///
 /// # Errors
-/// When there is no such setting, or not at this level.
+/// Returns an error if the key is unknown or can't be set at the level.
 pub(crate) fn check_key(path: &LevelPath, key: &str) -> Result<Setting, SchemaError> {
     let setting = find(key).ok_or_else(|| SchemaError::unknown_key(path, key))?;
     let levels = setting.levels();
@@ -231,10 +231,10 @@
     })
 }
 
-/// Checks a value before it is written.
+/// Validates a value for a setting at a level.
 ///
 /// # Errors
-/// Names the path, what is wrong and what is allowed.
+/// Returns an error if the key is unknown, can't be set at the level, or does not allow the value.
 pub fn check(path: &LevelPath, key: &str, value: &Value) -> Result<(), SchemaError> {
     let setting = check_key(path, key)?;
     if setting.allows(value) {
--- a/crates/core/src/configuration/tree.rs
+++ b/crates/core/src/configuration/tree.rs
@@ -1,7 +1,4 @@
-//! Which value holds at a level, and which level it comes from.
-//!
-//! Owns nothing but the values read from a document; a value that is not set comes from the level above or
-//! the default.
+//! Resolves effective values of settings and the levels that they are inherited from.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +9,10 @@
 use super::schema::{self, BooleanSetting, IntegerSetting, SchemaError, Setting};
 use crate::identity::{JobId, PoolName};
 
-/// Between the path and the key in an entry of the document; no path and no key contains it.
+/// Separates the path from the key in a document entry. Occurs in neither.
 const SEPARATOR: char = '#';
 
-/// Values set at their levels. A child overrides only what it names and inherits the rest.
+/// Settings by level. A level inherits each value that it does not set from its parent level.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -47,18 +44,18 @@
     levels: BTreeMap<LevelPath, BTreeMap<String, Value>>,
 }
 
-/// An effective value and where it comes from.
+/// An effective value and its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The value in force.
+    /// The effective value.
     pub value: Value,
-    /// The level that sets it; `None` where it is the default of the schema.
+    /// The level that sets it; `None` if it is the schema default.
     pub source: Option<LevelPath>,
 }
 
 impl SettingsTree {
-    /// The tree that a document holds. Entries that this release does not know are left out, so that an older
-    /// node can read a newer document.
+    /// Creates the tree from a document. Ignores unknown entries, so that a node can read a document written by a
+    /// newer release.
     pub fn from_document(document: &Document) -> Self {
         let mut tree = Self::default();
         for (entry, text) in document.entries() {
@@ -69,39 +66,39 @@
         tree
     }
 
-    /// The key of a setting's entry in the document.
+    /// Returns the document key of a setting.
     pub fn entry_key(path: &LevelPath, key: &str) -> String {
         format!("{path}{SEPARATOR}{key}")
     }
 
-    /// Every value that is set, with its level and key.
+    /// Returns all values that are set, with their paths and keys.
     pub fn values(&self) -> impl Iterator<Item = (&LevelPath, &str, &Value)> {
         let levels = self.levels.iter();
         levels.flat_map(|(path, values)| values.iter().map(move |(key, value)| (path, key.as_str(), value)))
     }
 
-    /// The effective value of a key at a level, and the level that it comes from.
+    /// Returns the effective value of a setting at a level, and its origin.
     ///
     /// # Errors
-    /// When there is no such setting.
+    /// Returns an error if the key is unknown.
     pub fn explain(&self, path: &LevelPath, key: &str) -> Result<Explanation, SchemaError> {
         let setting = schema::find(key).ok_or_else(|| SchemaError::unknown_key(path, key))?;
         Ok(self.explain_setting(path, setting))
     }
 
-    /// The whole number in force at a level.
+    /// Returns the effective value of an integer setting at a level.
     pub fn integer(&self, path: &LevelPath, setting: &'static IntegerSetting) -> u64 {
         let nearest = self.nearest(path, setting.key).and_then(|(_, value)| value.as_u64());
         nearest.unwrap_or(setting.default)
     }
 
-    /// Whether a setting is on at a level.
+    /// Returns the effective value of a boolean setting at a level.
     pub fn boolean(&self, path: &LevelPath, setting: &'static BooleanSetting) -> bool {
         let nearest = self.nearest(path, setting.key).and_then(|(_, value)| value.as_bool());
         nearest.unwrap_or(setting.default)
     }
 
-    /// The path of a pool: under the site that has settings for it, else the organisation.
+    /// Returns the path of a pool that is placed in the tree, or the organisation's path otherwise.
     pub fn pool_path(&self, pool: &PoolName) -> LevelPath {
         let mut pools = self.levels.keys().filter(|path| path.level() >= Level::Pool);
         let found = pools.find_map(|path| {
@@ -110,7 +107,8 @@
         found.unwrap_or_else(LevelPath::root)
     }
 
-    /// The path of a job: under its pool's path, or the pool's own where the job's name is no name of a level.
+    /// Returns the path of a job below its pool, or the result of [`Self::pool_path`] if the pool is not placed in
+    /// the tree or the job id is not a valid name.
     pub fn job_path(&self, pool: &PoolName, job: &JobId) -> LevelPath {
         let pool = self.pool_path(pool);
         let job: Result<LevelPath, PathError> = match pool.level() {
--- a/crates/core/src/configuration/writer.rs
+++ b/crates/core/src/configuration/writer.rs
@@ -1,6 +1,6 @@
-//! Brings one change into the register of the object API, through lost replies and races.
+//! Applies one change to the register in the object API, tolerating lost replies and concurrent writers.
 //!
-//! Owns the state of one change; the driver does the reads and writes that it asks for.
+//! [`ChangeWriter`] is a state machine; the driver performs the reads and writes that it requests.
 
 use std::time::Duration;
 
@@ -8,100 +8,100 @@
 use crate::identity::Revision;
 use crate::time::Timestamp;
 
-/// How long a writer keeps trying, and how often.
+/// Timeouts and retry interval of a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Gives up this long after it began, where nothing has been written.
-    pub reach_deadline: Duration,
-    /// Gives up this long after it began, where a write of its own is in doubt.
-    pub settle_deadline: Duration,
-    /// Pause after a call that gave no answer.
+    /// Time after the start at which the writer gives up if no write is in doubt.
+    pub unavailable_after: Duration,
+    /// Time after the start at which the writer gives up if one of its writes is in doubt.
+    pub in_doubt_after: Duration,
+    /// Pause after a failed call.
     pub retry_pause: Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            reach_deadline: Duration::from_secs(3),
-            settle_deadline: Duration::from_secs(8),
+            unavailable_after: Duration::from_secs(3),
+            in_doubt_after: Duration::from_secs(8),
             retry_pause: Duration::from_millis(200),
         }
     }
 }
 
-/// The register as it was read.
+/// The register as read from the object API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRegister {
-    /// The object's version; `None` where there is no object yet.
+    /// Version of the object; `None` if it does not exist.
     pub version: Option<Revision>,
-    /// Its content; empty where there is no object yet.
+    /// Content of the object; empty if it does not exist.
     pub register: Register,
 }
 
-/// What became of a write.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteReply {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// The base version was not current; it did not take effect.
+    /// The base version was not current; the write did not take effect.
     Conflict,
-    /// Proved: it did not take effect.
+    /// The write is known not to have taken effect.
     NotWritten,
-    /// It may have taken effect.
+    /// The write may have taken effect.
     NoReply,
 }
 
-/// What the driver does next.
+/// The next action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the register, then call [`ChangeWriter::read_finished`].
     Read,
     /// Write the register on this base version, then call [`ChangeWriter::write_finished`].
     Write {
-        /// The object's version that the write is based on.
+        /// Version of the object that the write is based on.
         base_version: Option<Revision>,
         /// The new content.
         register: Register,
     },
     /// Wait until this time, then poll again.
     Wait(Timestamp),
-    /// The change is settled.
+    /// The writer has finished.
     Finish(ChangeOutcome),
 }
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Proved by a reply to a read or write: the register holds the change.
+    /// The register is known to contain the change, from a reply to a read or write.
     Accepted {
-        /// The revision that the change made.
+        /// Revision that the change produced.
         revision: Revision,
-        /// The register as it was seen, at this revision or a later one.
+        /// The register at this revision or a later one.
         register: Register,
     },
-    /// Proved: the change did not and will not take effect.
+    /// The change is known not to have taken effect, now or later.
     Refused(ChangeRefused),
-    /// Proved: nothing was written, since the object API can't be reached.
+    /// The object API is unavailable and the change is known not to have been written.
     Unavailable,
-    /// A write got no reply, and the object API has not told since whether it took effect. The remedy is to
-    /// repeat the same change under the same id.
+    /// A write got no reply and its effect could not be determined. The remedy is to repeat the change with the
+    /// same id.
     InDoubt,
 }
 
-/// One change on its way.
+/// State machine that writes one change.
 ///
-/// Invariant (brief point 9): `Accepted` follows only from a reply that proves it: a write that was
-/// confirmed, or a read that shows the change's id. `Unavailable` and `Refused` follow only while no write of
-/// ours can be under way: a write that got no reply is ruled out by a read that shows a later version without
-/// the change's id, since its base version can never be current again.
+/// Invariant (brief point 9): the outcome is `Accepted` only after a confirmed write, or a read that shows the
+/// change's id. It is `Unavailable` or `Refused` only if no write of this writer can still take effect. A write
+/// without a reply is ruled out by a read that shows a different version without the change's id, because its
+/// base version can never be current again.
 #[derive(Clone, Debug)]
 pub struct ChangeWriter {
     change: Change,
     config: Config,
     started: Timestamp,
     state: State,
-    /// The base version of a write of ours that may still take effect.
-    unsettled: Option<Option<Revision>>,
+    /// Base version of a write of this writer that may still take effect.
+    in_doubt_write: Option<Option<Revision>>,
 }
 
 #[derive(Clone, Debug)]
@@ -115,16 +115,16 @@
 }
 
 impl ChangeWriter {
-    /// Begins with a change. A change that is wrong in itself is refused without a call.
+    /// Creates a writer for a change. An invalid change is refused without a call to the object API.
     pub fn new(change: Change, config: Config, now: Timestamp) -> Self {
         let state = match change.check() {
             Ok(()) => State::ToRead,
             Err(refused) => State::Finished(ChangeOutcome::Refused(refused)),
         };
-        Self { change, config, started: now, state, unsettled: None }
+        Self { change, config, started: now, state, in_doubt_write: None }
     }
 
-    /// What to do next; `None` while a call is under way.
+    /// Returns the next action, or `None` while a call is pending.
     pub fn poll(&mut self, now: Timestamp) -> Option<Action> {
         if let State::Pausing(until) = self.state {
             if now < until {
@@ -146,19 +146,19 @@
         }
     }
 
-    /// The read ended: with the register, or without an answer.
+    /// Handles the result of a read; `None` if the read failed.
     pub fn read_finished(&mut self, stored: Option<StoredRegister>, now: Timestamp) {
         let Some(stored) = stored else { return self.pause(now) };
         self.state = match stored.register.find(&self.change) {
             Ok(Some(revision)) => {
                 State::Finished(ChangeOutcome::Accepted { revision, register: stored.register })
             }
-            Ok(None) => self.after_absent(stored),
+            Ok(None) => self.next_write_state(stored),
             Err(refused) => State::Finished(ChangeOutcome::Refused(refused)),
         };
     }
 
-    /// The write ended.
+    /// Handles the result of a write.
     pub fn write_finished(&mut self, reply: WriteReply, now: Timestamp) {
         let State::Writing { base_version, register } = &self.state else { return };
         match reply {
@@ -167,20 +167,20 @@
                 let register = register.clone();
                 self.state = State::Finished(ChangeOutcome::Accepted { revision, register });
             }
-            // An earlier write of ours may be what this one lost to: only a read can tell.
+            // The conflict may be with an earlier write of this writer, which only a read can show.
             WriteReply::Conflict => self.state = State::ToRead,
             WriteReply::NotWritten => self.pause(now),
             WriteReply::NoReply => {
-                self.unsettled = Some(*base_version);
+                self.in_doubt_write = Some(*base_version);
                 self.pause(now);
             }
         }
     }
 
-    /// The change's id is not in the register.
-    fn after_absent(&mut self, stored: StoredRegister) -> State {
-        if self.unsettled.is_some_and(|base_version| base_version != stored.version) {
-            self.unsettled = None;
+    /// Returns the next state after a read that does not show the change's id.
+    fn next_write_state(&mut self, stored: StoredRegister) -> State {
+        if self.in_doubt_write.is_some_and(|base_version| base_version != stored.version) {
+            self.in_doubt_write = None;
         }
         match stored.register.apply(&self.change) {
             Ok(register) => State::ToWrite { base_version: stored.version, register },
@@ -190,9 +190,9 @@
 
     fn pause(&mut self, now: Timestamp) {
         let elapsed = now.saturating_since(self.started);
-        self.state = match self.unsettled {
-            None if elapsed >= self.config.reach_deadline => State::Finished(ChangeOutcome::Unavailable),
-            Some(_) if elapsed >= self.config.settle_deadline => State::Finished(ChangeOutcome::InDoubt),
+        self.state = match self.in_doubt_write {
+            None if elapsed >= self.config.unavailable_after => State::Finished(ChangeOutcome::Unavailable),
+            Some(_) if elapsed >= self.config.in_doubt_after => State::Finished(ChangeOutcome::InDoubt),
             _ => State::Pausing(now + self.config.retry_pause),
         };
     }
--- a/crates/core/src/membership/config.rs
+++ b/crates/core/src/membership/config.rs
@@ -196,13 +196,13 @@
 
     /// Returns how long a suspected member has to refute the suspicion in a cluster of `members`.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
-        let scale = log10(members).max(1.0) * f64::from(self.suspicion_multiplier);
+        let scale = log10_members(members).max(1.0) * f64::from(self.suspicion_multiplier);
         self.probe_interval.mul_f64(scale)
     }
 
     /// Returns the number of messages that carry each update in a cluster of `members`.
     pub(crate) fn retransmissions(&self, members: usize) -> u32 {
-        self.retransmission_multiplier * round_up(log10(members + 1))
+        self.retransmission_multiplier * round_up(log10_members(members + 1))
     }
 }
 
@@ -216,7 +216,7 @@
     if is_valid { Ok(()) } else { Err(error()) }
 }
 
-fn log10(members: usize) -> f64 {
+fn log10_members(members: usize) -> f64 {
     f64::from(u32::try_from(members.max(1)).unwrap_or(u32::MAX)).log10()
 }
 
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lichenpulley_core::configuration::document::{Document, EntryChange, REMEMBERED_CHANGES, Update};
+use lichenpulley_core::configuration::document::{Document, EntryChange, RETAINED_CHANGES, Update};
 use lichenpulley_core::configuration::path::{Level, LevelPath};
 use lichenpulley_core::configuration::register::{Change, ChangeRefused, Register};
 use lichenpulley_core::configuration::schema::{self, STALENESS_BOUND};
@@ -126,7 +126,7 @@
 #[test]
 fn a_copy_too_far_behind_gets_a_snapshot_and_others_a_delta() {
     let mut document = Document::default();
-    for revision in 1..=REMEMBERED_CHANGES as u64 + 10 {
+    for revision in 1..=RETAINED_CHANGES as u64 + 10 {
         let entry = EntryChange { key: "key".to_owned(), value: Some(revision.to_string()) };
         document = document.with_changes(Revision(revision), vec![entry]);
     }
