--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -92,6 +92,6 @@
     fn may_read_once(&self, now: Timestamp) -> bool {
         let timed_out =
             self.started_at.is_some_and(|since| now.saturating_since(since) >= self.config.bootstrap_timeout);
-        timed_out || self.duties.in_quorum_set(self.config.settle, now)
+        timed_out || self.duties.in_quorum_set(self.config.settle_time, now)
     }
 }
--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -114,7 +114,8 @@
 
     /// Returns when to call [`Self::wake`].
     pub fn next_wake(&self) -> Option<Timestamp> {
-        let reading_starts_at = self.duties.reading_starts_at(self.config.settle).filter(|_| !self.reading);
+        let reading_starts_at =
+            self.duties.reading_starts_at(self.config.settle_time).filter(|_| !self.reading);
         [reading_starts_at, self.retry_at].into_iter().flatten().min()
     }
 
@@ -167,7 +168,8 @@
 
     /// Runs all due timers; see [`Self::next_wake`].
     pub fn wake(&mut self, now: Timestamp) {
-        let should_read = self.duties.reading_starts_at(self.config.settle).is_some_and(|from| from <= now);
+        let should_read =
+            self.duties.reading_starts_at(self.config.settle_time).is_some_and(|from| from <= now);
         if should_read && !self.reading {
             self.reading = true;
             self.actions.push_back(Action::StartReading);
--- a/crates/core/src/configuration/dissemination/duties.rs
+++ b/crates/core/src/configuration/dissemination/duties.rs
@@ -9,7 +9,7 @@
 
 /// Roles of one node and when it acquired them.
 ///
-/// A role takes effect after it has been held for [`Config::settle`], so that an incomplete view of the
+/// A role takes effect after it has been held for [`Config::settle_time`], so that an incomplete view of the
 /// members at startup does not produce too many readers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Duties {
@@ -67,12 +67,12 @@
     }
 
     /// Returns when the reader role takes effect, or `None` if the node is not a reader.
-    pub(super) fn reading_starts_at(&self, settle: Duration) -> Option<Timestamp> {
-        self.reader_since.map(|since| since + settle)
+    pub(super) fn reading_starts_at(&self, settle_time: Duration) -> Option<Timestamp> {
+        self.reader_since.map(|since| since + settle_time)
     }
 
-    /// Returns whether the node has been in the quorum set for `settle`.
-    pub(super) fn in_quorum_set(&self, settle: Duration, now: Timestamp) -> bool {
-        self.quorum_since.is_some_and(|since| now.saturating_since(since) >= settle)
+    /// Returns whether the node has been in the quorum set for `settle_time`.
+    pub(super) fn in_quorum_set(&self, settle_time: Duration, now: Timestamp) -> bool {
+        self.quorum_since.is_some_and(|since| now.saturating_since(since) >= settle_time)
     }
 }
--- a/crates/core/src/configuration/dissemination/mod.rs
+++ b/crates/core/src/configuration/dissemination/mod.rs
@@ -35,7 +35,7 @@
     pub quorum_size: usize,
     /// How long a node must hold a role, such as reader, before the role takes effect. Prevents too many readers
     /// while the view of the members is incomplete.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Interval at which unanswered requests are sent again.
     pub retry_interval: Duration,
     /// How long a member that holds an offered revision waits before it collects the majority itself.
@@ -57,7 +57,7 @@
             readers_per_region: 2,
             // Tolerates the loss of two members.
             quorum_size: 5,
-            settle: Duration::from_secs(1),
+            settle_time: Duration::from_secs(1),
             retry_interval: Duration::from_millis(300),
             takeover_timeout: Duration::from_secs(2),
             bootstrap_timeout: Duration::from_secs(5),
--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -77,7 +77,7 @@
         let mut config = Config::default();
         if context.settings.peers.seeds.is_empty() {
             // Nobody to wait for: the view is whole from the start.
-            config.settle = Duration::ZERO;
+            config.settle_time = Duration::ZERO;
         }
         Self {
             disseminator: Disseminator::new(context.node.clone(), document.as_str(), config),
