--- a/crates/core/src/rollout/controller/attempts.rs
+++ b/crates/core/src/rollout/controller/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts at slots: when they start, how they end, and which of them decides a slot.
+//! Starts, cancels and ends the attempts that fill slots.
 //!
-//! Inputs: the queue of open slots, the window of attempts that the pool takes, the trainer's version and the
-//! staleness bound.
+//! The dispatch window limits the running attempts. The staleness bound decides which of them are started,
+//! cancelled or dropped.
 
 use std::time::Duration;
 
@@ -17,11 +17,10 @@
 use super::JobController;
 use super::event::{Action, AttemptOutcome, AttemptStart};
 
-/// The longest pause after an attempt that failed: a slot under which engines end takes one down no more
-/// often than this, and has to be decided some day. Chosen, not measured.
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
+/// Longest delay after a failed attempt. Limits how often a slot whose request crashes engines is retried.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// An attempt that this owner started.
+/// A running attempt of this owner.
 #[derive(Clone, Debug)]
 pub(super) struct RunningAttempt {
     pub(super) slot: Slot,
@@ -31,8 +30,8 @@
 }
 
 impl JobController {
-    /// A step is opened once it is at most `staleness_bound` steps ahead of the trainer: a trainer that
-    /// publishes one version a step would find later ones too old.
+    /// Opens the steps that are at most `staleness_bound` steps ahead of the trainer. Samples of later steps
+    /// would be too old for a trainer that publishes one version per step.
     pub(super) fn open_steps(&mut self) {
         let specification = self.ledger.specification();
         let ahead = u32::try_from(specification.staleness_bound).unwrap_or(u32::MAX);
@@ -57,13 +56,14 @@
         }
     }
 
-    /// The version at which the trainer is expected to pull a slot, at one version a step.
+    /// Returns the version at which the trainer is expected to pull a slot, at one version per step.
     pub(super) fn expected_trainer_version(&self, slot: Slot) -> WeightVersion {
         let steps_ahead = slot.step.saturating_sub(self.ledger.step());
         WeightVersion(self.ledger.trainer_version().0 + u64::from(steps_ahead))
     }
 
-    /// The staleness test at admission: what older weights would make can only be thrown away later.
+    /// Returns the oldest weight version that may start an attempt. Samples of older weights would be
+    /// dropped later.
     pub(super) fn minimum_version(&self, slot: Slot) -> WeightVersion {
         if !self.config.checks.staleness_before_hand_over {
             return WeightVersion::default();
@@ -83,16 +83,16 @@
         self.actions.push_back(Action::Start(AttemptStart { attempt, slot, seed, minimum_version }));
     }
 
-    pub(super) fn give_up_late_attempts(&mut self, now: Timestamp) {
+    pub(super) fn cancel_timed_out_attempts(&mut self, now: Timestamp) {
         let timeout = self.config.attempt_timeout;
-        let is_late = |running: &RunningAttempt| now.saturating_since(running.started_at) >= timeout;
-        let late: Vec<AttemptId> = self
+        let is_timed_out = |running: &RunningAttempt| now.saturating_since(running.started_at) >= timeout;
+        let timed_out: Vec<AttemptId> = self
             .running
             .iter()
-            .filter(|(_, running)| is_late(running))
+            .filter(|(_, running)| is_timed_out(running))
             .map(|(attempt, _)| attempt.clone())
             .collect();
-        for attempt in late {
+        for attempt in timed_out {
             self.cancel(&attempt, "attempt_timeout");
         }
     }
@@ -109,7 +109,7 @@
         self.actions.push_back(Action::Decide(decision));
     }
 
-    /// The staleness test while an attempt runs: its oldest tokens only get older.
+    /// Cancels a running attempt whose tokens are too old already.
     pub(super) fn handle_progress(
         &mut self,
         attempt: &AttemptId,
@@ -120,13 +120,13 @@
         running.token_count = token_count;
         let slot = running.slot;
         let expected = self.expected_trainer_version(slot);
-        let is_tested = self.config.checks.staleness_before_hand_over;
-        if is_tested && self.ledger.staleness_bound().check(weight_version, expected).is_err() {
+        let is_enabled = self.config.checks.staleness_before_hand_over;
+        if is_enabled && self.ledger.staleness_bound().check(weight_version, expected).is_err() {
             self.cancel(attempt, "stale_while_running");
         }
     }
 
-    /// A result counts once: a repeated one finds no running attempt.
+    /// Removes a running attempt, so that a repeated result is ignored.
     fn end_attempt(&mut self, attempt: &AttemptId) -> Option<RunningAttempt> {
         if self.config.checks.decide_once {
             return self.running.remove(attempt);
@@ -134,7 +134,12 @@
         self.running.get(attempt).cloned()
     }
 
-    pub(super) fn handle_end(&mut self, attempt: &AttemptId, outcome: AttemptOutcome, now: Timestamp) {
+    pub(super) fn handle_attempt_end(
+        &mut self,
+        attempt: &AttemptId,
+        outcome: AttemptOutcome,
+        now: Timestamp,
+    ) {
         let Some(running) = self.end_attempt(attempt) else { return };
         match outcome {
             AttemptOutcome::Refused { reason, retry_after } => {
@@ -149,7 +154,7 @@
                 let failures = self.failures.entry(running.slot).or_default();
                 *failures += 1;
                 let start = self.config.retry_delay;
-                let backoff = Backoff::new(start, MAX_RETRY_PAUSE.max(start));
+                let backoff = Backoff::new(start, MAX_RETRY_DELAY.max(start));
                 let delay = retry_after.unwrap_or(backoff.pause(*failures));
                 self.queue.push_delayed(running.slot, now + delay);
                 let decision = Decision::new(Component::Rollout, "attempt_failed", &reason, attempt)
@@ -175,14 +180,14 @@
         now: Timestamp,
     ) {
         if let Err(error) = check_coverage(&sample.spans, sample.tokens.len()) {
-            log::warn!(target: "rollout", "Attempt {attempt} gave no sample: {error}.");
+            log::warn!(target: "rollout", "Attempt {attempt} returned an invalid sample: {error}.");
             self.queue.push_delayed(running.slot, now + self.config.retry_delay);
             self.drop_sample(attempt, "incomplete_versions", &sample);
             return;
         }
         let bound = self.ledger.staleness_bound();
-        let is_tested = self.config.checks.staleness_before_hand_over;
-        if is_tested && bound.check_spans(&sample.spans, self.ledger.trainer_version()).is_err() {
+        let is_enabled = self.config.checks.staleness_before_hand_over;
+        if is_enabled && bound.check_spans(&sample.spans, self.ledger.trainer_version()).is_err() {
             self.tokens.stale_at_decision += sample.tokens.len() as u64;
             self.queue.push(running.slot);
             self.drop_sample(attempt, "stale_at_decision", &sample);
@@ -192,7 +197,7 @@
         let record = JobRecord::Decided { generation: running.generation, sample };
         match self.propose(record) {
             Ok(()) => self.tokens.decided += token_count,
-            Err(error) => log::debug!(target: "rollout", "Attempt {attempt} came too late: {error}."),
+            Err(error) => log::debug!(target: "rollout", "Attempt {attempt} ended too late: {error}."),
         }
     }
 
--- a/crates/core/src/rollout/controller/config.rs
+++ b/crates/core/src/rollout/controller/config.rs
@@ -1,30 +1,26 @@
-//! Settings of an owner, and its mechanisms.
+//! Configuration of a job's owner.
 
 use std::time::Duration;
 
-/// Attempts of one job at once. Chosen, not measured: the pool's window (`window`) is mostly smaller.
 const MAX_IN_FLIGHT: usize = 256;
-/// The pause after a failed attempt that named none. Chosen, not measured: shorter storms an engine that
-/// fails at once.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The longest attempt. Chosen, not measured: shorter throws long texts away, longer lets a lost attempt hold
-/// its slot.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(600);
-/// Tokens of one batch for the trainer. Chosen, not measured: some megabytes in one answer.
+/// Keeps one answer to a few megabytes.
 const MAX_BATCH_TOKENS: usize = 1 << 20;
 
-/// Settings of an owner.
+/// Configuration of a job's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerConfig {
-    /// Attempts of one job that run at once.
+    /// Most concurrent attempts of one job.
     pub max_in_flight: usize,
-    /// How long a slot rests after a failed attempt that gave no time to come back.
+    /// Initial retry delay of a slot after a failed attempt without a `retry_after`. Doubles with each
+    /// failure in a row.
     pub retry_delay: Duration,
-    /// After this time without a result an attempt is given up and its slot tried anew.
+    /// After this time without a result an attempt is cancelled and its slot retried.
     pub attempt_timeout: Duration,
-    /// A batch for the trainer ends before it grows beyond this many tokens, one sample at least.
+    /// Most tokens in a batch for the trainer. A batch has at least one sample.
     pub max_batch_tokens: usize,
-    /// Mechanisms; all on in service.
+    /// Safety mechanisms; all on in production.
     pub checks: ControllerChecks,
 }
 
@@ -40,20 +36,21 @@
     }
 }
 
-/// Mechanisms of an owner. All on in service; proofs switch one off to show that it is needed.
+/// Safety mechanisms of a job's owner. All are on in production; simulations switch one off to show that it
+/// is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerChecks {
-    /// Reveal an answer only once the records it rests on are kept by a majority.
+    /// Send an answer only once the records that it depends on are committed.
     pub commit_before_answer: bool,
-    /// Refuse a pull only once a barrier is kept: an owner that has been superseded knows an old cursor.
+    /// Refuse a pull only once a barrier is committed, since a superseded owner knows an old cursor.
     pub confirm_refusals: bool,
-    /// Test the staleness bound at admission, while an attempt runs and at decision. Only saves work.
+    /// Check the staleness bound before and during an attempt and at decision. Only saves work.
     pub staleness_before_hand_over: bool,
-    /// Test the staleness bound at hand-over.
+    /// Check the staleness bound at hand-over.
     pub staleness_at_hand_over: bool,
-    /// Take a result only from a running attempt, and decide only a slot that is open.
+    /// Accept a result only from a running attempt, and decide only open slots.
     pub decide_once: bool,
-    /// Move the cursor only when the trainer states it, not when its batch is answered.
+    /// Move the cursor when the trainer states it rather than when the batch is sent.
     pub cursor_by_trainer: bool,
 }
 
--- a/crates/core/src/rollout/controller/event.rs
+++ b/crates/core/src/rollout/controller/event.rs
@@ -1,4 +1,4 @@
-//! What an owner takes in and what it asks its driver to do.
+//! Events that a job's owner handles and actions that it returns to its driver.
 
 use std::time::Duration;
 
@@ -10,91 +10,92 @@
 use super::super::record::JobRecord;
 use super::super::slot::Slot;
 
-/// What happened.
+/// Input of a job's owner.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A running attempt reported tokens made by this version.
+    /// A running attempt reported tokens.
     AttemptProgress {
         /// The attempt.
         attempt: AttemptId,
-        /// The version that the engine reported with them.
+        /// The weight version that the engine reported with them.
         weight_version: WeightVersion,
-        /// Tokens so far.
+        /// Number of tokens so far.
         token_count: u32,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Its outcome.
         outcome: AttemptOutcome,
     },
-    /// A trainer pulls; the answer names the ticket.
+    /// A trainer pulled samples.
     Pull {
-        /// Chosen by the driver.
+        /// Correlates the answer; assigned by the driver.
         ticket: u64,
-        /// The pull.
+        /// The trainer's request.
         request: PullRequest,
     },
-    /// The records of the last [`Action::Append`] are kept by a majority.
+    /// The records of the last [`Action::Append`] are committed.
     Appended,
-    /// The time of [`JobController::next_wakeup`](super::JobController::next_wakeup) has come.
+    /// The time of [`JobController::next_wakeup`](super::JobController::next_wakeup) was reached.
     WakeUp,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug)]
 pub enum AttemptOutcome {
-    /// A whole answer, scored.
+    /// A complete and scored answer.
     Completed {
-        /// Its tokens.
+        /// Generated tokens.
         tokens: Vec<u32>,
-        /// Which weights produced which tokens.
+        /// The weight version of each run of tokens.
         spans: Vec<VersionSpan>,
         /// The scorer's reward.
         reward: f64,
     },
-    /// Nothing ran: the pool has no place now, or no replica whose weights are new enough.
+    /// Nothing ran: the pool has no capacity now, or no replica with recent enough weights.
     Refused {
-        /// Why; a metrics label.
+        /// The reason, used as a metrics label.
         reason: String,
-        /// When to come back, where it is known.
+        /// When to retry, if known.
         retry_after: Option<Duration>,
     },
-    /// No usable answer.
+    /// The attempt returned no usable answer.
     Failed {
-        /// Why; a metrics label.
+        /// The reason, used as a metrics label.
         reason: String,
-        /// When to come back, where it is known.
+        /// When to retry, if known.
         retry_after: Option<Duration>,
     },
 }
 
-/// What an attempt needs to run.
+/// Inputs of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
-    /// Names the attempt, also across owners.
+    /// The attempt's id, unique across owners.
     pub attempt: AttemptId,
     /// The slot to fill.
     pub slot: Slot,
-    /// The seed of sampling; the same for each attempt at this generation of the slot.
+    /// Sampling seed, the same for each attempt at this generation of the slot.
     pub seed: u64,
-    /// Replicas with older weights are to be passed over: their sample would be too old at hand-over.
+    /// Replicas with older weights are skipped, since their sample would be too old at hand-over.
     pub minimum_version: WeightVersion,
 }
 
-/// What the driver is to do, in this order.
+/// Output of a job's owner. The driver performs the actions in order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Run an attempt and report how it ended.
+    /// Run an attempt and report its outcome.
     Start(AttemptStart),
-    /// Stop an attempt; its end need not be reported.
+    /// Stop an attempt. Its outcome need not be reported.
     Cancel(AttemptId),
-    /// Append these records to the log and report [`Event::Appended`]. Only one append is outstanding.
+    /// Append these records to the log and report [`Event::Appended`]. Only one append is in progress at a
+    /// time.
     Append(Vec<JobRecord>),
     /// Replace all records appended so far by this snapshot.
     Compact(Vec<u8>),
-    /// Answer a pull.
+    /// Send the answer to a pull.
     Answer {
         /// The pull's ticket.
         ticket: u64,
--- a/crates/core/src/rollout/controller/hand_over.rs
+++ b/crates/core/src/rollout/controller/hand_over.rs
@@ -1,4 +1,4 @@
-//! The trainer's pull: what it states, what is too old for it, and the batch it gets.
+//! Handles the trainer's pulls: moves the cursor, drops samples that are too old, and hands over a batch.
 
 use crate::decision::{Component, Decision};
 
@@ -8,44 +8,45 @@
 use super::super::slot::Slot;
 use super::JobController;
 use super::event::Action;
-use super::proposals::HeldAnswer;
+use super::proposals::PendingAnswer;
 
 impl JobController {
     pub(super) fn handle_pull(&mut self, ticket: u64, request: &PullRequest) {
         let answer = self.pull(request);
         if answer.is_err() && self.config.checks.confirm_refusals {
-            self.propose_fitting(JobRecord::Barrier);
+            self.propose_valid(JobRecord::Barrier);
         }
-        let held = HeldAnswer { after_record: self.proposed_count, ticket, answer };
-        self.held_answers.push_back(held);
+        let pending = PendingAnswer { after_record: self.proposed_count, ticket, answer };
+        self.pending_answers.push_back(pending);
         self.release_answers();
     }
 
-    /// Everything that the answer rests on is a proposed record, so a new owner gives the same answer.
+    /// Computes the answer to a pull. It depends only on proposed records, so a new owner gives the same
+    /// answer.
     pub(super) fn pull(&mut self, request: &PullRequest) -> Result<PullResponse, PullRefusal> {
         let mut request = request.clone();
         if !self.config.checks.cursor_by_trainer {
             request.cursor = self.ledger.saved_cursor();
         }
         self.ledger.check_pull(&request)?;
-        self.note_trainer(&request);
+        self.update_trainer_position(&request);
         self.void_stale_batch();
         self.reopen_stale_slots();
         self.hand_over(request.max_samples);
         let response = self.pull_response(&request);
         if !self.config.checks.cursor_by_trainer {
-            self.note_trainer(&PullRequest { cursor: response.next_cursor, ..request });
+            self.update_trainer_position(&PullRequest { cursor: response.next_cursor, ..request });
         }
         Ok(response)
     }
 
-    pub(super) fn note_trainer(&mut self, request: &PullRequest) {
+    pub(super) fn update_trainer_position(&mut self, request: &PullRequest) {
         let PullRequest { cursor, trainer_version, .. } = *request;
         if cursor == self.ledger.saved_cursor() && trainer_version == self.ledger.trainer_version() {
             return;
         }
         let step = self.ledger.step();
-        self.propose_fitting(JobRecord::CursorMoved { cursor, trainer_version });
+        self.propose_valid(JobRecord::CursorMoved { cursor, trainer_version });
         if self.ledger.step() > step {
             self.compact_after = Some(self.proposed_count);
             let decision = Decision::new(Component::Rollout, "closed_step", "saved_by_trainer", step)
@@ -54,8 +55,8 @@
         }
     }
 
-    /// The test at hand-over, for samples that were handed out and not saved: the bound goes before the
-    /// promise that the same cursor gives the same samples.
+    /// Voids the unsaved batch if one of its samples has become too old. The staleness bound takes precedence
+    /// over returning the same samples for the same cursor.
     pub(super) fn void_stale_batch(&mut self) {
         let Some((start, samples)) = self.ledger.unsaved_batch() else { return };
         if samples.iter().all(|sample| self.is_fresh(sample)) {
@@ -64,11 +65,11 @@
         let decision = Decision::new(Component::Rollout, "voided_batch", "stale_at_hand_over", start)
             .with("samples", samples.len())
             .with("trainer_version", self.ledger.trainer_version());
-        self.propose_fitting(JobRecord::BatchVoided);
+        self.propose_valid(JobRecord::BatchVoided);
         self.actions.push_back(Action::Decide(decision));
     }
 
-    /// The test at hand-over, for samples that wait: the one that the bound rests on.
+    /// Reopens the ready slots whose samples have become too old. This check guarantees the staleness bound.
     pub(super) fn reopen_stale_slots(&mut self) {
         let stale: Vec<(Slot, u64)> = self
             .ledger
@@ -78,7 +79,7 @@
             .collect();
         for (slot, token_count) in stale {
             let generation = self.ledger.generation_of(slot) + 1;
-            self.propose_fitting(JobRecord::Reopened { slot, generation });
+            self.propose_valid(JobRecord::Reopened { slot, generation });
             self.tokens.stale_at_hand_over += token_count;
             self.queue.push(slot);
             let decision = Decision::new(Component::Rollout, "reopened", "stale_at_hand_over", slot)
@@ -108,7 +109,7 @@
         let ready = self.ledger.ready().take(max_samples as usize);
         let slots: Vec<Slot> = ready.take_while(fits).map(|sample| sample.slot).collect();
         if !slots.is_empty() {
-            self.propose_fitting(JobRecord::HandedOver { slots });
+            self.propose_valid(JobRecord::HandedOver { slots });
         }
     }
 
--- a/crates/core/src/rollout/controller/mod.rs
+++ b/crates/core/src/rollout/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a job: starts attempts, decides slots, answers pulls.
+//! Owner of a job: starts attempts, decides slots and answers pulls.
 
 mod attempts;
 mod config;
@@ -21,30 +21,30 @@
 use attempts::RunningAttempt;
 pub use config::{ControllerChecks, ControllerConfig};
 pub use event::{Action, AttemptOutcome, AttemptStart, Event};
-use proposals::HeldAnswer;
+use proposals::PendingAnswer;
 use window::DispatchWindow;
 
-/// A log can't be taken over.
+/// A job can't be recovered from its log.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoverError {
-    /// An entry can't be read.
+    /// An entry can't be decoded.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// An entry does not fit those before it.
+    /// An entry is inconsistent with those before it.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
 }
 
-/// Tokens by what became of them, since this owner began.
+/// Numbers of generated tokens by their use, since this owner started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
     /// In samples that were decided.
     pub decided: u64,
-    /// Thrown away while the attempt ran: it could only have become too old.
+    /// Discarded because the attempt was cancelled.
     pub cancelled: u64,
-    /// Thrown away when the attempt ended: too old already.
+    /// Discarded as too old when the attempt ended.
     pub stale_at_decision: u64,
-    /// Thrown away at hand-over.
+    /// Discarded as too old at hand-over.
     pub stale_at_hand_over: u64,
 }
 
@@ -61,34 +61,34 @@
 /// The owner of a job.
 ///
 /// Records are applied to the ledger when they are proposed. That is safe because only this owner can append
-/// under its epoch: when an append fails the driver drops the whole controller and takes the shard over
-/// again. Invariant: an answer leaves only after every record proposed before it is kept by a majority.
+/// under its epoch, and when an append fails the driver drops the whole controller and takes the shard over
+/// again. Invariant: an answer is sent only after every record proposed before it is committed.
 pub struct JobController {
     config: ControllerConfig,
     epoch: Epoch,
     ledger: JobLedger,
     queue: SlotQueue,
-    /// Steps below this one have been put into the queue.
+    /// Steps below this one have been queued.
     opened_steps: u32,
     running: BTreeMap<AttemptId, RunningAttempt>,
-    /// Attempts that failed in a row, by slot.
+    /// Consecutive failed attempts, by slot.
     failures: BTreeMap<Slot, u32>,
     window: DispatchWindow,
     attempts_started: u64,
-    /// Whether the log held the specification when this owner began.
+    /// Whether the log contained the specification when this owner started.
     is_recovered: bool,
     proposed: Vec<JobRecord>,
     proposed_count: u64,
     appending_count: Option<u64>,
     appended_count: u64,
-    held_answers: VecDeque<HeldAnswer>,
+    pending_answers: VecDeque<PendingAnswer>,
     compact_after: Option<u64>,
     tokens: TokenCounts,
     actions: VecDeque<Action>,
 }
 
 impl JobController {
-    /// The owner of a new job. The specification must have passed [`JobSpecification::validate`].
+    /// Creates the owner of a new job. The specification must have passed [`JobSpecification::validate`].
     pub fn create(
         specification: JobSpecification,
         epoch: Epoch,
@@ -107,10 +107,10 @@
         controller
     }
 
-    /// The owner that goes on where an earlier one stopped; `None` where the log is empty.
+    /// Recovers the owner of a job from its log. Returns `None` for an empty log.
     ///
     /// # Errors
-    /// When an entry can't be read or does not fit.
+    /// Fails when an entry can't be decoded or is inconsistent with those before it.
     pub fn recover(
         snapshot: Option<&[u8]>,
         records: &[Vec<u8>],
@@ -153,20 +153,20 @@
             proposed_count: 0,
             appending_count: None,
             appended_count: 0,
-            held_answers: VecDeque::new(),
+            pending_answers: VecDeque::new(),
             compact_after: None,
             tokens: TokenCounts::default(),
             actions: VecDeque::new(),
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::AttemptProgress { attempt, weight_version, token_count } => {
                 self.handle_progress(&attempt, weight_version, token_count);
             }
-            Event::AttemptEnded { attempt, outcome } => self.handle_end(&attempt, outcome, now),
+            Event::AttemptEnded { attempt, outcome } => self.handle_attempt_end(&attempt, outcome, now),
             Event::Pull { ticket, request } => self.handle_pull(ticket, &request),
             Event::Appended => self.handle_appended(),
             Event::WakeUp => {}
@@ -174,40 +174,40 @@
         self.advance(now);
     }
 
-    /// The next thing to do.
+    /// Returns the next action for the driver.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When to hand in [`Event::WakeUp`] at the latest.
+    /// Returns when to pass in [`Event::WakeUp`] at the latest.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let timeout = |attempt: &RunningAttempt| attempt.started_at + self.config.attempt_timeout;
         let first_timeout = self.running.values().map(timeout).min();
-        let hold_ends = self.window.hold_ends().filter(|_| !self.queue.is_empty());
-        [first_timeout, self.queue.next_due(), hold_ends].into_iter().flatten().min()
+        let paused_until = self.window.paused_until().filter(|_| !self.queue.is_empty());
+        [first_timeout, self.queue.next_due(), paused_until].into_iter().flatten().min()
     }
 
-    /// The state that the log amounts to.
+    /// Returns the state of the job.
     pub fn ledger(&self) -> &JobLedger {
         &self.ledger
     }
 
-    /// What became of the tokens since this owner began.
+    /// Returns the numbers of generated tokens by their use.
     pub fn token_counts(&self) -> TokenCounts {
         self.tokens
     }
 
-    /// The settings.
+    /// Returns the configuration.
     pub fn config(&self) -> &ControllerConfig {
         &self.config
     }
 
-    /// Whether the job's specification is kept by a majority.
+    /// Returns whether the job's specification is committed.
     pub fn is_created(&self) -> bool {
         self.is_recovered || self.appended_count > 0
     }
 
-    /// How the job stands.
+    /// Returns the status of the job.
     pub fn status(&self) -> JobStatus {
         let specification = self.ledger.specification();
         JobStatus {
@@ -223,7 +223,7 @@
     }
 
     fn advance(&mut self, now: Timestamp) {
-        self.give_up_late_attempts(now);
+        self.cancel_timed_out_attempts(now);
         self.open_steps();
         self.queue.advance(now);
         self.start_attempts(now);
--- a/crates/core/src/rollout/controller/proposals.rs
+++ b/crates/core/src/rollout/controller/proposals.rs
@@ -1,4 +1,4 @@
-//! Records on their way into the log, and the answers that rest on them.
+//! Proposes records to the log and holds back the answers that depend on them until they are committed.
 
 use super::super::delivery::{PullRefusal, PullResponse};
 use super::super::ledger::LedgerError;
@@ -6,9 +6,9 @@
 use super::JobController;
 use super::event::Action;
 
-/// An answer that waits for its records to be kept.
-pub(super) struct HeldAnswer {
-    /// The answer rests on records up to this number.
+/// An answer that waits until its records are committed.
+pub(super) struct PendingAnswer {
+    /// Number of records proposed before the answer.
     pub(super) after_record: u64,
     pub(super) ticket: u64,
     pub(super) answer: Result<PullResponse, PullRefusal>,
@@ -22,10 +22,10 @@
         Ok(())
     }
 
-    /// Proposes a record that was made from the ledger as it stands.
-    pub(super) fn propose_fitting(&mut self, record: JobRecord) {
+    /// Proposes a record derived from the current ledger, which is always consistent with it.
+    pub(super) fn propose_valid(&mut self, record: JobRecord) {
         if let Err(error) = self.propose(record) {
-            log::error!(target: "rollout", "A record did not fit the ledger it was made from: {error}.");
+            log::error!(target: "rollout", "A record is inconsistent with its ledger: {error}.");
         }
     }
 
@@ -39,14 +39,15 @@
         self.compact_closed_steps();
     }
 
-    /// The snapshot stands for exactly the records that have been given to the driver so far.
+    /// Compacts the log after a step was closed. The snapshot covers exactly the records passed to the driver
+    /// so far.
     pub(super) fn compact_closed_steps(&mut self) {
         if self.compact_after.take().is_none() {
             return;
         }
         match self.ledger.snapshot() {
             Ok(snapshot) => self.actions.push_back(Action::Compact(snapshot)),
-            Err(error) => log::warn!(target: "rollout", "The log was not compacted: {error}."),
+            Err(error) => log::warn!(target: "rollout", "The log of a job could not be compacted: {error}."),
         }
     }
 
@@ -57,9 +58,9 @@
     }
 
     pub(super) fn release_answers(&mut self) {
-        let kept = if self.config.checks.commit_before_answer { self.appended_count } else { u64::MAX };
-        while self.held_answers.front().is_some_and(|held| held.after_record <= kept) {
-            let Some(HeldAnswer { ticket, answer, .. }) = self.held_answers.pop_front() else { return };
+        let committed = if self.config.checks.commit_before_answer { self.appended_count } else { u64::MAX };
+        while self.pending_answers.front().is_some_and(|pending| pending.after_record <= committed) {
+            let Some(PendingAnswer { ticket, answer, .. }) = self.pending_answers.pop_front() else { return };
             self.actions.push_back(Action::Answer { ticket, answer });
         }
     }
--- a/crates/core/src/rollout/controller/window.rs
+++ b/crates/core/src/rollout/controller/window.rs
@@ -1,63 +1,61 @@
-//! How many attempts of a job run at once: as many as the pool takes.
+//! Limits the concurrent attempts of a job to what its pool accepts.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Attempts started before the pool has shown what it takes. Chosen, not measured: the window opens with each
-/// completion.
-const FIRST_SIZE: usize = 16;
-/// The longest time without a try after a refusal. A refusal by the dispatcher costs no message, and a place
-/// that another job or a caller left is found no later than this. Chosen, not measured.
-const MAX_HOLD: Duration = Duration::from_millis(100);
+/// Concurrent attempts before the first refusal or completion.
+const INITIAL_SIZE: usize = 16;
+/// Longest pause after a refusal. Bounds the time until capacity released by other requests is used.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 
-/// A window that closes at a refusal and opens with each completion (compare the congestion windows of
-/// Jacobson, "Congestion avoidance and control", 1988; a refusal names the limit exactly, so nothing is
-/// halved).
+/// A window that shrinks at a refusal and grows with each completion, similar to a TCP congestion window
+/// (Jacobson, "Congestion avoidance and control", 1988). It shrinks to the number of running attempts rather
+/// than by half, since a refusal shows the limit exactly.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DispatchWindow {
     limit: usize,
     size: usize,
-    hold_ends: Option<Timestamp>,
+    paused_until: Option<Timestamp>,
 }
 
 impl DispatchWindow {
     pub(super) fn new(limit: usize) -> Self {
-        Self { limit, size: FIRST_SIZE.min(limit), hold_ends: None }
+        Self { limit, size: INITIAL_SIZE.min(limit), paused_until: None }
     }
 
-    /// Whether another attempt may start beside those that run.
+    /// Returns whether another attempt may start.
     pub(super) fn allows(&self, running: usize) -> bool {
-        self.hold_ends.is_none() && running < self.size
+        self.paused_until.is_none() && running < self.size
     }
 
-    /// Ends a hold whose time has come, with room for one more try.
+    /// Ends an expired pause and grows the window by one attempt.
     pub(super) fn advance(&mut self, now: Timestamp) {
-        if self.hold_ends.is_some_and(|at| at <= now) {
-            self.hold_ends = None;
+        if self.paused_until.is_some_and(|at| at <= now) {
+            self.paused_until = None;
             self.grow();
         }
     }
 
-    /// The pool took no more than those that run.
+    /// Records that the pool accepted no more than the running attempts.
     pub(super) fn refused(&mut self, running: usize, retry_after: Option<Duration>, now: Timestamp) {
         self.size = running.min(self.limit);
-        let hold = retry_after.map_or(MAX_HOLD, |hold| hold.min(MAX_HOLD));
-        self.hold_ends = Some(now + hold);
+        let pause = retry_after.map_or(MAX_PAUSE, |pause| pause.min(MAX_PAUSE));
+        self.paused_until = Some(now + pause);
     }
 
-    /// An attempt ended and left its place.
+    /// Records a completed attempt, which released its capacity.
     pub(super) fn completed(&mut self) {
-        self.hold_ends = None;
+        self.paused_until = None;
         self.grow();
     }
 
-    /// When a hold ends.
-    pub(super) fn hold_ends(&self) -> Option<Timestamp> {
-        self.hold_ends
+    /// Returns when the pause ends, if there is one.
+    pub(super) fn paused_until(&self) -> Option<Timestamp> {
+        self.paused_until
     }
 
-    /// How many attempts may run.
+    /// Returns how many attempts may run at once.
     pub(super) fn size(&self) -> usize {
         self.size
     }
--- a/crates/core/src/rollout/delivery.rs
+++ b/crates/core/src/rollout/delivery.rs
@@ -1,4 +1,4 @@
-//! The trainer's pull: positions, the cursor, and the one batch that is not saved yet (brief point 3).
+//! Delivery of samples to the trainer: the pull messages, the cursor, and the one batch that is not saved.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -8,50 +8,50 @@
 use super::sample::Sample;
 use super::slot::Slot;
 
-/// A trainer asks for samples from its cursor on. The cursor moves only by this word: everything before
-/// `cursor` is taken as saved by the trainer (brief point 3).
+/// A trainer's request for samples from its cursor on. Only this request moves the cursor: it states that the
+/// trainer has saved everything before `cursor`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct PullRequest {
     /// The position after the last sample that the trainer has saved.
     pub cursor: u64,
-    /// At most this many samples.
+    /// Most samples to return.
     pub max_samples: u32,
-    /// The version the trainer is about to train; the staleness bound is tested against it.
+    /// The version that the trainer is about to train, against which the staleness bound is checked.
     pub trainer_version: WeightVersion,
 }
 
-/// Samples in the order of their positions.
+/// The answer to a pull, with samples in order of position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Readable, Writable)]
 pub struct PullResponse {
-    /// The samples from the asked cursor on; may be empty when none is ready.
+    /// The samples from the requested cursor on; empty when none is ready.
     pub samples: Vec<Sample>,
-    /// The cursor to ask with next, once these are saved.
+    /// The cursor of the next pull, once these samples are saved.
     pub next_cursor: u64,
-    /// Whether the job has nothing more to give.
+    /// Whether the trainer has saved every sample of the job.
     pub finished: bool,
 }
 
-/// Why a pull can't be answered.
+/// Why a pull was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PullRefusal {
-    /// The trainer said earlier that it had saved more than it says now.
+    /// The cursor is behind the one that the trainer stated earlier.
     #[error("cursor {cursor} is behind {saved}, which was stated as saved; pull from {saved} on")]
     CursorBehind {
-        /// The cursor asked with.
+        /// The requested cursor.
         cursor: u64,
         /// The cursor stated earlier.
         saved: u64,
     },
-    /// The cursor is no position of the batch that was handed over last.
+    /// The cursor is not a position of the unsaved batch.
     #[error("cursor {cursor} was never handed out or its batch was voided; pull from {saved} on")]
     CursorUnknown {
-        /// The cursor asked with.
+        /// The requested cursor.
         cursor: u64,
         /// The cursor stated earlier.
         saved: u64,
     },
-    /// The trainer stated a later version before.
+    /// The trainer stated a higher version earlier.
     #[error(
         "trainer version {stated} is behind {highest}, stated earlier; submit a new job after a rollback"
     )]
@@ -64,7 +64,7 @@
 }
 
 impl PullRefusal {
-    /// A stable word in snake case for the caller.
+    /// Returns the stable name in snake case for the caller.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::CursorBehind { .. } => "cursor_behind",
@@ -74,7 +74,7 @@
     }
 }
 
-/// Positions handed out but not stated as saved.
+/// A batch that was handed over and not yet stated as saved.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(super) struct Batch {
     /// The position of the first slot.
@@ -89,30 +89,30 @@
     }
 }
 
-/// Where the hand-over stands.
+/// Progress of the hand-over.
 ///
-/// There is at most one unsaved batch: a later one is made only when the trainer states a cursor at its end.
-/// A position is never used twice, also not after its batch was voided, so a trainer that saved a voided
-/// batch all the same is found out by its cursor.
+/// There is at most one unsaved batch: the next one is created only after the trainer has stated a cursor at
+/// its end. A position is never reused, even after its batch was voided, so the cursor of a trainer that
+/// saved a voided batch is detected as unknown.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub(super) struct Delivery {
-    /// The cursor that the trainer stated last.
+    /// The cursor last stated by the trainer.
     pub(super) saved: u64,
-    /// What was handed out from there on.
+    /// The unsaved batch.
     pub(super) batch: Option<Batch>,
-    /// The next position that has never been used.
+    /// The next unused position.
     pub(super) next_position: u64,
-    /// The highest version that the trainer stated.
+    /// The highest version stated by the trainer.
     pub(super) trainer_version: WeightVersion,
-    /// Samples stated as saved.
+    /// Number of samples stated as saved.
     pub(super) saved_samples: u64,
 }
 
 impl Delivery {
-    /// Whether a trainer that keeps to the contract can state this cursor and version now.
+    /// Checks whether a correct trainer can state this cursor and version now.
     ///
     /// # Errors
-    /// Says what does not fit.
+    /// Returns the reason for refusing the pull.
     pub(super) fn check(&self, cursor: u64, trainer_version: WeightVersion) -> Result<(), PullRefusal> {
         if cursor < self.saved {
             return Err(PullRefusal::CursorBehind { cursor, saved: self.saved });
@@ -132,7 +132,7 @@
         cursor == self.saved || self.batch.as_ref().is_some_and(inside)
     }
 
-    /// Moves the cursor and gives the slots that this states as saved.
+    /// Moves the cursor and returns the slots that are saved by this.
     pub(super) fn move_cursor(&mut self, cursor: u64) -> Vec<Slot> {
         self.saved = cursor;
         let Some(batch) = &mut self.batch else { return Vec::new() };
@@ -146,7 +146,7 @@
         saved
     }
 
-    /// Samples handed out and not voided.
+    /// Returns the number of samples handed over and not voided.
     pub(super) fn delivered(&self) -> u64 {
         self.saved_samples + self.batch.as_ref().map_or(0, |batch| batch.slots.len() as u64)
     }
--- a/crates/core/src/rollout/ledger.rs
+++ b/crates/core/src/rollout/ledger.rs
@@ -1,4 +1,4 @@
-//! What a job's log amounts to.
+//! State of a job, derived from the records of its log.
 
 use std::collections::BTreeMap;
 
@@ -14,39 +14,39 @@
 use super::specification::JobSpecification;
 use super::staleness::StalenessBound;
 
-/// The state of a job: the result of applying its records in order. Two owners that apply the same records
-/// hold the same ledger.
+/// State of a job: the result of applying its records in order. Two owners that apply the same records hold
+/// equal ledgers.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct JobLedger {
     specification: JobSpecification,
-    /// The first step that is not closed. Slots of earlier steps are all saved, and forgotten.
+    /// The first step that is not closed. Slots of earlier steps are all saved, and their states dropped.
     step: u32,
-    /// Slots that have left the initial state. Absent means open, in generation 0.
+    /// Slots that have left the initial state. An absent slot is open in generation 0.
     slots: BTreeMap<Slot, SlotState>,
     delivery: Delivery,
     reopened: u64,
-    /// Decide only a slot that is open. Always on in service; proofs switch it off.
+    /// Decide only open slots. Always on in production; simulations switch it off.
     #[speedy(skip)]
     decide_once: bool,
 }
 
-/// A record does not fit the records before it.
+/// A record is inconsistent with the records before it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LedgerError {
     /// The first record is not `Submitted`, or a later one is.
     #[error("the log does not begin with the job's specification; submit the job again under another name")]
     NoSpecification,
-    /// The slot is not in the phase that the record needs, or the record names another generation.
+    /// The slot is not in the phase that the record requires, or the record names another generation.
     #[error("slot {slot} is not {needed} in generation {generation}; discard this record's cause")]
     WrongPhase {
         /// The slot.
         slot: Slot,
-        /// The phase that it should be in.
+        /// The required phase.
         needed: &'static str,
-        /// The generation that the record names.
+        /// The generation named by the record.
         generation: u32,
     },
-    /// The slot is no slot of the job, or of a step that is closed.
+    /// The slot does not exist in the job, or its step is closed.
     #[error("slot {slot} is not open for decisions in this job; discard the attempt")]
     NoSuchSlot {
         /// The slot.
@@ -55,10 +55,10 @@
     /// The sample's spans do not cover its tokens.
     #[error(transparent)]
     Spans(#[from] SpanError),
-    /// The cursor or the version does not fit.
+    /// The cursor or the trainer version is invalid.
     #[error(transparent)]
     Pull(#[from] PullRefusal),
-    /// A batch was made while one was unsaved, or none was there to be voided.
+    /// A batch was created while one was unsaved, or voided while there was none.
     #[error(
         "a batch can only be made when none is unsaved, and voided when one is; take the shard over again"
     )]
@@ -66,7 +66,7 @@
 }
 
 impl JobLedger {
-    /// A job of which nothing but the specification is known. `decide_once` is on in service.
+    /// Creates the ledger of a new job. `decide_once` is on in production.
     pub(crate) fn new(specification: JobSpecification, decide_once: bool) -> Self {
         Self {
             specification,
@@ -78,27 +78,27 @@
         }
     }
 
-    /// A ledger from the bytes of [`Self::snapshot`].
+    /// Decodes a ledger from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are no ledger.
+    /// Fails when the bytes can't be decoded.
     pub(crate) fn from_snapshot(bytes: &[u8], decide_once: bool) -> Result<Self, RecordError> {
         let ledger = Self::read_from_buffer(bytes)?;
         Ok(Self { decide_once, ..ledger })
     }
 
-    /// The ledger as bytes, standing for all records applied so far.
+    /// Encodes the ledger, which replaces all records applied so far.
     ///
     /// # Errors
-    /// When the codec fails.
+    /// Fails when the ledger can't be encoded.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, RecordError> {
         Ok(self.write_to_vec()?)
     }
 
-    /// Applies the next record. A record that does not fit changes nothing.
+    /// Applies the next record. An inconsistent record changes nothing.
     ///
     /// # Errors
-    /// Says what does not fit.
+    /// Fails when the record is inconsistent with the records before it.
     pub(crate) fn apply(&mut self, record: &JobRecord) -> Result<(), LedgerError> {
         match record {
             JobRecord::Submitted(_) => Err(LedgerError::NoSpecification),
@@ -111,47 +111,47 @@
         }
     }
 
-    /// The job's specification.
+    /// Returns the job's specification.
     pub fn specification(&self) -> &JobSpecification {
         &self.specification
     }
 
-    /// The bound on staleness.
+    /// Returns the staleness bound.
     pub(crate) fn staleness_bound(&self) -> StalenessBound {
         StalenessBound(self.specification.staleness_bound)
     }
 
-    /// The first step that is not closed; the number of steps once the job is finished.
+    /// Returns the first step that is not closed, or the number of steps once the job is finished.
     pub(crate) fn step(&self) -> u32 {
         self.step
     }
 
-    /// Whether the trainer has saved every sample.
+    /// Returns whether the trainer has saved every sample.
     pub(crate) fn is_finished(&self) -> bool {
         self.step >= self.specification.steps
     }
 
-    /// The highest version that the trainer stated.
+    /// Returns the highest version stated by the trainer.
     pub(crate) fn trainer_version(&self) -> WeightVersion {
         self.delivery.trainer_version
     }
 
-    /// The cursor that the trainer stated last.
+    /// Returns the cursor last stated by the trainer.
     pub(crate) fn saved_cursor(&self) -> u64 {
         self.delivery.saved
     }
 
-    /// Samples handed over and not voided.
+    /// Returns the number of samples handed over and not voided.
     pub(crate) fn delivered(&self) -> u64 {
         self.delivery.delivered()
     }
 
-    /// How often a slot was reopened because its sample had grown too old.
+    /// Returns how often slots were reopened because their sample had become too old.
     pub(crate) fn reopened(&self) -> u64 {
         self.reopened
     }
 
-    /// The generation of a slot, if it can be decided now.
+    /// Returns the generation of a slot if it can be decided now.
     pub(crate) fn open_generation(&self, slot: Slot) -> Option<u32> {
         if slot.step < self.step || !slot.belongs_to(&self.specification) {
             return None;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Samples of the current step that wait to be handed over, in the order of their slots.
+    /// Returns the samples of the current step that wait for their hand-over, in slot order.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Sample> {
         let states = self.slots.iter().take_while(|(slot, _)| slot.step == self.step);
         states.filter_map(|(_, state)| match &state.phase {
@@ -172,7 +172,7 @@
         })
     }
 
-    /// The position and the samples of the unsaved batch, in the order of their positions.
+    /// Returns the first position and the samples of the unsaved batch, in order of position.
     pub(crate) fn unsaved_batch(&self) -> Option<(u64, Vec<&Sample>)> {
         let batch = self.delivery.batch.as_ref()?;
         let sample = |slot: &Slot| match &self.slots.get(slot)?.phase {
@@ -182,15 +182,15 @@
         Some((batch.start, batch.slots.iter().filter_map(sample).collect()))
     }
 
-    /// Whether a pull fits what the trainer stated before.
+    /// Checks a pull against what the trainer stated before.
     ///
     /// # Errors
-    /// Says what does not fit.
+    /// Returns the reason for refusing the pull.
     pub(crate) fn check_pull(&self, request: &PullRequest) -> Result<(), PullRefusal> {
         self.delivery.check(request.cursor, request.trainer_version)
     }
 
-    /// Each slot and generation is decided at most once.
+    /// Decides a slot, at most once for each generation.
     fn decide(&mut self, generation: u32, sample: &Sample) -> Result<(), LedgerError> {
         let slot = sample.slot;
         check_coverage(&sample.spans, sample.tokens.len())?;
@@ -211,12 +211,12 @@
         for slot in self.delivery.move_cursor(cursor) {
             self.slots.entry(slot).or_default().phase = SlotPhase::Saved;
         }
-        self.close_step();
+        self.close_saved_step();
         Ok(())
     }
 
-    /// A step closes once the trainer has saved each of its slots; its states are dropped.
-    fn close_step(&mut self) {
+    /// Closes the current step and drops its states once the trainer has saved each of its slots.
+    fn close_saved_step(&mut self) {
         let of_step = self.slots.iter().take_while(|(slot, _)| slot.step == self.step);
         let saved = of_step.filter(|(_, state)| state.phase == SlotPhase::Saved).count();
         if saved < self.specification.slots_per_step() {
@@ -261,7 +261,7 @@
         Ok(())
     }
 
-    /// A handed-over slot can't be reopened: its batch must be voided first.
+    /// Reopens a ready slot. A handed-over slot can't be reopened before its batch is voided.
     fn reopen(&mut self, slot: Slot, generation: u32) -> Result<(), LedgerError> {
         let state = self.slots.get_mut(&slot).ok_or(LedgerError::NoSuchSlot { slot })?;
         if !matches!(state.phase, SlotPhase::Ready(_)) || generation != state.generation + 1 {
@@ -278,7 +278,7 @@
         }
     }
 
-    /// How often a slot has been reopened.
+    /// Returns the generation of a slot.
     pub(super) fn generation_of(&self, slot: Slot) -> u32 {
         self.slots.get(&slot).map_or(0, |state| state.generation)
     }
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Jobs, sample slots, version spans, staleness and hand-over to the trainer (brief points 1 to 3).
+//! Rollout jobs: sample slots, version spans, the staleness bound and the hand-over to the trainer.
 //!
-//! A job's owner drives a [`JobController`]: events and the present time go in, actions come out. What must
-//! outlive the owner is a [`JobLedger`], the result of applying the [`JobRecord`]s of the shard's log in
-//! order. Nothing is revealed outside the owner before the records it rests on are kept by a majority of the
-//! store replicas, so an owner can die or be superseded between any two steps.
+//! A job's owner drives a [`JobController`] with events and the current time, and performs the actions it
+//! returns. The persistent state is a [`JobLedger`], the result of applying the [`JobRecord`]s of the shard's
+//! log in order. The owner reveals nothing before the records that it depends on are committed by a majority
+//! of the store replicas, so it can crash or be superseded between any two steps.
 
 mod controller;
 mod delivery;
--- a/crates/core/src/rollout/queue.rs
+++ b/crates/core/src/rollout/queue.rs
@@ -1,7 +1,7 @@
-//! Slots that wait for an attempt, in the order in which they are started.
+//! Queue of slots that wait for an attempt, in the order in which they are started.
 //!
-//! Owns the slots that are due and those that wait out a backoff. Relies on its caller for the time, and for putting a slot
-//! back whose attempt has failed.
+//! It holds the slots that are due and those in backoff. The caller supplies the time and puts a slot back
+//! after its attempt failed.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use super::slot::Slot;
 
-/// Slots that wait for an attempt.
+/// Queue of slots that wait for an attempt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotQueue {
     due: BTreeSet<Slot>,
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Takes the slot to start next, if one is due.
+    /// Removes and returns the slot to start next, if one is due.
     pub(super) fn pop(&mut self) -> Option<Slot> {
         self.due.pop_first()
     }
 
-    /// Whether no slot is due.
+    /// Returns whether no slot is due.
     pub(super) fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
 
-    /// When the next delayed slot becomes due.
+    /// Returns when the next delayed slot becomes due.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         self.delayed.first().map(|(due_at, _)| *due_at)
     }
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -1,4 +1,4 @@
-//! The records of a job's log.
+//! Records of a job's log.
 
 use speedy::{Readable, Writable};
 
@@ -8,49 +8,49 @@
 use super::slot::Slot;
 use super::specification::JobSpecification;
 
-/// One change of a job, as it stands in the shard's log.
+/// One change of a job, as stored in the shard's log.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum JobRecord {
-    /// The job exists. Always the first record, so that a new owner needs nothing but the log.
+    /// The job was submitted. Always the first record, so that a new owner needs only the log.
     Submitted(JobSpecification),
-    /// A slot's sample, decided once for each generation of the slot.
+    /// A slot's sample was decided, once for each generation of the slot.
     Decided {
         /// The generation it fills.
         generation: u32,
-        /// The sample; names its slot.
+        /// The sample, which contains its slot.
         sample: Sample,
     },
     /// The trainer stated a cursor and a version.
     CursorMoved {
-        /// Everything before it is saved.
+        /// The position up to which all samples are saved, exclusive.
         cursor: u64,
-        /// The version it is about to train.
+        /// The version that the trainer is about to train.
         trainer_version: WeightVersion,
     },
-    /// These slots were handed over, in this order, from the next unused position on.
+    /// These slots were handed over, in this order, starting at the next unused position.
     HandedOver {
         /// The slots.
         slots: Vec<Slot>,
     },
-    /// The unsaved batch grew too old for the version that the trainer stated; its positions are not used
+    /// The unsaved batch became too old for the version stated by the trainer. Its positions are not used
     /// again.
     BatchVoided,
-    /// A slot's sample grew too old; the slot is filled anew.
+    /// A slot's sample became too old, so the slot is filled again.
     Reopened {
         /// The slot.
         slot: Slot,
-        /// Its generation from now on.
+        /// The slot's new generation.
         generation: u32,
     },
-    /// Changes nothing. That it is kept shows that its owner had not been superseded.
+    /// Changes nothing. Once committed, it proves that the owner had not been superseded.
     Barrier,
 }
 
-/// A record could not be read.
+/// A record could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("a log entry of the job can't be read ({reason}); run the version of lichenpulleyd that wrote it")]
 pub struct RecordError {
-    /// What the codec said.
+    /// Error of the codec.
     reason: String,
 }
 
@@ -61,18 +61,18 @@
 }
 
 impl JobRecord {
-    /// The record as bytes for the log.
+    /// Encodes the record for the log.
     ///
     /// # Errors
-    /// When the codec fails.
+    /// Fails when the record can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         Ok(self.write_to_vec()?)
     }
 
-    /// A record from the log's bytes.
+    /// Decodes a record of the log.
     ///
     /// # Errors
-    /// When the bytes are no record.
+    /// Fails when the bytes can't be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
--- a/crates/core/src/rollout/sample.rs
+++ b/crates/core/src/rollout/sample.rs
@@ -1,4 +1,4 @@
-//! A sample and the state of its job, as they are handed out.
+//! A sample and the status of its job, as returned to callers.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
@@ -8,38 +8,38 @@
 
 use super::slot::Slot;
 
-/// One sample. Its slot is decided once, however many attempts ran.
+/// One sample. Its slot is decided once, regardless of the number of attempts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Readable, Writable)]
 pub struct Sample {
-    /// Which sample of which prompt in which step.
+    /// Step, prompt and index of the sample.
     pub slot: Slot,
-    /// Its prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Its tokens.
+    /// Generated tokens.
     pub tokens: Vec<u32>,
-    /// Which weights produced which tokens.
+    /// The weight version of each run of tokens.
     pub spans: Vec<VersionSpan>,
     /// The scorer's reward.
     pub reward: f64,
 }
 
-/// How a job stands.
+/// Status of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct JobStatus {
     /// The job.
     pub job: JobId,
-    /// The step being filled.
+    /// The first step that is not closed.
     pub step: u32,
-    /// Steps in all.
+    /// Total number of steps.
     pub steps: u32,
     /// Samples decided in this step and not yet handed over.
     pub ready: u32,
-    /// Samples handed over in all.
+    /// Total number of samples handed over and not voided.
     pub delivered: u64,
-    /// Slots filled anew because their sample had grown too old.
+    /// Number of times a slot was reopened because its sample had become too old.
     pub reopened: u64,
-    /// Attempts running.
+    /// Running attempts.
     pub in_flight: u32,
-    /// Whether every step has been taken by the trainer.
+    /// Whether the trainer has saved every step.
     pub finished: bool,
 }
--- a/crates/core/src/rollout/slot.rs
+++ b/crates/core/src/rollout/slot.rs
@@ -1,7 +1,5 @@
-//! The place of a sample in a job, and how far it has come.
-//!
-//! Owns the order of slots, by step, prompt and index, in which samples are started and named. Relies on the job's
-//! specification for how many there are.
+//! Sample slots of a job and their phases. Slots are ordered by step, prompt and index, and are started in
+//! that order.
 
 use std::fmt;
 
@@ -11,21 +9,21 @@
 use super::sample::Sample;
 use super::specification::JobSpecification;
 
-/// The place of a sample in a job.
+/// Position of a sample in a job.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Readable, Writable,
 )]
 pub struct Slot {
     /// The step, from 0.
     pub step: u32,
-    /// The prompt's number in the job, from 0.
+    /// Index of the prompt in the job, from 0.
     pub prompt: u32,
-    /// Which sample of that prompt, from 0.
+    /// Index among the samples of that prompt, from 0.
     pub index: u32,
 }
 
 impl Slot {
-    /// All slots of one step, in order.
+    /// Returns all slots of one step, in order.
     pub fn of_step(specification: &JobSpecification, step: u32) -> impl Iterator<Item = Self> + use<> {
         let prompts = u32::try_from(specification.prompts.len()).unwrap_or(u32::MAX);
         let samples_per_prompt = specification.samples_per_prompt;
@@ -33,7 +31,7 @@
             .flat_map(move |prompt| (0..samples_per_prompt).map(move |index| Self { step, prompt, index }))
     }
 
-    /// Whether the job has this slot.
+    /// Returns whether the job has this slot.
     pub(crate) fn belongs_to(&self, specification: &JobSpecification) -> bool {
         self.step < specification.steps
             && (self.prompt as usize) < specification.prompts.len()
@@ -47,26 +45,26 @@
     }
 }
 
-/// How far a slot has come. It leaves `Open` only by a decision in the log, and comes back to it only by a
-/// record that says that its sample grew too old.
+/// Progress of a slot. It leaves `Open` only by a `Decided` record, and returns to it only by a `Reopened`
+/// record, when its sample has become too old.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub enum SlotPhase {
     /// No sample has been decided.
     #[default]
     Open,
-    /// This sample has been decided and waits to be handed over.
+    /// The decided sample waits for its hand-over.
     Ready(Sample),
-    /// This sample is part of the unsaved batch.
+    /// The sample is part of the unsaved batch.
     HandedOver(Sample),
-    /// The trainer has saved it; its body is dropped.
+    /// The trainer has saved the sample; its body is dropped.
     Saved,
 }
 
-/// A slot's phase, and how often it has been reopened.
+/// A slot's phase and generation.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub(super) struct SlotState {
-    /// Goes up each time the slot is reopened; a decision names the generation it fills.
+    /// Number of times the slot was reopened. A decision names the generation that it fills.
     pub(super) generation: u32,
-    /// How far it has come.
+    /// Progress of this generation.
     pub(super) phase: SlotPhase,
 }
--- a/crates/core/src/rollout/span.rs
+++ b/crates/core/src/rollout/span.rs
@@ -1,31 +1,30 @@
-//! Which weights produced which tokens (brief point 1).
+//! Checks that the version spans of a sample cover each of its tokens exactly once.
 //!
-//! Owns the checks that the spans of an answer cover each of its tokens once. Relies on the engine for the version of each
-//! span; a sample whose spans fail the checks is not handed to a trainer.
+//! The engine reports the version of each span. A sample that fails the check is not handed to a trainer.
 
 use crate::identity::WeightVersion;
 use crate::request::answer::VersionSpan;
 
-/// Why spans can't stand for a sample.
+/// Why the spans of a sample are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpanError {
-    /// A span does not follow the one before.
+    /// A span does not start where the previous one ends.
     #[error("expected token {expected}, got {first_token}; discard the attempt and run another")]
     NotContiguous {
-        /// The token that should have come.
+        /// Expected first token of the span.
         expected: u32,
-        /// The token that came.
+        /// Actual first token of the span.
         first_token: u32,
     },
-    /// The spans cover another number of tokens than there are.
+    /// The number of covered tokens differs from the sample's length.
     #[error("the spans cover {covered} tokens of {tokens}; discard the attempt and run another")]
     Coverage {
-        /// Tokens covered.
+        /// Number of covered tokens.
         covered: u32,
-        /// Tokens there are.
+        /// Number of tokens in the sample.
         tokens: usize,
     },
-    /// There is nothing to train on.
+    /// The sample has no tokens.
     #[error("the answer has no tokens; discard the attempt and run another")]
     Empty,
 }
@@ -33,7 +32,7 @@
 /// Checks that spans cover each of `tokens` tokens exactly once, in order.
 ///
 /// # Errors
-/// When there are no tokens, or a token is covered by no span or by two.
+/// Fails when there are no tokens, or a token is covered by no span or by more than one.
 pub(crate) fn check_coverage(spans: &[VersionSpan], tokens: usize) -> Result<(), SpanError> {
     if tokens == 0 {
         return Err(SpanError::Empty);
@@ -51,7 +50,7 @@
     Ok(())
 }
 
-/// The oldest version among spans; `None` where there are none.
+/// Returns the oldest version among the spans, or `None` without spans.
 pub(crate) fn oldest_version(spans: &[VersionSpan]) -> Option<WeightVersion> {
     spans.iter().map(|span| span.weight_version).min()
 }
--- a/crates/core/src/rollout/specification.rs
+++ b/crates/core/src/rollout/specification.rs
@@ -1,34 +1,33 @@
-//! What a rollout job is to produce.
+//! Specification of a rollout job and its validation.
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
 use crate::identity::{JobId, PoolName};
 
-/// Most slots in one step: 16 times the 4,096 samples that a step of the largest deployment has.
+/// Most slots in one step.
 const MAX_SLOTS_PER_STEP: u64 = 65_536;
 
 /// A rollout job: for each step, `samples_per_prompt` samples of each prompt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpecification {
-    /// The job's name, unique.
+    /// Unique name of the job.
     pub job: JobId,
-    /// The pool that generates.
+    /// The pool that generates the samples.
     pub pool: PoolName,
-    /// The prompts of each step, used in turn.
+    /// The prompts of each step.
     pub prompts: Vec<String>,
     /// Samples for each prompt in a step.
     pub samples_per_prompt: u32,
-    /// How many steps the job has.
+    /// Number of steps.
     pub steps: u32,
-    /// At most this many tokens for each sample.
+    /// Most tokens for each sample.
     pub max_tokens: u32,
-    /// The greatest allowed difference between the trainer's weight version and the oldest version in a
-    /// sample (brief point 2).
+    /// Greatest allowed difference between the trainer's weight version and the oldest version in a sample.
     pub staleness_bound: u64,
-    /// What to weigh more when long samples hold up a step: 0 is staleness only, 100 is idle time only.
-    /// Checked and kept; nothing acts on it yet.
+    /// Preference when long samples delay a step, in percent: 0 minimizes staleness only, 100 idle time
+    /// only. Validated and stored, but has no effect yet.
     #[serde(default = "default_idle_weight")]
     pub idle_weight_percent: u8,
 }
@@ -37,7 +36,7 @@
     50
 }
 
-/// Why a specification can't be run.
+/// Why a specification is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecificationError {
     /// A field that must be at least one is zero or empty.
@@ -46,7 +45,7 @@
         /// The field.
         field: &'static str,
     },
-    /// The job's name can't be part of a path.
+    /// The job's name can't be used in a path.
     #[error("job {job:?} can't be used in a path; use letters, digits, '-', '_' and '.'")]
     BadName {
         /// The name.
@@ -70,7 +69,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// Names the first field that can't be used and what to give instead.
+    /// Returns the first invalid field and its remedy.
     pub fn validate(&self) -> Result<(), SpecificationError> {
         self.validate_name()?;
         let counts = [
@@ -93,7 +92,7 @@
         Ok(())
     }
 
-    /// How many slots a step has.
+    /// Returns the number of slots in a step.
     pub fn slots_per_step(&self) -> usize {
         self.prompts.len() * self.samples_per_prompt as usize
     }
--- a/crates/core/src/rollout/staleness.rs
+++ b/crates/core/src/rollout/staleness.rs
@@ -1,4 +1,4 @@
-//! When a sample is too old to train on (brief point 2).
+//! Limits how old the weights behind a sample may be.
 
 use crate::identity::WeightVersion;
 use crate::request::answer::VersionSpan;
@@ -7,27 +7,27 @@
 
 /// The greatest allowed difference between the trainer's weight version and the oldest version in a sample.
 ///
-/// Tested three times: before an attempt is started and while it runs (to waste fewer tokens), before a
-/// decision (to keep the slot open), and at hand-over against the version that the trainer states. Only the
-/// last test is the guarantee; the others save work.
+/// It is checked before an attempt starts and while it runs (to waste fewer tokens), before a decision (to
+/// keep the slot open), and at hand-over against the version that the trainer states. Only the check at
+/// hand-over guarantees the bound; the others save work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalenessBound(pub u64);
 
-/// A sample is older than the bound allows.
+/// A sample exceeds the staleness bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the sample is {staleness} versions old and {bound} are allowed; its slot is filled anew")]
 pub struct TooOld {
-    /// How many versions the trainer is ahead of the sample's oldest tokens.
+    /// Number of versions by which the trainer is ahead of the sample's oldest tokens.
     pub staleness: u64,
-    /// How many are allowed.
+    /// Greatest allowed number of versions.
     pub bound: u64,
 }
 
 impl StalenessBound {
-    /// Tests one version against the trainer's.
+    /// Checks one version against the trainer's.
     ///
     /// # Errors
-    /// When it is older than allowed.
+    /// Fails when it is older than allowed.
     pub(crate) fn check(
         self,
         weight_version: WeightVersion,
@@ -40,10 +40,10 @@
         Ok(())
     }
 
-    /// Tests the oldest of a sample's versions against the trainer's.
+    /// Checks the oldest version of a sample against the trainer's.
     ///
     /// # Errors
-    /// When it is older than allowed. A sample without spans counts as older than any.
+    /// Fails when it is older than allowed, or the sample has no spans.
     pub(crate) fn check_spans(
         self,
         spans: &[VersionSpan],
@@ -56,7 +56,8 @@
     }
 }
 
-/// How many versions the trainer is ahead; zero where the tokens are as new as the trainer or newer.
+/// Returns by how many versions the trainer is ahead, or zero if the tokens are at least as new as the
+/// trainer.
 pub(crate) const fn staleness(weight_version: WeightVersion, trainer_version: WeightVersion) -> u64 {
     trainer_version.0.saturating_sub(weight_version.0)
 }
