--- a/crates/core/src/request/execution/choice.rs
+++ b/crates/core/src/request/execution/choice.rs
@@ -56,7 +56,7 @@
         if now >= since + CONFIRMATION_TIMEOUT {
             return self.no_replica(RefusalReason::NoEligibleReplica, now, pool);
         }
-        Step::Probe { replicas, until: self.capped_at_deadline(now + POOL_CONFIRMATION_POLL_INTERVAL) }
+        Step::Probe { replicas, until: self.cap_at_deadline(now + POOL_CONFIRMATION_POLL_INTERVAL) }
     }
 
     pub(super) fn no_replica(&mut self, reason: RefusalReason, now: Timestamp, pool: &mut Pool) -> Step {
@@ -79,7 +79,7 @@
             has_started: false,
             has_answered: false,
         });
-        self.state = State::AwaitingAnswer;
+        self.state = State::Requested;
         Step::Dispatch { replica, attempt, prior_tokens: self.assembly.tokens().to_vec() }
     }
 
@@ -90,7 +90,7 @@
         };
         current.sent_at = now;
         current.has_answered = false;
-        self.state = State::AwaitingAnswer;
+        self.state = State::Requested;
         let from = self.assembly.next_token();
         Step::Resume { replica: current.replica.clone(), attempt: current.attempt.clone(), from }
     }
--- a/crates/core/src/request/execution/events.rs
+++ b/crates/core/src/request/execution/events.rs
@@ -30,7 +30,7 @@
 
     /// Handles a dispatch that failed to connect, so that nothing was written.
     pub fn nothing_written<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
-        if self.state != State::AwaitingAnswer {
+        if self.state != State::Requested {
             return;
         }
         self.ledger.nothing_written();
@@ -47,7 +47,7 @@
         pool: &mut Pool,
         random: &mut R,
     ) {
-        if self.state != State::AwaitingAnswer {
+        if self.state != State::Requested {
             return;
         }
         self.ledger.refused(refusal);
@@ -61,7 +61,7 @@
 
     /// Handles a broken connection. The engine may still be generating.
     pub fn stream_broken<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
-        if !matches!(self.state, State::AwaitingAnswer | State::Receiving) {
+        if !matches!(self.state, State::Requested | State::Receiving) {
             return;
         }
         self.ledger.in_doubt();
@@ -71,7 +71,7 @@
     /// Handles a stream that delivered no event in time.
     pub fn stream_stalled<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
         self.check_deadline(now);
-        if !matches!(self.state, State::AwaitingAnswer | State::Receiving) {
+        if !matches!(self.state, State::Requested | State::Receiving) {
             return;
         }
         self.ledger.in_doubt();
@@ -86,7 +86,7 @@
 
     /// Handles an engine that does not know the stream to be resumed.
     pub fn stream_unknown<R: Rng>(&mut self, now: Timestamp, pool: &mut Pool, random: &mut R) {
-        if self.state != State::AwaitingAnswer {
+        if self.state != State::Requested {
             return;
         }
         self.ledger.in_doubt();
@@ -105,7 +105,7 @@
         let Some(current) = self.current.clone().filter(|current| current.attempt == *attempt) else {
             return;
         };
-        if !matches!(self.state, State::AwaitingAnswer | State::Receiving) {
+        if !matches!(self.state, State::Requested | State::Receiving) {
             return;
         }
         self.ledger.in_doubt();
--- a/crates/core/src/request/execution/mod.rs
+++ b/crates/core/src/request/execution/mod.rs
@@ -63,7 +63,7 @@
     /// Choosing a replica, not before this time.
     Choosing(Timestamp),
     /// A dispatch or resume was sent and has not been answered.
-    AwaitingAnswer,
+    Requested,
     /// The stream delivers events.
     Receiving,
     /// Waiting to resume the stream, not before this time.
@@ -127,9 +127,7 @@
             State::Choosing(_) => self.choose(now, pool, random),
             State::Interrupted(not_before) if now < not_before => Step::Wait { until: not_before },
             State::Interrupted(_) => self.resume(now),
-            State::AwaitingAnswer => {
-                Step::Receive { until: self.capped_at_deadline(now + ENGINE_ANSWER_TIMEOUT) }
-            }
+            State::Requested => Step::Receive { until: self.cap_at_deadline(now + ENGINE_ANSWER_TIMEOUT) },
             State::Receiving => Step::Receive { until: self.receive_until(now) },
             State::Claiming => Step::Wait { until: self.spec.deadline },
             State::Refused(_) | State::GivenUp(_) | State::Complete | State::Ended => self.finish(now, pool),
@@ -185,10 +183,10 @@
         let has_started = self.current.as_ref().is_some_and(|current| current.has_started);
         let stalled_at = now + if has_started { TOKEN_STALL_TIMEOUT } else { START_STALL_TIMEOUT };
         let gap_expires_at = self.gap_since.map_or(stalled_at, |since| since + GAP_TIMEOUT);
-        self.capped_at_deadline(stalled_at.min(gap_expires_at))
+        self.cap_at_deadline(stalled_at.min(gap_expires_at))
     }
 
-    fn capped_at_deadline(&self, until: Timestamp) -> Timestamp {
+    fn cap_at_deadline(&self, until: Timestamp) -> Timestamp {
         until.min(self.spec.deadline)
     }
 
