--- a/crates/core/src/weights/controller/event.rs
+++ b/crates/core/src/weights/controller/event.rs
@@ -1,52 +1,52 @@
-//! What the driver of an owner of weights hands in, and what it is asked to do.
+//! Events that the owner of a pool's weights handles and actions that it returns to its driver.
 
 use crate::decision::Decision;
 use crate::identity::{Epoch, ReplicaId, WeightVersion};
 use crate::weights::ledger::WeightsRecord;
 use crate::weights::replica::{OrderResult, WeightReport};
 
-/// What happened.
+/// Input of the owner.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A trainer publishes a version; the answer names the ticket.
+    /// A trainer published a version.
     Publish {
-        /// Chosen by the driver.
+        /// Correlates the answer; assigned by the driver.
         ticket: u64,
         /// The version.
         weight_version: WeightVersion,
     },
-    /// An operator changes a replica's role; the answer names the ticket.
+    /// An operator changed a replica's role.
     ChangeRole {
-        /// Chosen by the driver.
+        /// Correlates the answer; assigned by the driver.
         ticket: u64,
         /// The replica.
         replica: ReplicaId,
-        /// Whether it is to drain.
+        /// Whether it has to drain.
         draining: bool,
     },
-    /// The replicas of the pool, as the machine list gives them now.
+    /// The current replicas of the pool in the machine list.
     Replicas(Vec<ReplicaId>),
-    /// A replica answered an [`Action::Poll`], or was heard of otherwise.
+    /// A replica answered an [`Action::Poll`], or its report was received otherwise.
     Reported {
         /// The replica.
         replica: ReplicaId,
-        /// What it said.
+        /// Its report.
         report: WeightReport,
     },
     /// An order ended.
     OrderEnded {
         /// The replica.
         replica: ReplicaId,
-        /// How.
+        /// Its result.
         result: OrderResult,
     },
-    /// The records of the last [`Action::Append`] are kept by a majority.
+    /// The records of the last [`Action::Append`] are committed.
     Appended,
-    /// The time of [`super::WeightsController::next_wakeup`] has come.
+    /// The time of [`super::WeightsController::next_wakeup`] was reached.
     WakeUp,
 }
 
-/// What a replica is ordered to do.
+/// A command to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderCommand {
     /// Load a version.
@@ -58,10 +58,11 @@
     },
 }
 
-/// What the driver is to do, in this order.
+/// Output of the owner. The driver performs the actions in order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Append these records to the log and report [`Event::Appended`]. Only one append is outstanding.
+    /// Append these records to the log and report [`Event::Appended`]. Only one append is in progress at a
+    /// time.
     Append(Vec<WeightsRecord>),
     /// Replace all records appended so far by this snapshot.
     Compact(Vec<u8>),
@@ -72,16 +73,16 @@
         /// The order.
         command: OrderCommand,
     },
-    /// Ask a replica for its report.
+    /// Poll a replica for its report.
     Poll(ReplicaId),
-    /// Answer a ticket: what it asked for is kept by a majority.
+    /// Answer a ticket, whose change is committed.
     Answer {
         /// The ticket.
         ticket: u64,
-        /// The version that all replicas are to have.
+        /// The version that all replicas have to load.
         target: Option<WeightVersion>,
     },
-    /// A replica has seen a higher epoch: stop acting for the shard.
+    /// A replica has seen a higher epoch: stop owning the shard.
     Superseded(Epoch),
     /// Record a decision.
     Decide(Decision),
--- a/crates/core/src/weights/controller/mod.rs
+++ b/crates/core/src/weights/controller/mod.rs
@@ -1,8 +1,8 @@
-//! The owner of a pool's weights: orders replicas in waves until all have the published version.
+//! Owner of a pool's weights: orders replicas in waves until all have the published version.
 //!
-//! Owns the ledger and what it knows of each replica; the driver hands in [`Event`]s and `now` and carries
-//! out [`Action`]s. Relies on the log for what must outlast this owner. The waves stand in `wave`, roles and
-//! reports in `replicas`, the log in `records`.
+//! The driver passes in [`Event`]s and the current time, and performs the returned [`Action`]s. State that a
+//! later owner needs is in the log. `wave` orders loads, `replicas` orders roles and polls reports, and
+//! `records` appends to the log.
 
 mod event;
 mod records;
@@ -21,23 +21,23 @@
 use super::ledger::{WeightsLedger, WeightsRecord, WeightsRecordError};
 use super::replica::{OrderResult, ReplicaState, WeightReport};
 
-/// How far the wave has come.
+/// Progress of the weight rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaveProgress {
-    /// The version that all replicas are to have.
+    /// The version that all replicas have to load.
     pub target: Option<WeightVersion>,
-    /// Replicas of the pool.
+    /// Number of replicas in the pool.
     pub replicas: usize,
-    /// Replicas that may be loading.
+    /// Number of replicas that may be loading.
     pub loading: usize,
-    /// Replicas that have reported the version.
+    /// Number of replicas that have reported the target version.
     pub confirmed: usize,
 }
 
 /// The owner of a pool's weights.
 ///
-/// Invariant: a replica is in the ledger's `ordered` set, kept by a majority, before an order to load is sent
-/// to it. So the replicas that may be fetching are known to every later owner, and their number stays at the
+/// Invariant: a replica's entry in the ledger's `ordered` set is committed before an order to load is sent to
+/// it. Every later owner therefore knows all replicas that may be fetching and keeps their number within the
 /// limit.
 pub struct WeightsController {
     pool: PoolName,
@@ -45,20 +45,20 @@
     ledger: WeightsLedger,
     replicas: BTreeMap<ReplicaId, ReplicaState>,
     proposed: Vec<WeightsRecord>,
-    /// Actions that rest on the proposed records.
-    held: Vec<Action>,
-    /// Actions that rest on the records being appended.
-    appending: Option<Vec<Action>>,
+    /// Actions that depend on the proposed records.
+    pending_actions: Vec<Action>,
+    /// Actions that depend on the records being appended.
+    appending_actions: Option<Vec<Action>>,
     records_since_snapshot: u64,
     next_barrier: Timestamp,
     actions: VecDeque<Action>,
 }
 
 impl WeightsController {
-    /// The owner that goes on from what the log holds; an empty log gives a pool without a published version.
+    /// Recovers the owner from the log. An empty log yields a pool without a published version.
     ///
     /// # Errors
-    /// When an entry can't be read.
+    /// Fails when an entry can't be decoded.
     pub fn recover(
         pool: PoolName,
         snapshot: Option<&[u8]>,
@@ -74,22 +74,22 @@
             ledger.apply(&WeightsRecord::decode(bytes)?);
         }
         let known = ledger.ordered.iter().chain(&ledger.confirmed).cloned();
-        let replicas = known.map(|replica| (replica, ReplicaState::taken_over(now))).collect();
+        let replicas = known.map(|replica| (replica, ReplicaState::recovered(now))).collect();
         Ok(Self {
             pool,
             config,
             ledger,
             replicas,
             proposed: Vec::new(),
-            held: Vec::new(),
-            appending: None,
+            pending_actions: Vec::new(),
+            appending_actions: None,
             records_since_snapshot: records.len() as u64,
             next_barrier: now + config.barrier_interval,
             actions: VecDeque::new(),
         })
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::Publish { ticket, weight_version } => self.publish(ticket, weight_version),
@@ -97,25 +97,25 @@
             Event::Replicas(replicas) => self.set_replicas(replicas),
             Event::Reported { replica, report } => self.handle_report(&replica, report, now),
             Event::OrderEnded { replica, result } => self.handle_order_end(&replica, result, now),
-            Event::Appended => self.actions.extend(self.appending.take().unwrap_or_default()),
+            Event::Appended => self.actions.extend(self.appending_actions.take().unwrap_or_default()),
             Event::WakeUp => {}
         }
         self.advance(now);
     }
 
-    /// The next thing to do.
+    /// Returns the next action for the driver.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When to hand in [`Event::WakeUp`] at the latest.
+    /// Returns when to pass in [`Event::WakeUp`] at the latest.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let asks = self.replicas.iter().filter_map(|(replica, state)| self.next_ask(replica, state));
-        let barrier = self.appending.is_none().then_some(self.next_barrier);
-        asks.chain(barrier).min()
+        let polls = self.replicas.iter().filter_map(|(replica, state)| self.next_poll(replica, state));
+        let barrier = self.appending_actions.is_none().then_some(self.next_barrier);
+        polls.chain(barrier).min()
     }
 
-    /// How far the wave has come.
+    /// Returns the progress of the weight rollout.
     pub fn progress(&self) -> WaveProgress {
         let confirmed = self.replicas.keys().filter(|replica| self.ledger.confirmed.contains(*replica));
         WaveProgress {
@@ -131,7 +131,7 @@
         self.order_roles();
         self.repeat_orders(now);
         self.order_next_wave(now);
-        self.ask_due(now);
+        self.poll_due_replicas(now);
         if self.next_barrier <= now && self.proposed.is_empty() {
             self.propose(WeightsRecord::Barrier);
         }
@@ -141,7 +141,7 @@
     fn publish(&mut self, ticket: u64, weight_version: WeightVersion) {
         if self.ledger.target.is_none_or(|target| target < weight_version) {
             self.propose(WeightsRecord::Published(weight_version));
-            // Those that were loading the version before are to load this one instead, in the same place.
+            // Replicas that are loading the previous version are ordered to load this one instead.
             for replica in &self.ledger.ordered {
                 if let Some(state) = self.replicas.get_mut(replica) {
                     state.last_order_at = None;
@@ -151,8 +151,8 @@
                 .with("weight_version", weight_version);
             self.actions.push_back(Action::Decide(decision));
         }
-        self.held.push(Action::Answer { ticket, target: self.ledger.target });
-        self.release_when_settled();
+        self.pending_actions.push(Action::Answer { ticket, target: self.ledger.target });
+        self.release_if_committed();
     }
 
     fn change_role(&mut self, ticket: u64, replica: ReplicaId, draining: bool) {
@@ -162,18 +162,18 @@
         if let Some(state) = self.replicas.get_mut(&replica) {
             state.role_ordered = false;
         }
-        self.held.push(Action::Answer { ticket, target: self.ledger.target });
-        self.release_when_settled();
+        self.pending_actions.push(Action::Answer { ticket, target: self.ledger.target });
+        self.release_if_committed();
     }
 
-    /// A replica that left the list is forgotten once it is gone, so that its fetch no longer counts.
+    /// Sets the replicas of the pool, and clears those that left so that their loads no longer count.
     fn set_replicas(&mut self, replicas: Vec<ReplicaId>) {
         let present: BTreeSet<ReplicaId> = replicas.into_iter().collect();
-        let gone = |replica: &&ReplicaId| !present.contains(*replica);
-        let forgotten: Vec<ReplicaId> =
-            self.ledger.ordered.iter().chain(&self.ledger.confirmed).filter(gone).cloned().collect();
-        if !forgotten.is_empty() {
-            self.propose(WeightsRecord::Cleared(forgotten));
+        let is_absent = |replica: &&ReplicaId| !present.contains(*replica);
+        let cleared: Vec<ReplicaId> =
+            self.ledger.ordered.iter().chain(&self.ledger.confirmed).filter(is_absent).cloned().collect();
+        if !cleared.is_empty() {
+            self.propose(WeightsRecord::Cleared(cleared));
         }
         self.replicas.retain(|replica, _| present.contains(replica));
         for replica in present {
@@ -183,7 +183,7 @@
 
     fn handle_report(&mut self, replica: &ReplicaId, report: WeightReport, now: Timestamp) {
         let Some(state) = self.replicas.get_mut(replica) else { return };
-        state.asked_at = Some(now);
+        state.polled_at = Some(now);
         state.report = Some(report);
         state.role_ordered &= report.draining == self.ledger.draining.contains(replica);
         if self.ledger.target.is_none() {
--- a/crates/core/src/weights/controller/records.rs
+++ b/crates/core/src/weights/controller/records.rs
@@ -1,15 +1,14 @@
-//! What the owner writes to the log, and the actions that wait until it is kept.
+//! Appends records to the log and releases the actions that depend on them.
 //!
-//! Invariant: one append is outstanding at a time; what rests on a record is done only once a majority keeps
-//! it.
+//! Invariant: one append is in progress at a time, and an action that depends on a record is released only
+//! once that record is committed.
 
 use crate::time::Timestamp;
 use crate::weights::ledger::WeightsRecord;
 
 use super::{Action, WeightsController};
 
-/// The log is compacted after this many records. Chosen, not measured: fewer snapshots the few replicas of a
-/// pool more often than needed, more makes a takeover read longer.
+/// Bounds the records that a takeover has to read.
 const RECORDS_BETWEEN_SNAPSHOTS: u64 = 1_000;
 
 impl WeightsController {
@@ -19,18 +18,19 @@
     }
 
     pub(super) fn append_proposed(&mut self, now: Timestamp) {
-        if self.appending.is_some() || self.proposed.is_empty() {
+        if self.appending_actions.is_some() || self.proposed.is_empty() {
             return;
         }
         self.next_barrier = now + self.config.barrier_interval;
         let records = std::mem::take(&mut self.proposed);
         self.records_since_snapshot += records.len() as u64;
-        self.appending = Some(std::mem::take(&mut self.held));
+        self.appending_actions = Some(std::mem::take(&mut self.pending_actions));
         self.actions.push_back(Action::Append(records));
         self.compact();
     }
 
-    /// The snapshot stands for exactly the records that have been given to the driver so far.
+    /// Compacts the log if it is long enough. The snapshot covers exactly the records passed to the driver so
+    /// far.
     fn compact(&mut self) {
         if self.records_since_snapshot < RECORDS_BETWEEN_SNAPSHOTS {
             return;
@@ -40,14 +40,14 @@
                 self.records_since_snapshot = 0;
                 self.actions.push_back(Action::Compact(snapshot));
             }
-            Err(error) => log::warn!(target: "weights", "The log was not compacted: {error}."),
+            Err(error) => log::warn!(target: "weights", "The weights log could not be compacted: {error}."),
         }
     }
 
-    /// Answers at once where nothing has to be kept first.
-    pub(super) fn release_when_settled(&mut self) {
-        if self.proposed.is_empty() && self.appending.is_none() {
-            self.actions.extend(self.held.drain(..));
+    /// Releases the pending actions at once if no record has to be committed first.
+    pub(super) fn release_if_committed(&mut self) {
+        if self.proposed.is_empty() && self.appending_actions.is_none() {
+            self.actions.extend(self.pending_actions.drain(..));
         }
     }
 }
--- a/crates/core/src/weights/controller/wave.rs
+++ b/crates/core/src/weights/controller/wave.rs
@@ -1,9 +1,8 @@
-//! Which replicas are ordered to load the published version, and when an order is repeated or given up.
+//! Selects the replicas that are ordered to load the published version, and repeats or expires their orders.
 //!
-//! Inputs: the published version, which replicas were ordered and which have confirmed, how often each
-//! failed, and the limits of [`WaveConfig`](crate::weights::WaveConfig). At most so many replicas load at
-//! once that each has its share of the weight store's rate and enough of the pool goes on working; the count
-//! holds across owners, since it is kept in the log.
+//! [`WaveConfig`](crate::weights::WaveConfig) limits the concurrent loads, to share the weight store's rate
+//! and to leave enough of the pool serving. The limit holds across owners, since the ordered replicas are in
+//! the log.
 
 use crate::identity::ReplicaId;
 use crate::time::Timestamp;
@@ -12,8 +11,9 @@
 use super::{Action, OrderCommand, WeightsController};
 
 impl WeightsController {
-    /// An order without a confirmation for too long: its swap failed partway, it was lost, or the replica
-    /// died. The replica may still be fetching, but its share of the store's rate can't be held for ever.
+    /// Expires the orders that were not confirmed in time: the swap failed, the order was lost, or the
+    /// replica crashed. The replica may still be fetching, but its share of the store's rate is no longer
+    /// reserved.
     pub(super) fn expire_orders(&mut self, now: Timestamp) {
         let timeout = self.config.load_timeout;
         let is_expired = |replica: &&ReplicaId| {
@@ -33,8 +33,8 @@
         self.propose(WeightsRecord::Cleared(expired));
     }
 
-    /// Orders again what has been ordered and not confirmed: at once after a take-over or a publication, else
-    /// now and then. The replica keeps its place, so the number of fetches stays at the limit.
+    /// Repeats unconfirmed orders, at once after a takeover or a publication and then at an interval. The
+    /// replica stays `ordered`, so the limit on concurrent loads still holds.
     pub(super) fn repeat_orders(&mut self, now: Timestamp) {
         let Some(target) = self.ledger.target else { return };
         let interval = self.config.order_interval;
@@ -51,16 +51,16 @@
             due.push(replica.clone());
         }
         for replica in due {
-            self.send_after_record(replica, OrderCommand::LoadWeights(target));
+            self.send_after_commit(replica, OrderCommand::LoadWeights(target));
         }
-        self.release_when_settled();
+        self.release_if_committed();
     }
 
-    /// Sends an order once everything proposed so far is kept.
-    fn send_after_record(&mut self, replica: ReplicaId, command: OrderCommand) {
+    /// Sends an order once everything proposed so far is committed.
+    fn send_after_commit(&mut self, replica: ReplicaId, command: OrderCommand) {
         let order = Action::Order { replica, command };
         if self.config.commit_before_order {
-            self.held.push(order);
+            self.pending_actions.push(order);
         } else {
             self.actions.push_back(order);
         }
@@ -79,7 +79,7 @@
             .filter(|(replica, _)| self.needs_order(replica))
             .map(|(replica, state)| (state.failures, replica))
             .collect();
-        // A replica that failed goes behind those that have not been tried.
+        // Replicas with fewer failures come first.
         waiting.sort();
         let wave: Vec<ReplicaId> =
             waiting.into_iter().take(free).map(|(_, replica)| replica.clone()).collect();
@@ -90,9 +90,9 @@
             if let Some(state) = self.replicas.get_mut(replica) {
                 state.ordered_at = Some(now);
                 state.last_order_at = Some(now);
-                state.asked_at = Some(now);
+                state.polled_at = Some(now);
             }
-            self.send_after_record(replica.clone(), OrderCommand::LoadWeights(target));
+            self.send_after_commit(replica.clone(), OrderCommand::LoadWeights(target));
             self.decide("ordered", "wave", replica);
         }
         self.propose(WeightsRecord::Ordered(wave));
--- a/crates/core/src/weights/ledger.rs
+++ b/crates/core/src/weights/ledger.rs
@@ -1,4 +1,4 @@
-//! What the log of a pool's weights amounts to.
+//! Records of a pool's weights and the state derived from them.
 
 use std::collections::BTreeSet;
 
@@ -6,29 +6,29 @@
 
 use crate::identity::{ReplicaId, WeightVersion};
 
-/// One change of a pool's weights, as it stands in the shard's log.
+/// One change of a pool's weights, as stored in the shard's log.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum WeightsRecord {
-    /// A trainer published a version; the wave to it begins.
+    /// A trainer published a version, which starts its rollout.
     Published(WeightVersion),
     /// These replicas are about to be ordered to load the published version.
     Ordered(Vec<ReplicaId>),
     /// These replicas reported the published version.
     Confirmed(Vec<ReplicaId>),
-    /// These replicas are to be ordered anew, or have left the pool.
+    /// These replicas have to be ordered again, or have left the pool.
     Cleared(Vec<ReplicaId>),
-    /// Whether a replica is to take new work.
+    /// An operator changed whether a replica takes new work.
     RoleChanged {
         /// The replica.
         replica: ReplicaId,
         /// Whether it drains.
         draining: bool,
     },
-    /// Changes nothing. That it is kept shows that its owner had not been superseded.
+    /// Changes nothing. Once committed, it proves that the owner had not been superseded.
     Barrier,
 }
 
-/// A record could not be read.
+/// A record could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "a log entry of the weights can't be read ({reason}); run the version of lichenpulleyd that wrote it"
@@ -44,60 +44,60 @@
 }
 
 impl WeightsRecord {
-    /// The record as bytes for the log.
+    /// Encodes the record for the log.
     ///
     /// # Errors
-    /// When the codec fails.
+    /// Fails when the record can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, WeightsRecordError> {
         Ok(self.write_to_vec()?)
     }
 
-    /// A record from the log's bytes.
+    /// Decodes a record of the log.
     ///
     /// # Errors
-    /// When the bytes are no record.
+    /// Fails when the bytes can't be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 }
 
-/// The state of a pool's weights: the result of applying its records in order.
+/// State of a pool's weights: the result of applying its records in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WeightsLedger {
-    /// The version that all replicas are to have; `None` before the first was published.
+    /// The published version that all replicas have to load; `None` before the first publication.
     pub target: Option<WeightVersion>,
-    /// Replicas that may be loading it.
+    /// Replicas that may be loading the target version.
     pub ordered: BTreeSet<ReplicaId>,
-    /// Replicas that have reported it.
+    /// Replicas that have reported the target version.
     pub confirmed: BTreeSet<ReplicaId>,
-    /// Replicas that are to take no new work.
+    /// Replicas that must not take new work.
     pub draining: BTreeSet<ReplicaId>,
 }
 
 impl WeightsLedger {
-    /// A ledger from the bytes of [`Self::snapshot`].
+    /// Decodes a ledger from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are no ledger.
+    /// Fails when the bytes can't be decoded.
     pub(crate) fn from_snapshot(bytes: &[u8]) -> Result<Self, WeightsRecordError> {
         Ok(Self::read_from_buffer(bytes)?)
     }
 
-    /// The ledger as bytes, standing for all records applied so far.
+    /// Encodes the ledger, which replaces all records applied so far.
     ///
     /// # Errors
-    /// When the codec fails.
+    /// Fails when the ledger can't be encoded.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, WeightsRecordError> {
         Ok(self.write_to_vec()?)
     }
 
-    /// Applies the next record. A version never goes back: an older `Published` changes nothing.
+    /// Applies the next record. The target version never decreases: an older `Published` changes nothing.
     pub(crate) fn apply(&mut self, record: &WeightsRecord) {
         match record {
             WeightsRecord::Published(version) => self.publish(*version),
             WeightsRecord::Ordered(replicas) => self.ordered.extend(replicas.iter().cloned()),
             WeightsRecord::Confirmed(replicas) => self.confirm(replicas),
-            WeightsRecord::Cleared(replicas) => self.forget(replicas),
+            WeightsRecord::Cleared(replicas) => self.clear_progress(replicas),
             WeightsRecord::Barrier => {}
             WeightsRecord::RoleChanged { replica, draining: true } => {
                 self.draining.insert(replica.clone());
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Replicas that were ordered to load the earlier version may still be fetching it: they stay `ordered`.
+    /// Sets the target version. Replicas that were ordered to load the previous version stay `ordered`, since
+    /// they may still be fetching it.
     fn publish(&mut self, version: WeightVersion) {
         if self.target.is_none_or(|target| target < version) {
             self.target = Some(version);
@@ -123,7 +124,7 @@
         }
     }
 
-    fn forget(&mut self, replicas: &[ReplicaId]) {
+    fn clear_progress(&mut self, replicas: &[ReplicaId]) {
         for replica in replicas {
             self.ordered.remove(replica);
             self.confirmed.remove(replica);
--- a/crates/core/src/weights/mod.rs
+++ b/crates/core/src/weights/mod.rs
@@ -1,8 +1,8 @@
-//! Waves of fenced orders that bring a weight version to all replicas of a pool.
+//! Rolls out a published weight version to all replicas of a pool, in waves of fenced orders.
 //!
-//! The owner of a pool's weights drives a [`WeightsController`]. The log holds the published version, which
-//! replicas have been ordered and which have confirmed it, so that a new owner goes on where the old one
-//! stopped and the weight store never serves more fetches at once than allowed, across owners too.
+//! The owner of a pool's weights drives a [`WeightsController`]. The log contains the published version and
+//! the replicas that were ordered to load it or have confirmed it. A new owner therefore continues where the
+//! previous one stopped, and the limit on concurrent fetches from the weight store holds across owners.
 
 mod config;
 mod controller;
--- a/crates/core/src/weights/replica.rs
+++ b/crates/core/src/weights/replica.rs
@@ -1,53 +1,54 @@
-//! What the owner of a pool's weights knows of one replica.
+//! Reports of replicas, results of orders, and the state that the owner of a pool's weights tracks for each
+//! replica.
 
 use crate::identity::{Epoch, WeightVersion};
 use crate::time::Timestamp;
 
-/// What a replica said about itself.
+/// A replica's report on its weights and role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightReport {
-    /// Its loaded weights; `None` while a swap runs or after one failed partway.
+    /// The loaded weight version; `None` during a swap or after a failed one.
     pub weight_version: Option<WeightVersion>,
-    /// Whether it takes new streams.
+    /// Whether it drains and so takes no new streams.
     pub draining: bool,
 }
 
-/// What became of an order.
+/// Result of an order to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The replica took it.
+    /// The replica accepted the order.
     Accepted(WeightReport),
-    /// The replica has seen a higher epoch: this owner is superseded.
+    /// The replica has seen a higher epoch, so this owner is superseded.
     Refused {
-        /// The epoch it has seen.
+        /// The highest epoch that the replica has seen.
         highest_epoch: Epoch,
     },
-    /// No answer; the order may have been taken.
+    /// There was no answer. The replica may have accepted the order.
     NoAnswer,
 }
 
-/// What the owner knows of one replica.
+/// State of one replica as tracked by the owner.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReplicaState {
-    /// When it was last asked or ordered.
-    pub(super) asked_at: Option<Timestamp>,
-    /// When the first order to load the published version was sent; for an earlier owner's, when this one
-    /// began.
+    /// When the replica was last polled or ordered, or last reported.
+    pub(super) polled_at: Option<Timestamp>,
+    /// When the first order to load the target version was sent, or when this owner started if an earlier one
+    /// sent it.
     pub(super) ordered_at: Option<Timestamp>,
-    /// When the order was last sent by this owner; `None` where it is to be sent at once.
+    /// When this owner last sent the order; `None` if it is due now.
     pub(super) last_order_at: Option<Timestamp>,
-    /// Orders in a row that were not confirmed in time.
+    /// Consecutive orders that were not confirmed in time.
     pub(super) failures: u32,
-    /// Its last report.
+    /// The last report.
     pub(super) report: Option<WeightReport>,
-    /// Whether this owner has ordered its role since the last change of it.
+    /// Whether this owner has ordered the role since it last changed.
     pub(super) role_ordered: bool,
 }
 
 impl ReplicaState {
-    /// A replica that an earlier owner ordered or heard of: asked at once, and given the whole time to
-    /// confirm.
-    pub(super) fn taken_over(now: Timestamp) -> Self {
+    /// Creates the state of a replica found in the log of an earlier owner. It is polled at once and has the
+    /// full timeout to confirm.
+    pub(super) fn recovered(now: Timestamp) -> Self {
         Self { ordered_at: Some(now), ..Self::default() }
     }
 }
