--- a/crates/core/src/request/execution/choice.rs
+++ b/crates/core/src/request/execution/choice.rs
@@ -27,7 +27,7 @@
         };
         let refusal = match pool.reserve(&query, random, now) {
             Ok(choice) => {
-                self.record_decision("routed", "lowest_cost", |decision| {
+                self.record("routed", "lowest_cost", |decision| {
                     decision
                         .with("replica", &choice.replica)
                         .with("cost", format_args!("{:.3}", choice.cost))
--- a/crates/core/src/request/execution/ending.rs
+++ b/crates/core/src/request/execution/ending.rs
@@ -34,7 +34,7 @@
         retry_after: Option<Duration>,
     ) -> RequestOutcome {
         let retry_after = retry_after.filter(|_| reason.is_retryable());
-        self.record_decision("refused", reason.as_str(), |decision| {
+        self.record("refused", reason.as_str(), |decision| {
             decision.with("retry_after_ms", retry_after.map_or(0, |wait| wait.as_millis()))
         });
         match ledger.into_evidence() {
@@ -54,7 +54,7 @@
         retry_after: Option<Duration>,
     ) -> RequestOutcome {
         let attempts = self.attempts;
-        self.record_decision("given_up", reason.as_str(), |decision| decision.with("attempts", attempts));
+        self.record("given_up", reason.as_str(), |decision| decision.with("attempts", attempts));
         let doubt = match ledger.into_evidence() {
             Evidence::InDoubt(doubt) => doubt,
             Evidence::NotRun(_) => Doubt::EarlierSubmission,
--- a/crates/core/src/request/execution/mod.rs
+++ b/crates/core/src/request/execution/mod.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    fn record_decision(&mut self, action: &str, reason: &str, inputs: impl FnOnce(Decision) -> Decision) {
+    fn record(&mut self, action: &str, reason: &str, inputs: impl FnOnce(Decision) -> Decision) {
         let component = if action == "routed" { Component::Routing } else { Component::Request };
         self.decisions.push(inputs(Decision::new(component, action, reason, &self.spec.request)));
     }
--- a/crates/core/src/request/execution/recovery.rs
+++ b/crates/core/src/request/execution/recovery.rs
@@ -35,7 +35,7 @@
             further => pool.config().backoff.jittered_pause(further, random),
         };
         let from = self.assembly.next_token();
-        self.record_decision("resumed", reason, |decision| decision.with("from_token", from));
+        self.record("resumed", reason, |decision| decision.with("from_token", from));
         self.state = State::Interrupted(now + wait);
     }
 
@@ -69,9 +69,7 @@
             return;
         }
         let (retry, kept) = (self.retries, self.assembly.next_token());
-        self.record_decision("retried", reason, |decision| {
-            decision.with("retry", retry).with("tokens_kept", kept)
-        });
+        self.record("retried", reason, |decision| decision.with("retry", retry).with("tokens_kept", kept));
         self.state = State::Choosing(not_before);
     }
 }
