--- a/crates/core/tests/batch_moves.rs
+++ b/crates/core/tests/batch_moves.rs
@@ -2,14 +2,14 @@
 
 mod batch_support;
 
-use batch_support::{Bench, at, job, replica};
+use batch_support::{OwnerHarness, at, job, replica};
 use lichenpulley_core::batch::controller::{RunEnd, RunId};
 use lichenpulley_core::batch::ledger::Ledger;
 
 /// Two runs at two replicas, of which one pauses so much longer between events; then the quick one ends. Returns the bench
 /// after the next look, the slow run, and when that was.
-fn slow_and_quick(slow_ms: u64, quick_ms: u64, slow_events: u64) -> (Bench, RunId, u64) {
-    let mut bench = Bench::new(Ledger::default(), false, &[replica("a", 1), replica("b", 1)]);
+fn slow_and_quick(slow_ms: u64, quick_ms: u64, slow_events: u64) -> (OwnerHarness, RunId, u64) {
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1), replica("b", 1)]);
     bench.submit(at(0), job("j", 2, 1));
     let [slow, quick] = [bench.started[0].run, bench.started[1].run];
     assert_ne!(bench.started[0].replica.id, bench.started[1].replica.id);
@@ -22,11 +22,11 @@
             bench.event(at(now_ms), quick, now_ms / quick_ms - 1, 1);
         }
     }
-    bench.decide(at(end_ms));
+    bench.commit_appends(at(end_ms));
     bench.end(at(end_ms), quick, RunEnd::Complete);
-    bench.decide(at(end_ms));
+    bench.commit_appends(at(end_ms));
     bench.controller.tick(at(end_ms + 10));
-    bench.take();
+    bench.drain_actions();
     (bench, slow, end_ms + 10)
 }
 
--- a/crates/core/tests/batch_orders.rs
+++ b/crates/core/tests/batch_orders.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use batch_support::{Bench, MODEL, at, lease_of, replica, table};
+use batch_support::{MODEL, OwnerHarness, at, lease_of, replica, table};
 use lichenpulley_core::batch::controller::ControllerConfig;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::weights::LoadEnd;
@@ -14,16 +14,16 @@
     ["a", "b", "c", "d"].map(|id| replica(id, 1)).to_vec()
 }
 
-fn owner(holder: &str, ledger: Ledger) -> Bench {
-    Bench::with_lease(lease_of(holder), ControllerConfig::default(), ledger, false, &replicas())
+fn owner(holder: &str, ledger: Ledger) -> OwnerHarness {
+    OwnerHarness::with_lease(lease_of(holder), ControllerConfig::default(), ledger, false, &replicas())
 }
 
 /// Names a version and lets its orders be kept, a while after.
-fn name_version(bench: &mut Bench, from: u64) {
+fn name_version(bench: &mut OwnerHarness, from: u64) {
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
     bench.controller.update(at(from), None, &table(&replicas()), &named);
     bench.controller.tick(at(from + 400));
-    bench.decide(at(from + 400));
+    bench.commit_appends(at(from + 400));
 }
 
 #[test]
@@ -32,9 +32,9 @@
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
     bench.controller.update(at(0), None, &table(&replicas()), &named);
     bench.controller.tick(at(400));
-    bench.take();
+    bench.drain_actions();
     assert!(bench.loads.is_empty());
-    bench.decide(at(405));
+    bench.commit_appends(at(405));
     assert_eq!(bench.loads.len(), 2);
 }
 
@@ -62,13 +62,13 @@
         let versions = BTreeMap::from([(MODEL.to_owned(), version)]);
         next.controller.load_ended(at(500), &replica, &LoadEnd { versions, time: None });
     }
-    next.decide(at(500));
+    next.commit_appends(at(500));
     assert_eq!(next.loads.len(), 2, "the other two are still under the lease");
     next.controller.tick(at(2_900));
-    next.decide(at(2_900));
+    next.commit_appends(at(2_900));
     assert_eq!(next.loads.len(), 2);
     next.controller.tick(at(3_100));
-    next.decide(at(3_100));
+    next.commit_appends(at(3_100));
     assert_eq!(next.loads.len(), 4);
     assert!(next.loads[2..].iter().all(|(replica, _)| ordered.contains(replica)));
 }
--- a/crates/core/tests/batch_recovery.rs
+++ b/crates/core/tests/batch_recovery.rs
@@ -4,17 +4,17 @@
 
 use std::time::Duration;
 
-use batch_support::{Bench, at, job, replica, scored_job};
+use batch_support::{OwnerHarness, at, job, replica, scored_job};
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::recovery::{LedgerRecovery, RecoveryStep};
 
 /// Records of many small jobs.
 fn records(jobs: usize) -> Vec<Vec<u8>> {
-    let mut bench = Bench::new(Ledger::default(), false, &[replica("a", 1)]);
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1)]);
     for number in 0..jobs {
         let id = format!("j{number}");
         let one = if number % 2 == 0 { job(&id, 1, 0) } else { scored_job(&id, 1) };
-        bench.run_whole(at(number as u64 + 1), one);
+        bench.run_to_completion(at(number as u64 + 1), one);
     }
     bench.records.iter().map(|record| record.encode().expect("bytes")).collect()
 }
--- a/crates/core/tests/batch_scoring.rs
+++ b/crates/core/tests/batch_scoring.rs
@@ -4,21 +4,21 @@
 
 use std::collections::BTreeMap;
 
-use batch_support::{Bench, MODEL, at, job, replica, scored_job, scorer_replica, table};
+use batch_support::{MODEL, OwnerHarness, at, job, replica, scored_job, scorer_replica, table};
 use lichenpulley_core::batch::controller::RunEnd;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::record::Record;
 use lichenpulley_core::batch::score_plan::ScoreEnd;
 use lichenpulley_core::identity::BatchId;
 
-fn bench(scorers: &[&str]) -> Bench {
+fn bench(scorers: &[&str]) -> OwnerHarness {
     bench_of(Ledger::default(), scorers)
 }
 
-fn bench_of(ledger: Ledger, scorers: &[&str]) -> Bench {
+fn bench_of(ledger: Ledger, scorers: &[&str]) -> OwnerHarness {
     let mut replicas = vec![replica("a", 1)];
     replicas.extend(scorers.iter().map(|id| scorer_replica(id)));
-    Bench::new(ledger, false, &replicas)
+    OwnerHarness::new(ledger, false, &replicas)
 }
 
 fn scored(score: &str) -> ScoreEnd {
@@ -33,7 +33,7 @@
     bench.event(at(10), run, 0, 1);
     bench.end(at(20), run, RunEnd::Complete);
     assert!(bench.scores.is_empty(), "the text is not decided yet");
-    bench.decide(at(25));
+    bench.commit_appends(at(25));
     assert_eq!(bench.scores.len(), 1);
     assert_eq!(bench.scores[0].request.id, "score-j-0");
     assert_eq!(bench.results("j"), 0, "nothing is listed without its score");
@@ -42,10 +42,10 @@
 #[test]
 fn a_result_carries_the_signature_of_its_own_scorer() {
     let mut bench = bench(&["s"]);
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     bench.score_end(at(40), 0, scored("seal-0"));
     assert_eq!(bench.results("j"), 0, "the score is not decided yet");
-    bench.decide(at(45));
+    bench.commit_appends(at(45));
     let ledger = bench.controller.ledger();
     let result = &ledger.job(&BatchId::new("j")).expect("the job").results[0];
     assert_eq!((result.text.as_str(), result.score.as_deref()), ("d0", Some("seal-0")));
@@ -54,7 +54,7 @@
 #[test]
 fn an_item_without_a_scorer_is_listed_as_it_came() {
     let mut bench = bench(&["s"]);
-    bench.run_whole(at(1), job("j", 1, 0));
+    bench.run_to_completion(at(1), job("j", 1, 0));
     assert!(bench.scores.is_empty());
     assert_eq!(bench.results("j"), 1);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn a_new_owner_repeats_the_score_request_and_never_the_generation() {
     let mut first = bench(&["s"]);
-    first.run_whole(at(1), scored_job("j", 1));
+    first.run_to_completion(at(1), scored_job("j", 1));
     let next = bench_of(first.ledger_of_records(), &["s"]);
     assert!(next.started.is_empty(), "the text is whole");
     assert_eq!(next.scores.len(), 1);
@@ -73,24 +73,24 @@
 fn no_score_is_requested_for_a_text_that_is_kept_after_the_end_of_its_job() {
     let mut bench = bench(&["s"]);
     bench.submit(at(1), scored_job("j", 1));
-    bench.decide(at(1));
+    bench.commit_appends(at(1));
     let run = bench.started[0].run;
     bench.event(at(2), run, 0, 1);
     bench.end(at(3), run, RunEnd::Complete);
     assert_eq!(bench.controller.end(at(4), &BatchId::new("j")), Some(false));
-    bench.take();
-    bench.decide(at(5));
+    bench.drain_actions();
+    bench.commit_appends(at(5));
     bench.controller.tick(at(500));
-    bench.take();
+    bench.drain_actions();
     assert!(bench.scores.is_empty() && bench.started.len() == 1);
 }
 
 #[test]
 fn a_snapshot_keeps_what_waits_for_its_score() {
     let mut first = bench(&["s"]);
-    first.run_whole(at(1), scored_job("j", 1));
+    first.run_to_completion(at(1), scored_job("j", 1));
     first.score_end(at(30), 0, ScoreEnd::Failed);
-    first.decide(at(31));
+    first.commit_appends(at(31));
     let bytes = first.controller.ledger().to_snapshot().expect("a snapshot");
     let ledger = Ledger::recover(Some(&bytes), &[]).expect("a ledger");
     assert_eq!(&ledger, first.controller.ledger());
@@ -99,7 +99,7 @@
 #[test]
 fn a_request_without_an_answer_is_sent_to_another_replica_at_once() {
     let mut bench = bench(&["s", "t"]);
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     bench.score_end(at(30), 0, ScoreEnd::Broken);
     assert_eq!(bench.scores.len(), 2);
     assert_ne!(bench.scores[0].replica.id, bench.scores[1].replica.id);
@@ -109,19 +109,19 @@
 #[test]
 fn failures_are_counted_across_owners_and_give_the_item_up_no_sooner_than_the_route_allows() {
     let mut first = bench(&["s", "t"]);
-    first.run_whole(at(1), scored_job("j", 1));
+    first.run_to_completion(at(1), scored_job("j", 1));
     first.score_end(at(30), 0, ScoreEnd::Failed);
-    first.decide(at(31));
+    first.commit_appends(at(31));
     let mut next = bench_of(first.ledger_of_records(), &["s", "t"]);
     next.score_end(at(10), 0, ScoreEnd::Failed);
-    next.decide(at(11));
+    next.commit_appends(at(11));
     assert_eq!(next.results("j"), 0, "two of three failures");
     next.score_end(at(20), 1, ScoreEnd::Broken);
     next.controller.tick(at(200));
-    next.decide(at(200));
+    next.commit_appends(at(200));
     assert_eq!(next.results("j"), 0, "an answer that was lost is no failure");
     next.score_end(at(220), 2, ScoreEnd::Failed);
-    next.decide(at(221));
+    next.commit_appends(at(221));
     let ledger = next.controller.ledger();
     let result = &ledger.job(&BatchId::new("j")).expect("the job").results[0];
     assert!(!result.is_complete && result.score.is_none());
@@ -130,13 +130,13 @@
 #[test]
 fn an_ended_job_asks_its_scorer_no_more() {
     let mut bench = bench(&["s"]);
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     assert_eq!(bench.controller.end(at(30), &BatchId::new("j")), Some(false));
-    bench.decide(at(30));
+    bench.commit_appends(at(30));
     assert_eq!(bench.stopped_scores, [bench.scores[0].id]);
     bench.score_end(at(31), 0, scored("late"));
     bench.controller.tick(at(300));
-    bench.decide(at(300));
+    bench.commit_appends(at(300));
     assert_eq!((bench.results("j"), bench.scores.len()), (0, 1));
 }
 
@@ -144,7 +144,7 @@
 fn a_scorer_keeps_places_for_live_callers() {
     let mut bench = bench(&["s"]);
     for number in 0..8 {
-        bench.run_whole(at(100 * number + 1), scored_job(&format!("j{number}"), 1));
+        bench.run_to_completion(at(100 * number + 1), scored_job(&format!("j{number}"), 1));
     }
     // Of the six slots one quarter, rounded up, stays free.
     assert_eq!(bench.scores.len(), 4);
@@ -153,7 +153,7 @@
     bench.score_end_with(at(910), 1, scored("seal"), Some(6));
     assert_eq!(bench.scores.len(), 5, "live callers have the places");
     bench.controller.tick(at(1_400));
-    bench.decide(at(1_400));
+    bench.commit_appends(at(1_400));
     assert_eq!(bench.scores.len(), 6, "what a replica said some time ago holds no more");
 }
 
@@ -162,7 +162,7 @@
     let mut bench = bench(&["s", "t"]);
     let items = 40;
     for number in 0..items {
-        bench.run_whole(at(number + 1), scored_job(&format!("j{number}"), 1));
+        bench.run_to_completion(at(number + 1), scored_job(&format!("j{number}"), 1));
     }
     let mut answered = 0;
     let mut now = 100;
@@ -173,7 +173,7 @@
         }
         now += 50;
         bench.controller.tick(at(now));
-        bench.decide(at(now));
+        bench.commit_appends(at(now));
     }
     // Forty first requests pay in for eight retries, to the first forty and four a second.
     let most = items as usize + 40 + 8 + 40;
@@ -191,7 +191,7 @@
         &table(&[replica("a", 1), scorer_replica("s")]),
         &BTreeMap::new(),
     );
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     assert!(bench.scores.is_empty());
     routes.routes.push(scorer_route);
     bench.controller.update(
@@ -200,7 +200,7 @@
         &table(&[replica("a", 1), scorer_replica("s")]),
         &BTreeMap::new(),
     );
-    bench.decide(at(50));
+    bench.commit_appends(at(50));
     assert_eq!(bench.scores.len(), 1);
 }
 
@@ -210,7 +210,7 @@
     let mut leaving = scorer_replica("s");
     leaving.is_draining = true;
     bench.controller.update(at(0), None, &table(&[replica("a", 1), leaving]), &BTreeMap::new());
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     assert!(bench.scores.is_empty());
 }
 
@@ -230,11 +230,11 @@
 #[test]
 fn a_scorer_without_an_alternative_is_given_longer_each_time_up_to_its_routes_limit() {
     let mut bench = bench(&["s"]);
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     for (position, now_ms) in [(0, 700), (1, 2_700)] {
         bench.score_end(at(now_ms), position, ScoreEnd::Broken);
         bench.controller.tick(at(now_ms + 1_000));
-        bench.take();
+        bench.drain_actions();
     }
     let timeouts: Vec<u128> = bench.scores.iter().map(|start| start.timeout.as_millis()).collect();
     assert_eq!(timeouts, [600, 1_200, 1_500]);
@@ -243,14 +243,14 @@
 #[test]
 fn a_replica_that_was_not_cut_off_before_gets_no_more_than_the_first_time() {
     let mut bench = bench(&["s", "t"]);
-    bench.run_whole(at(1), scored_job("j", 1));
+    bench.run_to_completion(at(1), scored_job("j", 1));
     bench.score_end(at(700), 0, ScoreEnd::Broken);
     bench.controller.tick(at(1_700));
-    bench.take();
+    bench.drain_actions();
     assert_ne!(bench.scores[0].replica.id, bench.scores[1].replica.id);
     assert_eq!(bench.scores[1].timeout, bench.scores[0].timeout);
     bench.score_end(at(1_800), 1, ScoreEnd::Rejected);
     bench.controller.tick(at(2_800));
-    bench.take();
+    bench.drain_actions();
     assert!(bench.scores[2].timeout <= bench.scores[0].timeout * 2, "a refusal asks for no more time");
 }
--- a/crates/core/tests/batch_support/mod.rs
+++ b/crates/core/tests/batch_support/mod.rs
@@ -141,7 +141,7 @@
 }
 
 /// An owner and what it asked for, with its appends decided only when the test says so.
-pub(crate) struct Bench {
+pub(crate) struct OwnerHarness {
     pub(crate) controller: Controller,
     pub(crate) appends: usize,
     pub(crate) started: Vec<RunStart>,
@@ -154,7 +154,7 @@
     pub(crate) decisions: Vec<Decision>,
 }
 
-impl Bench {
+impl OwnerHarness {
     pub(crate) fn new(ledger: Ledger, needs_single_version: bool, replicas: &[ReplicaRecord]) -> Self {
         Self::with_config(ControllerConfig::default(), ledger, needs_single_version, replicas)
     }
@@ -189,11 +189,11 @@
             calls: Vec::new(),
             decisions: Vec::new(),
         };
-        bench.take();
+        bench.drain_actions();
         bench
     }
 
-    pub(crate) fn take(&mut self) {
+    pub(crate) fn drain_actions(&mut self) {
         while let Some(action) = self.controller.poll_action() {
             match action {
                 Action::Append(records) => {
@@ -212,38 +212,38 @@
     }
 
     /// All appends so far are kept by a majority.
-    pub(crate) fn decide(&mut self, now: Timestamp) {
-        self.take();
+    pub(crate) fn commit_appends(&mut self, now: Timestamp) {
+        self.drain_actions();
         while self.appends > 0 {
             self.appends -= 1;
             self.controller.appended(now);
-            self.take();
+            self.drain_actions();
         }
     }
 
     pub(crate) fn submit(&mut self, now: Timestamp, job: BatchJob) {
         assert_eq!(self.controller.submit(now, job), Submission::Pending);
-        self.decide(now);
+        self.commit_appends(now);
     }
 
     pub(crate) fn event(&mut self, now: Timestamp, run: RunId, number: u64, version: u64) {
         let kept = OutputEvent { number, version, data: format!("d{number}") };
         self.controller.run_event(now, run, RunEvent::Event(kept));
-        self.take();
+        self.drain_actions();
     }
 
     pub(crate) fn end(&mut self, now: Timestamp, run: RunId, end: RunEnd) {
         self.controller.run_event(now, run, RunEvent::Ended(end));
-        self.take();
+        self.drain_actions();
     }
 
     /// Takes a job of one item whose text comes whole at once.
-    pub(crate) fn run_whole(&mut self, now: Timestamp, job: BatchJob) {
+    pub(crate) fn run_to_completion(&mut self, now: Timestamp, job: BatchJob) {
         self.submit(now, job);
         let run = self.started.last().expect("a run").run;
         self.event(now, run, 0, 1);
         self.end(now, run, RunEnd::Complete);
-        self.decide(now);
+        self.commit_appends(now);
     }
 
     /// The score request that was sent as number `position` ends.
@@ -261,7 +261,7 @@
     ) {
         let id = self.scores[position].id;
         self.controller.score_ended(now, id, &end, busy);
-        self.take();
+        self.drain_actions();
     }
 
     pub(crate) fn results(&self, id: &str) -> usize {
--- a/crates/core/tests/cold_replicas.rs
+++ b/crates/core/tests/cold_replicas.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch_support::{Bench, at, job, replica, routes, scored_job, scorer_replica, table};
+use batch_support::{OwnerHarness, at, job, replica, routes, scored_job, scorer_replica, table};
 use lichenpulley_core::batch::controller::RunEnd;
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::identity::NodeId;
@@ -308,11 +308,11 @@
 }
 
 /// An owner that has owned for long, with replicas that turn cold now.
-fn cold_owner(records: &[ReplicaRecord]) -> Bench {
-    let mut bench = Bench::new(Ledger::default(), false, &[]);
+fn cold_owner(records: &[ReplicaRecord]) -> OwnerHarness {
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &[]);
     let routes = Arc::new(cold_routes(2.0, false, true));
     bench.controller.update(at(5_000), Some(routes), &table(records), &BTreeMap::new());
-    bench.take();
+    bench.drain_actions();
     bench
 }
 
@@ -322,21 +322,21 @@
     bench.submit(at(5_000), job("j", 4, 0));
     assert_eq!(bench.started.len(), 1);
     bench.controller.tick(at(5_480));
-    bench.take();
+    bench.drain_actions();
     assert_eq!(bench.started.len(), 1);
     bench.controller.tick(at(5_500));
-    bench.take();
+    bench.drain_actions();
     assert_eq!(bench.started.len(), 2, "two a second");
 
-    let mut successor = Bench::new(bench.ledger_of_records(), false, &[]);
+    let mut successor = OwnerHarness::new(bench.ledger_of_records(), false, &[]);
     let routes = Arc::new(cold_routes(2.0, false, true));
     let records = table(&[cold("a", LASTS)]);
     successor.controller.update(at(10), Some(routes), &records, &BTreeMap::new());
     successor.controller.tick(at(1_200));
-    successor.take();
+    successor.drain_actions();
     assert!(successor.started.is_empty(), "the last second's budget is spent");
     successor.controller.tick(at(1_300));
-    successor.take();
+    successor.drain_actions();
     assert_eq!(successor.started.len(), 1);
 }
 
@@ -351,21 +351,21 @@
         bench.event(at(5_010), run, 0, 1);
         bench.end(at(5_020), run, RunEnd::Complete);
     }
-    bench.decide(at(5_030));
+    bench.commit_appends(at(5_030));
     assert_eq!(bench.scores.len(), 1);
 }
 
 #[test]
 fn the_pace_of_a_cold_replica_is_forgotten_once_it_is_warm() {
     let mut bench = cold_owner(&[cold("a", Duration::from_secs(1)), replica("b", 1)]);
-    let run_at = |bench: &mut Bench, position: usize, replica: &str, from_ms: u64, gap_ms: u64| {
+    let run_at = |bench: &mut OwnerHarness, position: usize, replica: &str, from_ms: u64, gap_ms: u64| {
         let start = &bench.started[position];
         assert_eq!(start.replica.id, replica);
         let run = start.run;
         bench.event(at(from_ms), run, 0, 1);
         bench.event(at(from_ms + gap_ms), run, 1, 1);
         bench.end(at(from_ms + gap_ms), run, RunEnd::Complete);
-        bench.decide(at(from_ms + gap_ms));
+        bench.commit_appends(at(from_ms + gap_ms));
     };
     bench.submit(at(5_000), job("cold", 1, 0));
     run_at(&mut bench, 0, "a", 5_010, 200);
--- a/crates/core/tests/evacuations.rs
+++ b/crates/core/tests/evacuations.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch_support::{Bench, MODEL, at, job, lease_of, replica, routes, scored_job, scorer_replica, table};
+use batch_support::{
+    MODEL, OwnerHarness, at, job, lease_of, replica, routes, scored_job, scorer_replica, table,
+};
 use lichenpulley_core::batch::controller::{ControllerConfig, RunEnd};
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::score_plan::ScoreEnd;
@@ -66,7 +68,7 @@
 
 /// An owner and another sender, each with the copy that came last.
 struct World {
-    owner: Bench,
+    owner: OwnerHarness,
     sender: AdmissionGate,
     truth: BTreeSet<&'static str>,
     told: BTreeSet<String>,
@@ -78,7 +80,7 @@
 
 impl World {
     fn new() -> Self {
-        let owner = Bench::new(Ledger::default(), false, &replicas());
+        let owner = OwnerHarness::new(Ledger::default(), false, &replicas());
         let (sender, truth, told) =
             (AdmissionGate::new(Warmups::of_owner(at(0))), BTreeSet::new(), BTreeSet::new());
         let (ended, scored) = (BTreeSet::new(), BTreeSet::new());
@@ -115,7 +117,7 @@
             Step::EndScore(position, is_scored) => self.end_score(*position, *is_scored),
             Step::Tick => self.owner.controller.tick(now),
         }
-        self.owner.decide(now);
+        self.owner.commit_appends(now);
         for start in &self.owner.started[runs..] {
             assert!(!self.told.contains(&start.replica.zone), "a run went to {}", start.replica.zone);
         }
@@ -184,7 +186,7 @@
 
 #[test]
 fn what_runs_in_an_evacuated_zone_goes_on_and_what_breaks_there_goes_on_elsewhere() {
-    let mut bench = Bench::new(Ledger::default(), false, &replicas());
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &replicas());
     bench.controller.set_evacuated(at(0), zones(&ZONES[1..]));
     bench.submit(at(0), job("job", 1, 0));
     let run = bench.started[0].run;
@@ -192,7 +194,7 @@
     bench.event(at(10), run, 0, 1);
     bench.controller.set_evacuated(at(20), zones(&ZONES[..1]));
     bench.controller.tick(at(30));
-    bench.decide(at(30));
+    bench.commit_appends(at(30));
     assert_eq!((bench.started.len(), bench.stopped.len()), (1, 0));
     bench.end(at(40), run, RunEnd::Broken);
     let resumed = &bench.started[1];
@@ -202,22 +204,22 @@
 
 #[test]
 fn nothing_is_loaded_in_an_evacuated_zone_until_it_is_given_back() {
-    let mut bench = Bench::new(Ledger::default(), false, &replicas());
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &replicas());
     bench.controller.set_evacuated(at(0), zones(&ZONES[..1]));
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
     bench.controller.update(at(0), None, &table(&replicas()), &named);
     bench.controller.tick(at(400));
-    bench.decide(at(400));
+    bench.commit_appends(at(400));
     let loaded: BTreeSet<&str> = bench.loads.iter().map(|(replica, _)| replica.as_str()).collect();
     assert_eq!(loaded, BTreeSet::from(["engine-ampang", "engine-shah-alam"]));
     for zone in &ZONES[1..] {
         let end = LoadEnd { versions: BTreeMap::from([(MODEL.to_owned(), 2)]), time: None };
         bench.controller.load_ended(at(500), &format!("engine-{zone}"), &end);
     }
-    bench.decide(at(500));
+    bench.commit_appends(at(500));
     assert_eq!(bench.loads.len(), 2);
     bench.controller.set_evacuated(at(600), zones(&[]));
-    bench.decide(at(600));
+    bench.commit_appends(at(600));
     assert_eq!(bench.loads[2], ("engine-kajang".to_owned(), 2));
 }
 
@@ -230,13 +232,13 @@
     };
     let records: Vec<ReplicaRecord> =
         (0..8).map(|number| both(&format!("r{number}"), ZONES[usize::from(number >= 4)])).collect();
-    let mut bench = Bench::new(Ledger::default(), false, &records);
+    let mut bench = OwnerHarness::new(Ledger::default(), false, &records);
     let named = BTreeMap::from([(MODEL.to_owned(), 2), ("ranking".to_owned(), 2)]);
     bench.controller.set_evacuated(at(0), zones(&ZONES[..1]));
     bench.controller.update(at(0), None, &table(&records), &named);
     for now_ms in (400..4_000).step_by(100) {
         bench.controller.tick(at(now_ms));
-        bench.decide(at(now_ms));
+        bench.commit_appends(at(now_ms));
         for (id, version) in bench.loads.clone() {
             let versions = BTreeMap::from([(MODEL.to_owned(), version), ("ranking".to_owned(), version)]);
             let end = LoadEnd { versions, time: None };
@@ -267,14 +269,15 @@
 fn replicas_are_ordered_in_the_other_zones_alone() {
     let duties = DutyConfig { usage: None, scaling: Some(ScalingPolicy::default()) };
     let config = ControllerConfig { duties, ..ControllerConfig::default() };
-    let mut bench = Bench::with_lease(lease_of("node-1"), config, Ledger::default(), false, &replicas());
+    let mut bench =
+        OwnerHarness::with_lease(lease_of("node-1"), config, Ledger::default(), false, &replicas());
     bench.controller.update(at(0), Some(scaled_routes()), &table(&replicas()), &BTreeMap::new());
     bench.controller.tick_duties(at(0), WallTime(0));
     bench.submit(at(0), job("job", 6, 0));
     bench.controller.set_evacuated(at(100), zones(&ZONES[..1]));
     for now_ms in (12_000..16_000).step_by(250) {
         bench.controller.tick_duties(at(now_ms), WallTime(now_ms));
-        bench.decide(at(now_ms));
+        bench.commit_appends(at(now_ms));
     }
     let ordered: BTreeMap<&str, u32> = bench
         .calls
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use batch_support::{Bench, at, job, replica, routes, scored_job, scorer_replica, table};
+use batch_support::{OwnerHarness, at, job, replica, routes, scored_job, scorer_replica, table};
 use lichenpulley_core::batch::controller::{ControllerConfig, RunEnd};
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::regional::{region_sets, regions_of, shard_of, unknown_regions};
@@ -130,7 +130,7 @@
 
 /// The owner of a shard beside a model of what it may do.
 struct Watched {
-    bench: Bench,
+    bench: OwnerHarness,
     shard: AllowedRegions,
     table: RouteTable,
     replicas: Vec<ReplicaRecord>,
@@ -144,7 +144,7 @@
     fn new(shard: AllowedRegions) -> Self {
         let config =
             ControllerConfig { zones: zones(), regions: shard.clone(), ..ControllerConfig::default() };
-        let bench = Bench::with_config(config, Ledger::default(), false, &[]);
+        let bench = OwnerHarness::with_config(config, Ledger::default(), false, &[]);
         let all = AllowedRegions::all();
         let table = bound(&all, &all, &all);
         Self { bench, shard, table, replicas: Vec::new(), now_ms: 0, count: 0, seen: (0, 0) }
@@ -196,7 +196,7 @@
         self.count += 1;
         self.update();
         self.bench.controller.tick(at(self.now_ms));
-        self.bench.decide(at(self.now_ms));
+        self.bench.commit_appends(at(self.now_ms));
     }
 
     /// What was sent since the last look went where it may by the configuration then in force.
