--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -1,6 +1,5 @@
-//! The bytes of messages between nodes and of stored records. Nodes of two releases exchange them and a store reads
-//! what an earlier release wrote, so the bytes in `encoding_bytes` must never change: a rename or a move that alters the order of
-//! fields or variants fails here.
+//! Encoding of messages between nodes and of stored records. Nodes of different releases exchange and read
+//! them, so the bytes in `encoding_bytes` must never change; reordering fields or variants fails here.
 
 use std::fmt::{Debug, Write};
 
@@ -45,14 +44,14 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// The value has these bytes, and these bytes are the value.
-fn check<T>(value: &T, golden: &str)
+/// Checks that the value encodes to these bytes and that they decode to the value.
+fn check<T>(value: &T, expected: &str)
 where
     T: Writable<LittleEndian> + for<'a> Readable<'a, LittleEndian> + PartialEq + Debug,
 {
     let encoded = value.write_to_vec().expect("an encodable value");
-    assert_eq!(hex(&encoded), golden, "{value:?}");
-    assert_eq!(&T::read_from_buffer(&bytes(golden)).expect("a readable value"), value);
+    assert_eq!(hex(&encoded), expected, "{value:?}");
+    assert_eq!(&T::read_from_buffer(&bytes(expected)).expect("a readable value"), value);
 }
 
 fn set(generation: u64) -> ReplicaSet {
@@ -206,7 +205,7 @@
 }
 
 #[test]
-fn what_a_store_keeps_of_a_shard_keeps_its_bytes() {
+fn stored_shard_state_keeps_its_bytes() {
     let progress = CopyProgress {
         transfer: TransferId("t/1".to_owned()),
         sources: vec![SourceProgress { store: StoreId::new("s2"), next: 3 }],
@@ -253,11 +252,11 @@
         (Body::Buckets { indexes: vec![3], entries: updates.clone(), exchange: true }, DATAGRAMS[7]),
         (Body::Notice, DATAGRAMS[8]),
     ];
-    for (body, golden) in bodies {
+    for (body, expected) in bodies {
         let document = DocumentRevision { document: "configuration".to_owned(), revision: Revision(12) };
         let mut message = Message::new(NodeId::new("n1"), 99, body, vec![document]);
         message.updates.clone_from(&updates);
-        check(&message, golden);
+        check(&message, expected);
     }
 }
 
--- a/crates/core/tests/encoding_bytes/mod.rs
+++ b/crates/core/tests/encoding_bytes/mod.rs
@@ -1,5 +1,4 @@
-//! The bytes of the values in `encoding.rs`, in hexadecimal digits, as they are written and read since the format was
-//! settled.
+//! The expected encodings of the values in `encoding.rs`, in hexadecimal digits.
 
 /// Requests to a replica, in the order of the checks.
 pub const REQUESTS: [&str; 11] = [
@@ -39,7 +38,7 @@
     "01000000",
 ];
 
-/// Answers of a replica, in the order of the checks.
+/// Responses of a replica, in the order of the checks.
 pub const ANSWERS: [&str; 13] = [
     "0a00000062617463682f6d61696e010000000000000002000000733100000000",
     "0a00000062617463682f6d61696e0100000000000000020000007331010000000700000000000000040000006e312f33\
@@ -97,7 +96,7 @@
     "0a00000062617463682f6d61696e01000000000000000200000073310a00000007000000",
 ];
 
-/// What a store keeps, in the order of the checks.
+/// Records stored by a store, in the order of the checks.
 pub const STORED: [&str; 5] = [
     "0a00000062617463682f6d61696e010000000000000002000000020000007331020000006e31010000007a0a00000031\
      302e302e302e313a37020000007332020000006e32010000007a0a00000031302e302e302e323a370000000007000000\
--- a/crates/core/tests/overtaken_records.rs
+++ b/crates/core/tests/overtaken_records.rs
@@ -1,4 +1,4 @@
-//! A record that an owner left at one store must not follow those of a later owner.
+//! A record that a superseded owner left on one store must not be recovered after records of a later owner.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, SetMember, StoreId};
 use lichenpulley_core::time::Timestamp;
 
-/// Longer than any test: an unreachable store is not tried again.
+/// Retry delay longer than any test, so that an unreachable store is not tried again.
 const NEVER: Duration = Duration::from_secs(3_600);
 
 struct Stores(Vec<(StoreId, Acceptor, MemoryStorage)>);
@@ -37,7 +37,8 @@
         ReplicaSet { shard: ShardId::new("job/overtaken"), generation: Generation::FIRST, members }
     }
 
-    /// Exchanges messages with the reachable stores until there is nothing to send; gives what was recovered.
+    /// Exchanges messages with the reachable stores until there is nothing to send. Returns the recovered
+    /// log, if any.
     fn exchange(&mut self, proposer: &mut Proposer, reachable: &[usize]) -> Option<RecoveredLog> {
         let now = Timestamp::ORIGIN;
         while let Some(transmit) = proposer.poll_transmit(now) {
@@ -79,9 +80,9 @@
     }
 }
 
-/// The first owner leaves two records at one store; the second, which never sees that store, appends one; the third
-/// reads both.
-fn third_owner_recovers(checks: ProposerChecks) -> Vec<String> {
+/// The first owner leaves two records on one store. The second never reaches that store and appends one
+/// record. The third reads both stores.
+fn records_recovered_by_third_owner(checks: ProposerChecks) -> Vec<String> {
     let mut stores = Stores::new();
     let (mut first, _) = stores.take_over(1, &[0, 1, 2], checks);
     stores.append(&mut first, &["kept"], &[0, 1, 2]);
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn a_record_left_behind_does_not_follow_those_of_a_later_owner() {
-    assert_eq!(third_owner_recovers(ProposerChecks::default()), ["kept", "kept by the second"]);
+fn record_of_a_superseded_owner_is_skipped() {
+    assert_eq!(records_recovered_by_third_owner(ProposerChecks::default()), ["kept", "kept by the second"]);
 }
 
 #[test]
-fn a_record_left_behind_comes_back_without_the_check() {
+fn record_of_a_superseded_owner_reappears_without_the_check() {
     let checks = ProposerChecks { skip_superseded: false, ..ProposerChecks::default() };
     let expected = ["kept", "kept by the second", "left behind too"];
-    assert_eq!(third_owner_recovers(checks), expected);
+    assert_eq!(records_recovered_by_third_owner(checks), expected);
 }
--- a/crates/core/tests/replication_placement.rs
+++ b/crates/core/tests/replication_placement.rs
@@ -1,4 +1,4 @@
-//! Which stores keep a shard.
+//! Placement of a shard's replica set on stores.
 
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_set_that_bears_two_losses_has_five_members_of_which_three_decide() {
+fn tolerating_two_lost_disks_takes_five_members_and_a_majority_of_three() {
     let size = ToleranceTarget::tolerating(2);
     assert_eq!((size.members(), size.majority()), (5, 3));
     assert_eq!((ToleranceTarget::default().members(), ToleranceTarget::default().majority()), (3, 2));
@@ -59,15 +59,15 @@
     }
 }
 
-/// A set of a majority of the wanted members is the smallest that is made.
+/// A set must have at least a majority of the wanted members.
 #[test]
-fn fewer_stores_than_wanted_give_a_set_of_all_of_them_and_too_few_give_none() {
+fn uses_all_stores_if_fewer_than_wanted_and_fails_if_too_few() {
     let size = ToleranceTarget::tolerating(2);
-    for (count, bears) in [(3, 1), (4, 1), (5, 2), (9, 2)] {
+    for (count, tolerates) in [(3, 1), (4, 1), (5, 2), (9, 2)] {
         let candidates = stores(&[("a", count)]);
         let set = first_set(&ShardId::new("batch/main"), &candidates, size).expect("a set");
         assert_eq!(set.members.len(), count.min(5));
-        assert_eq!(FaultTolerance::of(&set.members, &ZoneMap::default()).disks, bears);
+        assert_eq!(FaultTolerance::of(&set.members, &ZoneMap::default()).disks, tolerates);
     }
     let policy = PlacementPolicy { target: size, ..PlacementPolicy::default() };
     let refused = policy.first_set(&ShardId::new("batch/main"), &stores(&[("a", 1), ("b", 1)]));
@@ -76,20 +76,20 @@
 }
 
 #[test]
-fn a_set_grows_one_member_at_a_time_and_then_rests() {
+fn set_grows_one_member_at_a_time_to_its_wanted_size() {
     let policy = PlacementPolicy { target: ToleranceTarget::tolerating(2), ..PlacementPolicy::default() };
     let all = stores(&[("a", 3), ("b", 3)]);
     let mut set = policy.first_set(&ShardId::new("batch/main"), &all[..3]).expect("a set");
     for members in 4..=5 {
-        set = step(&policy, &set, &all).expect("a step");
+        set = apply_improvement(&policy, &set, &all).expect("an improvement");
         assert_eq!((set.members.len(), set.generation.0), (members, members as u64 - 2));
     }
-    assert_eq!(step(&policy, &set, &all), None);
-    assert_eq!(step(&policy, &set, &all[..2]), None, "a set never shrinks");
+    assert_eq!(apply_improvement(&policy, &set, &all), None);
+    assert_eq!(apply_improvement(&policy, &set, &all[..2]), None, "a set never shrinks");
 }
 
 #[test]
-fn a_majority_stands_in_one_region_unless_regions_are_to_be_borne() {
+fn members_share_a_region_unless_region_losses_must_be_tolerated() {
     let layout = [("n1", 2), ("n2", 2), ("n3", 2), ("s1", 2), ("s2", 2), ("s3", 2)];
     let places = places(&[("n1", "n"), ("n2", "n"), ("n3", "n"), ("s1", "s"), ("s2", "s"), ("s3", "s")]);
     let shard = ShardId::new("batch/main");
@@ -99,11 +99,11 @@
     let set = policy.first_set(&shard, &candidates).expect("a set");
     assert!(set.members.iter().all(|member| member.zone.as_str().starts_with('s')), "{set:?}");
     assert_eq!(policy.fault_tolerance(&set.members), FaultTolerance { disks: 2, zones: 1, regions: 0 });
-    // Who takes a member's place stands there as well, wherever this node would have placed a first set.
-    let from_afar = PlacementPolicy { home: Some(RegionName::new("n")), ..policy.clone() };
-    let joining = from_afar.best_addition(&shard, &set.members[1..], &candidates).expect("a store");
+    // A replacement is placed in the region of the other members, also if this node prefers another region.
+    let other_home = PlacementPolicy { home: Some(RegionName::new("n")), ..policy.clone() };
+    let joining = other_home.best_addition(&shard, &set.members[1..], &candidates).expect("a store");
     assert!(joining.zone.as_str().starts_with('s'), "{joining:?}");
-    // One region more lets the loss of any be borne.
+    // With one more region, the loss of any region can be tolerated.
     let mut candidates = candidates;
     candidates.extend(stores(&[("w1", 1)]));
     let mut regions: BTreeMap<String, RegionName> =
@@ -119,15 +119,15 @@
     ZoneMap::new(zones.iter().map(|(zone, region)| ((*zone).to_owned(), RegionName::new(*region))).collect())
 }
 
-/// The set after the next step by which it bears more.
-fn step(policy: &PlacementPolicy, set: &ReplicaSet, stores: &[SetMember]) -> Option<ReplicaSet> {
+/// Returns the set after the next improvement.
+fn apply_improvement(policy: &PlacementPolicy, set: &ReplicaSet, stores: &[SetMember]) -> Option<ReplicaSet> {
     match policy.improvement(set, stores)? {
         Improvement::Grow(joining) => set.with_replaced(&joining.store.clone(), joining),
         Improvement::Move { leaving, joining } => set.with_replaced(&leaving.store, joining),
     }
 }
 
-/// Stores in each zone, and the region of each zone.
+/// The number of stores and the region of each zone.
 #[derive(Clone, Debug)]
 struct Layout(Vec<(usize, usize)>);
 
@@ -149,39 +149,39 @@
         }
     }
 
-    /// How many members of a set stand in each zone.
+    /// Returns the number of members in each zone.
     fn counts(&self, set: &ReplicaSet) -> Vec<usize> {
         let of =
             |zone: usize| set.members.iter().filter(move |member| member.zone.as_str() == format!("z{zone}"));
         (0..self.0.len()).map(|zone| of(zone).count()).collect()
     }
 
-    /// Whether a majority outlives every loss of so many disks, zones or regions, by trying each.
-    fn bears(&self, counts: &[usize], (disks, zones, regions): (usize, usize, usize)) -> bool {
+    /// Returns whether a majority survives every loss of this many disks, zones or regions, by trying all.
+    fn tolerates(&self, counts: &[usize], (disks, zones, regions): (usize, usize, usize)) -> bool {
         let members: usize = counts.iter().sum();
-        let outlives = |groups: &[usize], lost: usize| {
+        let survives = |groups: &[usize], lost: usize| {
             (0_u32..1 << groups.len()).filter(|chosen| chosen.count_ones() as usize == lost).all(|chosen| {
-                let gone: usize = groups
+                let lost_members: usize = groups
                     .iter()
                     .enumerate()
                     .map(|(group, count)| count * (chosen >> group & 1) as usize)
                     .sum();
-                2 * (members - gone) > members
+                2 * (members - lost_members) > members
             })
         };
-        let mut in_regions = vec![0; 3];
+        let mut region_sizes = vec![0; 3];
         for (count, (_, region)) in counts.iter().zip(&self.0) {
-            in_regions[*region] += count;
+            region_sizes[*region] += count;
         }
-        in_regions.retain(|count| *count > 0);
-        let in_zones: Vec<usize> = counts.iter().copied().filter(|count| *count > 0).collect();
-        let within = |groups: &[usize], lost: usize| lost <= groups.len() && outlives(groups, lost);
+        region_sizes.retain(|count| *count > 0);
+        let zone_sizes: Vec<usize> = counts.iter().copied().filter(|count| *count > 0).collect();
+        let within = |groups: &[usize], lost: usize| lost <= groups.len() && survives(groups, lost);
         2 * members.saturating_sub(disks) > members
-            && within(&in_zones, zones)
-            && within(&in_regions, regions)
+            && within(&zone_sizes, zones)
+            && within(&region_sizes, regions)
     }
 
-    /// All sets of at most so many members, as counts for each zone.
+    /// Returns all sets of at most `members` members, as the number of members in each zone.
     fn sets(&self, members: usize) -> Vec<Vec<usize>> {
         let mut sets = vec![Vec::new()];
         for (capacity, _) in &self.0 {
@@ -206,9 +206,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A set bears what it says and not more; it is the smallest that bears what is wanted; and where it bears less, none does.
+    /// A set tolerates exactly what it reports. It is the smallest that meets the target, or no set meets it.
     #[test]
-    fn a_set_bears_what_it_says_and_no_smaller_one_does(
+    fn set_tolerates_exactly_what_it_reports_and_is_minimal(
         layout in layouts(), wanted in (0_usize..=2, 0_usize..=2, 0_usize..=1), home in 0_usize..3
     ) {
         let size = ToleranceTarget::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
@@ -218,23 +218,23 @@
             return Ok(());
         };
         let counts = layout.counts(&set);
-        let said = policy.fault_tolerance(&set.members);
-        prop_assert_eq!(policy.check(&set.members).is_ok(), layout.bears(&counts, wanted));
-        prop_assert!(layout.bears(&counts, (said.disks, 0, 0)));
-        prop_assert!(layout.bears(&counts, (0, said.zones, 0)));
-        prop_assert!(layout.bears(&counts, (0, 0, said.regions)));
-        prop_assert!(!layout.bears(&counts, (said.disks + 1, 0, 0)));
-        prop_assert!(!layout.bears(&counts, (0, said.zones + 1, 0)));
-        prop_assert!(!layout.bears(&counts, (0, 0, said.regions + 1)));
-        let most = if said.covers(size) { set.members.len() - 1 } else { 13 };
-        let better = layout.sets(most).into_iter().find(|counts| layout.bears(counts, wanted));
+        let reported = policy.fault_tolerance(&set.members);
+        prop_assert_eq!(policy.check(&set.members).is_ok(), layout.tolerates(&counts, wanted));
+        prop_assert!(layout.tolerates(&counts, (reported.disks, 0, 0)));
+        prop_assert!(layout.tolerates(&counts, (0, reported.zones, 0)));
+        prop_assert!(layout.tolerates(&counts, (0, 0, reported.regions)));
+        prop_assert!(!layout.tolerates(&counts, (reported.disks + 1, 0, 0)));
+        prop_assert!(!layout.tolerates(&counts, (0, reported.zones + 1, 0)));
+        prop_assert!(!layout.tolerates(&counts, (0, 0, reported.regions + 1)));
+        let maximum_members = if reported.covers(size) { set.members.len() - 1 } else { 13 };
+        let better = layout.sets(maximum_members).into_iter().find(|counts| layout.tolerates(counts, wanted));
         prop_assert_eq!(better, None, "{:?} was chosen", counts);
     }
 
-    /// A set that was made of some of the stores comes to bear what one made of all of them would, by steps of one member,
-    /// and then rests.
+    /// A set chosen from some of the stores improves one member at a time until it meets the target, if a set
+    /// chosen from all stores does, and then no longer changes.
     #[test]
-    fn a_set_grows_until_it_bears_what_the_layout_can(
+    fn set_grows_until_it_tolerates_what_the_layout_allows(
         layout in layouts(), wanted in (0_usize..=2, 0_usize..=2, 0_usize..=1), known in 1_usize..8, shift in 0_usize..18
     ) {
         let size = ToleranceTarget::tolerating(wanted.0).with_zones(wanted.1).with_regions(wanted.2);
@@ -243,13 +243,13 @@
         let shard = ShardId::new("batch/main");
         let Ok(mut set) = policy.first_set(&shard, &first) else { return Ok(()) };
         for _ in 0..20 {
-            let Some(next) = step(&policy, &set, &candidates) else { break };
+            let Some(next) = apply_improvement(&policy, &set, &candidates) else { break };
             prop_assert!(next.members.len() >= set.members.len() && next.members.len() <= set.members.len() + 1);
             set = next;
         }
-        prop_assert_eq!(step(&policy, &set, &candidates), None, "it rests");
+        prop_assert_eq!(apply_improvement(&policy, &set, &candidates), None, "no further improvement");
         let best = policy.first_set(&shard, &candidates).expect("more stores");
         let (has, could) = (policy.fault_tolerance(&set.members), policy.fault_tolerance(&best.members));
-        prop_assert!(has.covers(size) || !could.covers(size), "{has} where {could} could be");
+        prop_assert!(has.covers(size) || !could.covers(size), "{has} although {could} is possible");
     }
 }
--- a/crates/core/tests/replication_reconfiguration.rs
+++ b/crates/core/tests/replication_reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of a replica set at the moments that matter, with each mechanism on and off.
+//! Reconfiguration with failures at critical points, with each safety check enabled and disabled.
 
 mod replication_support;
 
@@ -16,69 +16,71 @@
 use lichenpulley_core::replication::reconfigurer::{Reconfigurer, ReconfigurerChecks, ReconfigurerEvent};
 use lichenpulley_core::replication::replica_set::StoreId;
 use lichenpulley_core::time::Timestamp;
-use replication_support::{NOW_UNIX_MS, Stores, first_set, member, set_of_five, without_c};
+use replication_support::{NOW_UNIX_MS, Stores, first_set, member, set_of_five, with_c_replaced_by_d};
 
-/// A record is decided by `b` and `c` alone, then `c` is lost and replaced by `d`; what do `a` and `d` find?
-fn found_after_losing_c(checks: ReconfigurerChecks, check_copied: bool) -> Option<Vec<Vec<u8>>> {
+/// Returns the records that `a` and `d` recover after only `b` and `c` decided a record and `d` replaced the
+/// lost `c`.
+fn records_after_losing_c(checks: ReconfigurerChecks, check_copied: bool) -> Option<Vec<Vec<u8>>> {
     let mut stores = Stores::new(&["a", "b", "c", "d"]);
     for (acceptor, _) in stores.acceptors.values_mut() {
         let checks = AcceptorChecks { check_copied, ..AcceptorChecks::default() };
         *acceptor = acceptor.clone().with_checks(checks);
     }
     let old = first_set();
-    let next = without_c(&old);
-    stores.reach(&["b", "c"]);
-    stores.own(&old, "first", &[b"kept"]).expect("taken over");
-    stores.reach(&["a", "b", "d"]);
-    assert!(stores.change(&old, &next, checks));
-    stores.reach(&["a", "d"]);
-    stores.own(&next, "second", &[])
+    let next = with_c_replaced_by_d(&old);
+    stores.set_reachable(&["b", "c"]);
+    stores.take_over_and_append(&old, "first", &[b"kept"]).expect("taken over");
+    stores.set_reachable(&["a", "b", "d"]);
+    assert!(stores.reconfigure(&old, &next, checks));
+    stores.set_reachable(&["a", "d"]);
+    stores.take_over_and_append(&next, "second", &[])
 }
 
 #[test]
-fn a_lost_member_takes_nothing_with_it() {
-    let found = found_after_losing_c(ReconfigurerChecks::default(), true);
+fn no_record_is_lost_with_a_member() {
+    let found = records_after_losing_c(ReconfigurerChecks::default(), true);
     assert_eq!(found, Some(vec![b"kept".to_vec()]));
 }
 
 #[test]
-fn without_copying_the_next_set_forgets() {
+fn record_is_lost_without_copying() {
     let checks = ReconfigurerChecks { copy: false, ..ReconfigurerChecks::default() };
-    let found = found_after_losing_c(checks, false);
+    let found = records_after_losing_c(checks, false);
     assert_eq!(found, Some(Vec::new()));
 }
 
 #[test]
-fn without_sealing_a_majority_the_old_set_decides_what_is_not_copied() {
+fn record_is_lost_without_sealing_a_majority() {
     let checks = ReconfigurerChecks { seal_majority: false, ..ReconfigurerChecks::default() };
-    let found = found_after_losing_c(checks, false);
+    let found = records_after_losing_c(checks, false);
     assert_eq!(found, Some(Vec::new()));
 }
 
-/// `b` loses its disk after it and `c` alone decided a record; do `a` and the empty `b` pass for a majority?
-fn found_with_an_empty_disk(check_store: bool) -> Option<Vec<Vec<u8>>> {
+/// Returns the records that `a` and `b` recover after only `b` and `c` decided a record and `b` lost its
+/// disk.
+fn records_after_replacing_a_disk(check_store: bool) -> Option<Vec<Vec<u8>>> {
     let mut stores = Stores::new(&["a", "b", "c"]);
     let set = first_set();
-    stores.reach(&["b", "c"]);
-    stores.own(&set, "first", &[b"kept"]).expect("taken over");
+    stores.set_reachable(&["b", "c"]);
+    stores.take_over_and_append(&set, "first", &[b"kept"]).expect("taken over");
     let checks = AcceptorChecks { check_store, ..AcceptorChecks::default() };
     let empty = Acceptor::new(StoreId::new("b again"), ClaimWindow::default()).with_checks(checks);
     stores.acceptors.insert(StoreId::new("b"), (empty, MemoryStorage::default()));
-    stores.reach(&["a", "b"]);
-    stores.own(&set, "second", &[])
+    stores.set_reachable(&["a", "b"]);
+    stores.take_over_and_append(&set, "second", &[])
 }
 
 #[test]
-fn an_empty_disk_is_no_member() {
-    assert_eq!(found_with_an_empty_disk(true), None);
+fn store_with_an_empty_disk_is_not_a_member() {
+    assert_eq!(records_after_replacing_a_disk(true), None);
 }
 
 #[test]
-fn without_the_store_id_an_empty_disk_helps_to_forget() {
-    assert_eq!(found_with_an_empty_disk(false), Some(Vec::new()));
+fn record_is_lost_without_the_store_id_check() {
+    assert_eq!(records_after_replacing_a_disk(false), Some(Vec::new()));
 }
 
-/// `c` is replaced while `b` can't be reached; do `b` and `c` go on by themselves?
+/// Returns whether `b` and `c` can still decide after `c` was replaced while `b` was unreachable.
 fn old_set_decides(refuse_when_sealed: bool) -> bool {
     let mut stores = Stores::new(&["a", "b", "c", "d"]);
     let checks = AcceptorChecks { refuse_when_sealed, ..AcceptorChecks::default() };
@@ -86,13 +88,13 @@
         *acceptor = acceptor.clone().with_checks(checks);
     }
     let old = first_set();
-    let next = without_c(&old);
-    stores.own(&old, "first", &[b"kept"]).expect("taken over");
-    stores.reach(&["a", "c", "d"]);
-    assert!(stores.change(&old, &next, ReconfigurerChecks::default()));
-    assert!(stores.own(&next, "next", &[]).is_some());
-    stores.reach(&["b", "c"]);
-    stores.own(&old, "old", &[]).is_some()
+    let next = with_c_replaced_by_d(&old);
+    stores.take_over_and_append(&old, "first", &[b"kept"]).expect("taken over");
+    stores.set_reachable(&["a", "c", "d"]);
+    assert!(stores.reconfigure(&old, &next, ReconfigurerChecks::default()));
+    assert!(stores.take_over_and_append(&next, "next", &[]).is_some());
+    stores.set_reachable(&["b", "c"]);
+    stores.take_over_and_append(&old, "old", &[]).is_some()
 }
 
 #[test]
@@ -106,39 +108,42 @@
 }
 
 #[test]
-fn a_change_that_stops_after_any_step_leaves_one_set_that_can_decide() {
+fn interrupted_reconfiguration_leaves_at_most_one_set_that_can_decide() {
     let exchanges = 40;
     for stop_after in 0..exchanges {
         let mut stores = Stores::new(&["a", "b", "c", "d"]);
         let old = first_set();
-        let next = without_c(&old);
-        stores.own(&old, "first", &[b"kept"]).expect("taken over");
+        let next = with_c_replaced_by_d(&old);
+        stores.take_over_and_append(&old, "first", &[b"kept"]).expect("taken over");
         let transfer = TransferId("stopped".to_owned());
-        let mut change = Reconfigurer::new(old.clone(), next.clone(), transfer, Duration::from_secs(1));
+        let mut reconfigurer = Reconfigurer::new(old.clone(), next.clone(), transfer, Duration::from_secs(1));
         for _ in 0..stop_after {
-            let Some(transmit) = change.poll_transmit(Timestamp::ORIGIN) else { break };
-            if let Some(response) = stores.answer(transmit.request) {
-                change.step(response);
+            let Some(transmit) = reconfigurer.poll_transmit(Timestamp::ORIGIN) else { break };
+            if let Some(response) = stores.send(transmit.request) {
+                reconfigurer.step(response);
             }
         }
-        let by_old = stores.own(&old, "old", &[]);
-        let by_next = stores.own(&next, "next", &[]);
+        let by_old = stores.take_over_and_append(&old, "old", &[]);
+        let by_next = stores.take_over_and_append(&next, "next", &[]);
         assert!(by_old.is_none() || by_next.is_none(), "both sets decide after {stop_after} exchanges");
-        // Whoever goes on from here loses nothing, also with `c` gone.
-        stores.reach(&["a", "b", "d"]);
-        assert!(stores.change(&old, &next, ReconfigurerChecks::default()), "after {stop_after} exchanges");
-        assert_eq!(stores.own(&old, "old again", &[]), None);
-        assert_eq!(stores.own(&next, "next again", &[]), Some(vec![b"kept".to_vec()]));
+        // Completing the reconfiguration loses no record, also without `c`.
+        stores.set_reachable(&["a", "b", "d"]);
+        assert!(
+            stores.reconfigure(&old, &next, ReconfigurerChecks::default()),
+            "after {stop_after} exchanges"
+        );
+        assert_eq!(stores.take_over_and_append(&old, "old again", &[]), None);
+        assert_eq!(stores.take_over_and_append(&next, "next again", &[]), Some(vec![b"kept".to_vec()]));
     }
 }
 
 #[test]
-fn an_old_member_refuses_and_names_its_successor() {
+fn old_member_refuses_and_returns_the_next_set() {
     let mut stores = Stores::new(&["a", "b", "c", "d"]);
     let old = first_set();
-    let next = without_c(&old);
-    stores.own(&old, "first", &[b"kept"]).expect("taken over");
-    assert!(stores.change(&old, &next, ReconfigurerChecks::default()));
+    let next = with_c_replaced_by_d(&old);
+    stores.take_over_and_append(&old, "first", &[b"kept"]).expect("taken over");
+    assert!(stores.reconfigure(&old, &next, ReconfigurerChecks::default()));
     let by_c = stores.claim(&old, "c", "one", NOW_UNIX_MS);
     assert_eq!(by_c, ReplicaAnswer::Refused(StoreRefusal::SealedFor { next: next.clone() }));
     let by_a = stores.claim(&old, "a", "one", NOW_UNIX_MS);
@@ -146,21 +151,21 @@
 }
 
 #[test]
-fn a_store_with_another_id_takes_no_part() {
+fn store_with_another_id_refuses_requests() {
     let mut stores = Stores::new(&["a", "b", "c"]);
     let set = first_set();
-    stores.own(&set, "first", &[b"kept"]).expect("taken over");
+    stores.take_over_and_append(&set, "first", &[b"kept"]).expect("taken over");
     let empty = Acceptor::new(StoreId::new("a again"), ClaimWindow::default());
     stores.acceptors.insert(StoreId::new("a"), (empty, MemoryStorage::default()));
-    let refused = stores.ask(&set, "a", Operation::Begin(set.clone()));
+    let refused = stores.operate(&set, "a", Operation::Begin(set.clone()));
     assert_eq!(refused, ReplicaAnswer::Refused(StoreRefusal::WrongStore { store: StoreId::new("a again") }));
 }
 
 #[test]
-fn an_id_whose_claim_was_forgotten_is_refused_though_the_clock_goes_back() {
+fn removed_claim_stays_refused_after_the_clock_goes_back() {
     let mut stores = Stores::new(&["a", "b", "c"]);
     let set = first_set();
-    stores.ask(&set, "a", Operation::Begin(set.clone()));
+    stores.operate(&set, "a", Operation::Begin(set.clone()));
     let vote = |outcome| match outcome {
         ReplicaAnswer::Voted { vote, .. } => vote,
         other => panic!("no vote: {other:?}"),
@@ -174,68 +179,70 @@
     let later = NOW_UNIX_MS + 3_600_000;
     let (acceptor, storage) = stores.acceptors.get_mut(&StoreId::new("a")).expect("a store");
     let Ok(()) = acceptor.remove_expired_claims(storage, later, &set.shard);
-    // The clock is back where it was, and the claim is gone: granting now would be granting twice.
+    // The clock went back and the claim was removed: granting the id now would grant it twice.
     assert_eq!(vote(stores.claim(&set, "a", "other", NOW_UNIX_MS)), ClaimVote::Expired);
 }
 
-/// The pages of a whole log would hold up the few requests of members that stay, and nothing is decided until these take
-/// part in the next set.
+/// Pages of the whole log for a joining member must not delay the few requests that staying members need.
 #[test]
-fn members_that_stay_are_brought_in_before_one_that_joins_is_copied_to() {
+fn staying_members_are_installed_before_a_joining_member_is_copied_to() {
     let mut stores = Stores::new(&["a", "b", "c", "d", "e", "f"]);
     let old = set_of_five();
     let next = old.with_replaced(&StoreId::new("e"), member("f")).expect("e is a member and f is not");
-    stores.own(&old, "first", &[b"one", b"two"]).expect("taken over");
-    stores.reach(&["a", "b", "c", "d", "f"]);
+    stores.take_over_and_append(&old, "first", &[b"one", b"two"]).expect("taken over");
+    stores.set_reachable(&["a", "b", "c", "d", "f"]);
     let transfer = TransferId("to 2".to_owned());
-    let mut change = Reconfigurer::new(old, next.clone(), transfer, Duration::from_secs(1));
+    let mut reconfigurer = Reconfigurer::new(old, next.clone(), transfer, Duration::from_secs(1));
     let mut installed = false;
-    while let Some(transmit) = change.poll_transmit(Timestamp::ORIGIN) {
+    while let Some(transmit) = reconfigurer.poll_transmit(Timestamp::ORIGIN) {
         assert!(installed || transmit.to != StoreId::new("f"), "{:?}", transmit.request.operation);
-        if let Some(response) = stores.answer(transmit.request) {
-            change.step(response);
+        if let Some(response) = stores.send(transmit.request) {
+            reconfigurer.step(response);
         }
-        while let Some(event) = change.poll_event() {
+        while let Some(event) = reconfigurer.poll_event() {
             installed |= event == ReconfigurerEvent::Installed;
         }
     }
     assert!(installed);
-    stores.reach(&["a", "b", "f"]);
-    assert_eq!(stores.own(&next, "second", &[]), Some(vec![b"one".to_vec(), b"two".to_vec()]));
+    stores.set_reachable(&["a", "b", "f"]);
+    assert_eq!(
+        stores.take_over_and_append(&next, "second", &[]),
+        Some(vec![b"one".to_vec(), b"two".to_vec()])
+    );
 }
 
-/// What may be decided at a sealed member has to be read: a change whose source fell silent goes on once it answers.
+/// A sealed member may have decided entries that no other has, so it must be read before installing.
 #[test]
-fn a_change_whose_source_fell_silent_is_finished_once_it_answers() {
+fn reconfiguration_completes_once_an_unreachable_source_responds() {
     let mut stores = Stores::new(&["a", "b", "c", "d", "e", "f"]);
     let old = set_of_five();
     let next = old.with_replaced(&StoreId::new("e"), member("f")).expect("e is a member and f is not");
-    stores.own(&old, "first", &[b"one"]).expect("taken over");
+    stores.take_over_and_append(&old, "first", &[b"one"]).expect("taken over");
     let transfer = TransferId("to 2".to_owned());
-    let mut change = Reconfigurer::new(old, next, transfer, Duration::from_millis(500));
+    let mut reconfigurer = Reconfigurer::new(old, next, transfer, Duration::from_millis(500));
     let mut installed = false;
     for step in 0..10 {
         let now = Timestamp::from_millis(500 * step);
-        while let Some(transmit) = change.poll_transmit(now) {
+        while let Some(transmit) = reconfigurer.poll_transmit(now) {
             let is_seal = matches!(transmit.request.operation, Operation::Seal(_));
-            stores.reach(if is_seal { &["a", "b", "c"] } else { &["a", "b", "f"] });
-            if let Some(response) = stores.answer(transmit.request) {
-                change.step(response);
+            stores.set_reachable(if is_seal { &["a", "b", "c"] } else { &["a", "b", "f"] });
+            if let Some(response) = stores.send(transmit.request) {
+                reconfigurer.step(response);
             }
-            while let Some(event) = change.poll_event() {
+            while let Some(event) = reconfigurer.poll_event() {
                 installed |= event == ReconfigurerEvent::Installed;
             }
         }
     }
-    assert!(!installed, "c may hold what no other does");
+    assert!(!installed, "c may have an entry that no other member has");
     for step in 10..20 {
         let now = Timestamp::from_millis(500 * step);
-        stores.reach(&["a", "b", "c", "d", "f"]);
-        while let Some(transmit) = change.poll_transmit(now) {
-            if let Some(response) = stores.answer(transmit.request) {
-                change.step(response);
+        stores.set_reachable(&["a", "b", "c", "d", "f"]);
+        while let Some(transmit) = reconfigurer.poll_transmit(now) {
+            if let Some(response) = stores.send(transmit.request) {
+                reconfigurer.step(response);
             }
-            while let Some(event) = change.poll_event() {
+            while let Some(event) = reconfigurer.poll_event() {
                 installed |= event == ReconfigurerEvent::Installed;
             }
         }
@@ -243,14 +250,14 @@
     assert!(installed);
 }
 
-/// An owner that goes on under another set reads only what it may not know.
+/// An owner that knows a prefix of the log must not read it again.
 #[test]
-fn an_owner_that_knows_the_log_recovers_only_what_follows() {
+fn take_over_reads_only_entries_after_the_known_prefix() {
     let mut stores = Stores::new(&["a", "b", "c"]);
     let set = first_set();
-    stores.own(&set, "first", &[b"one", b"two"]).expect("taken over");
-    // Positions count from 1: the first owner's records are 1 and 2.
-    stores.own(&set, "second", &[b"three"]).expect("taken over");
+    stores.take_over_and_append(&set, "first", &[b"one", b"two"]).expect("taken over");
+    // The first owner's records are at positions 1 and 2.
+    stores.take_over_and_append(&set, "second", &[b"three"]).expect("taken over");
     let config = ProposerConfig { maximum_epoch_raises: 10, ..ProposerConfig::default() };
     let known = LogIndex(2);
     let mut proposer = Proposer::new(set, ProposerId::new("third"), Epoch(1), config)
@@ -260,7 +267,7 @@
         if let Operation::Read(read) = &transmit.request.operation {
             assert!(read.from > known, "{:?}", read.from);
         }
-        if let Some(response) = stores.answer(transmit.request) {
+        if let Some(response) = stores.send(transmit.request) {
             proposer.step(Timestamp::ORIGIN, response);
         }
         while let Some(event) = proposer.poll_event() {
@@ -272,26 +279,26 @@
     assert_eq!(recovered, Some((vec![b"three".to_vec()], Epoch(2))));
 }
 
-/// A driver sleeps until the time-out: one that has passed would have it spin while a silent member is waited for.
+/// A time-out in the past would make the driver spin while it waits for an unreachable member.
 #[test]
-fn a_change_that_waits_never_asks_to_be_woken_in_the_past() {
+fn waiting_reconfiguration_never_reports_a_past_timeout() {
     let mut stores = Stores::new(&["a", "b", "c", "d", "e", "f"]);
     let old = set_of_five();
     let next = old.with_replaced(&StoreId::new("e"), member("f")).expect("e is a member and f is not");
-    stores.own(&old, "first", &[b"one"]).expect("taken over");
+    stores.take_over_and_append(&old, "first", &[b"one"]).expect("taken over");
     let transfer = TransferId("to 2".to_owned());
-    let mut change = Reconfigurer::new(old, next, transfer, Duration::from_millis(500));
+    let mut reconfigurer = Reconfigurer::new(old, next, transfer, Duration::from_millis(500));
     let mut now = Timestamp::ORIGIN;
     for _ in 0..100 {
-        while let Some(transmit) = change.poll_transmit(now) {
+        while let Some(transmit) = reconfigurer.poll_transmit(now) {
             let is_seal = matches!(transmit.request.operation, Operation::Seal(_));
-            stores.reach(if is_seal { &["a", "b", "c"] } else { &[] });
-            if let Some(response) = stores.answer(transmit.request) {
-                change.step(response);
+            stores.set_reachable(if is_seal { &["a", "b", "c"] } else { &[] });
+            if let Some(response) = stores.send(transmit.request) {
+                reconfigurer.step(response);
             }
         }
-        let wake = change.poll_timeout().expect("something is waited for");
-        assert!(wake > now, "{wake:?} at {now:?}");
-        now = wake;
+        let timeout = reconfigurer.poll_timeout().expect("a request is outstanding");
+        assert!(timeout > now, "{timeout:?} at {now:?}");
+        now = timeout;
     }
 }
--- a/crates/core/tests/replication_same_ballot.rs
+++ b/crates/core/tests/replication_same_ballot.rs
@@ -1,4 +1,4 @@
-//! An owner that changes its stores goes on under its ballot, or not at all.
+//! An owner that changes its replica set keeps its ballot, or ends if it was superseded.
 
 mod replication_support;
 
@@ -19,29 +19,29 @@
 use lichenpulley_core::replication::replica_set::{ReplicaSet, StoreId};
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest};
-use replication_support::{Stores, first_set, without_c};
+use replication_support::{Stores, first_set, with_c_replaced_by_d};
 
-/// A request without an answer is sent again after this time.
+/// Time after which a request without a response is sent again.
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(500);
 
-/// An owner with the change that it drives, or finishes on the way to the shard.
+/// An owner with the reconfiguration that it runs as the leader or completes before taking over.
 struct Owner {
     name: &'static str,
     proposer: Proposer,
     checks: ProposerChecks,
     change: Option<(Reconfigurer, ReplicaSet)>,
-    /// A set that it chose itself, with the position of its entry.
-    chosen: Option<(LogIndex, ReplicaSet)>,
+    /// A next set that it appended, with the position of the entry.
+    pending_set: Option<(LogIndex, ReplicaSet)>,
     leads: bool,
     ended: bool,
-    /// The higher epoch that ended it.
+    /// The higher epoch that superseded it.
     superseded_by: Option<Epoch>,
-    lives: u64,
+    take_overs: u64,
     found: Vec<Vec<u8>>,
     appended: VecDeque<(LogIndex, Vec<u8>)>,
     acknowledged: Vec<Vec<u8>>,
-    /// Names of the operations that it asked for while it led.
-    asked: Vec<Operation>,
+    /// The operations that it sent while it led.
+    operations: Vec<Operation>,
     now: Timestamp,
 }
 
@@ -52,15 +52,15 @@
             proposer: proposer(name, set, Epoch(1), checks),
             checks,
             change: None,
-            chosen: None,
+            pending_set: None,
             leads: false,
             ended: false,
             superseded_by: None,
-            lives: 0,
+            take_overs: 0,
             found: Vec::new(),
             appended: VecDeque::new(),
             acknowledged: Vec::new(),
-            asked: Vec::new(),
+            operations: Vec::new(),
             now: Timestamp::ORIGIN,
         }
     }
@@ -74,7 +74,7 @@
             None => self.proposer.poll_transmit(self.now),
         };
         if let Some(transmit) = transmit.as_ref().filter(|_| self.leads) {
-            self.asked.push(transmit.request.operation.clone());
+            self.operations.push(transmit.request.operation.clone());
         }
         transmit
     }
@@ -84,22 +84,22 @@
             Some((change, _)) => change.step(response),
             None => self.proposer.step(self.now, response),
         }
-        self.take_change_events();
+        self.handle_change_events();
         while let Some(event) = self.proposer.poll_event() {
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    fn take_change_events(&mut self) {
+    fn handle_change_events(&mut self) {
         while let Some(event) = self.change.as_mut().and_then(|(change, _)| change.poll_event()) {
             let Some((_, next)) = self.change.take() else { return };
             match event {
                 ReconfigurerEvent::Installed | ReconfigurerEvent::Complete if self.leads => {
-                    self.proposer.continue_in(next).expect("nothing is on its way");
+                    self.proposer.continue_in(next).expect("all appended entries are decided");
                     self.append();
                 }
-                ReconfigurerEvent::Installed | ReconfigurerEvent::Complete => self.begin_anew(&next),
-                ReconfigurerEvent::AlreadyReplaced(later) if !self.leads => self.begin_anew(&later),
+                ReconfigurerEvent::Installed | ReconfigurerEvent::Complete => self.restart_proposer(&next),
+                ReconfigurerEvent::AlreadyReplaced(later) if !self.leads => self.restart_proposer(&later),
                 ReconfigurerEvent::AlreadyReplaced(_) | ReconfigurerEvent::Superseded { .. } => {
                     self.ended = true
                 }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn take(&mut self, event: ProposerEvent) {
+    fn handle_event(&mut self, event: ProposerEvent) {
         match event {
             ProposerEvent::Recovered(log) => {
                 self.leads = true;
@@ -121,7 +121,7 @@
                 while self.appended.front().is_some_and(|(index, _)| *index <= through) {
                     self.acknowledged.extend(self.appended.pop_front().map(|(_, record)| record));
                 }
-                if let Some((_, next)) = self.chosen.take_if(|(chosen, _)| *chosen <= through) {
+                if let Some((_, next)) = self.pending_set.take_if(|(index, _)| *index <= through) {
                     self.change_set(next);
                 }
             }
@@ -145,15 +145,15 @@
 
     fn append(&mut self) {
         let record = format!("{} {}", self.name, self.proposer.set().generation).into_bytes();
-        // With `keep_ballot` off it asks for the shard first.
+        // With `keep_ballot` disabled it takes the shard over again first.
         if let Ok(index) = self.proposer.append(vec![record.clone()]) {
             self.appended.push_back((index, record));
         }
     }
 
-    fn choose(&mut self, next: ReplicaSet) {
-        let through = self.proposer.append_next_set(next.clone()).expect("it leads");
-        self.chosen = Some((through, next));
+    fn append_next_set(&mut self, next: ReplicaSet) {
+        let through = self.proposer.append_next_set(next.clone()).expect("the owner leads");
+        self.pending_set = Some((through, next));
     }
 
     fn change_set(&mut self, next: ReplicaSet) {
@@ -170,20 +170,20 @@
     }
 
     fn transfer(&self) -> TransferId {
-        TransferId(format!("{}/{}", self.name, self.lives))
+        TransferId(format!("{}/{}", self.name, self.take_overs))
     }
 
-    fn begin_anew(&mut self, set: &ReplicaSet) {
-        self.lives += 1;
-        let name = format!("{}/{}", self.name, self.lives);
+    fn restart_proposer(&mut self, set: &ReplicaSet) {
+        self.take_overs += 1;
+        let name = format!("{}/{}", self.name, self.take_overs);
         self.proposer = proposer(&name, set, self.proposer.epoch().next(), self.checks);
     }
 
-    /// Exchanges messages until nothing more is asked for, also after some pauses.
+    /// Exchanges messages until there is nothing to send, also after several retransmission times.
     fn run(&mut self, stores: &mut Stores) {
         for _ in 0..20 {
             while let Some(transmit) = self.poll() {
-                if let Some(response) = stores.answer(transmit.request) {
+                if let Some(response) = stores.send(transmit.request) {
                     self.step(response);
                 }
             }
@@ -192,32 +192,33 @@
     }
 }
 
-fn proposer(name: &str, set: &ReplicaSet, at_least: Epoch, checks: ProposerChecks) -> Proposer {
+fn proposer(name: &str, set: &ReplicaSet, minimum_epoch: Epoch, checks: ProposerChecks) -> Proposer {
     let config = ProposerConfig {
         retransmit_after: RETRANSMIT_AFTER,
         maximum_epoch_raises: 10,
         ..ProposerConfig::default()
     };
-    Proposer::new(set.clone(), ProposerId::new(name), at_least, config).with_checks(checks)
+    Proposer::new(set.clone(), ProposerId::new(name), minimum_epoch, config).with_checks(checks)
 }
 
 fn four_stores() -> Stores {
     Stores::new(&["a", "b", "c", "d"])
 }
 
-/// An owner that has appended a record and chosen the next set, and nothing of the latter is decided yet.
-fn owner_that_chose(stores: &mut Stores, checks: ProposerChecks) -> Owner {
+/// Returns an owner with an acknowledged record and a next set that is appended but not decided.
+fn owner_with_pending_set(stores: &mut Stores, checks: ProposerChecks) -> Owner {
     let mut owner = Owner::new("first", &first_set(), checks);
     owner.run(stores);
     assert_eq!(owner.acknowledged, [b"first 1".to_vec()]);
-    owner.choose(without_c(&first_set()));
+    owner.append_next_set(with_c_replaced_by_d(&first_set()));
     owner
 }
 
-/// What the next owner finds, whichever set it knew last. A store may have promised an owner that never came to lead: who
-/// hears of it only once it leads is superseded, as it must be, and takes over again above that promise.
-fn found_afterwards(stores: &mut Stores) -> Vec<Vec<u8>> {
-    stores.reach(&["a", "b", "d"]);
+/// Returns the records that the next owner recovers. A store may have promised a ballot to an owner that
+/// never led. If the next owner learns of that ballot only after it leads, it is superseded and takes over
+/// again above it.
+fn recovered_by_next_owner(stores: &mut Stores) -> Vec<Vec<u8>> {
+    stores.set_reachable(&["a", "b", "d"]);
     let mut last = Owner::new("last", &first_set(), ProposerChecks::default());
     last.run(stores);
     if let Some(highest) = last.superseded_by {
@@ -231,36 +232,37 @@
 }
 
 #[test]
-fn an_owner_goes_on_in_the_next_set_under_its_ballot_and_reads_nothing() {
+fn owner_keeps_its_ballot_in_the_next_set_and_reads_nothing() {
     let mut stores = four_stores();
-    let mut owner = owner_that_chose(&mut stores, ProposerChecks::default());
+    let mut owner = owner_with_pending_set(&mut stores, ProposerChecks::default());
     let ballot = owner.proposer.ballot().clone();
-    stores.reach(&["a", "b", "d"]);
+    stores.set_reachable(&["a", "b", "d"]);
     owner.run(&mut stores);
     assert_eq!(owner.proposer.ballot(), &ballot);
-    assert_eq!(owner.proposer.set(), &without_c(&first_set()));
+    assert_eq!(owner.proposer.set(), &with_c_replaced_by_d(&first_set()));
     assert_eq!(owner.acknowledged, [b"first 1".to_vec(), b"first 2".to_vec()]);
-    let asks_anew = |operation: &Operation| matches!(operation, Operation::Prepare(_) | Operation::Read(_));
-    assert!(!owner.asked.iter().any(asks_anew));
-    // Members know what is decided, of what the old set decided too: otherwise nobody could follow the log.
+    let is_take_over =
+        |operation: &Operation| matches!(operation, Operation::Prepare(_) | Operation::Read(_));
+    assert!(!owner.operations.iter().any(is_take_over));
+    // Members must know what is decided, including by the old set, so that followers can read it.
     owner.append();
     owner.run(&mut stores);
-    let (_, storage) = &stores.acceptors[&without_c(&first_set()).members[0].store];
+    let (_, storage) = &stores.acceptors[&with_c_replaced_by_d(&first_set()).members[0].store];
     let decided = storage.groups().next().expect("a member").position.decided_through;
-    // The record, the choice, what confirms the set, and the record after that.
+    // The record, the next set, the no-op that confirms it, and the record after that.
     assert_eq!(decided, LogIndex(4));
-    assert_eq!(found_afterwards(&mut stores), owner.acknowledged);
+    assert_eq!(recovered_by_next_owner(&mut stores), owner.acknowledged);
 }
 
-/// The owner is cut off while it changes the stores, another takes over and works, the cut heals. Whether the successor
-/// still works then.
-fn successor_works_on(checks: ProposerChecks) -> bool {
+/// The owner is partitioned during a reconfiguration and reconnects after another has taken over and
+/// appended. Returns whether the successor can still append then.
+fn successor_keeps_the_log(checks: ProposerChecks) -> bool {
     let mut stores = four_stores();
-    let mut first = owner_that_chose(&mut stores, checks);
-    // Until the choice is decided and the first requests of the change are on their way.
+    let mut first = owner_with_pending_set(&mut stores, checks);
+    // Until the next set is decided and the reconfiguration starts.
     while first.change.is_none() {
-        let transmit = first.poll().expect("the choice is not decided");
-        stores.answer(transmit.request).into_iter().for_each(|response| first.step(response));
+        let transmit = first.poll().expect("the next set is not decided");
+        stores.send(transmit.request).into_iter().for_each(|response| first.step(response));
     }
     let mut successor = Owner::new("second", &first_set(), ProposerChecks::default());
     successor.run(&mut stores);
@@ -274,56 +276,57 @@
 }
 
 #[test]
-fn an_owner_that_comes_back_from_a_cut_is_superseded() {
-    assert!(successor_works_on(ProposerChecks::default()));
+fn owner_reconnecting_after_a_partition_is_superseded() {
+    assert!(successor_keeps_the_log(ProposerChecks::default()));
 }
 
 #[test]
-fn with_a_ballot_of_its_own_a_change_takes_the_log_from_the_successor() {
-    assert!(!successor_works_on(ProposerChecks { keep_ballot: false, ..ProposerChecks::default() }));
+fn without_keeping_the_ballot_the_old_owner_takes_the_log_back() {
+    assert!(!successor_keeps_the_log(ProposerChecks { keep_ballot: false, ..ProposerChecks::default() }));
 }
 
-/// The next set is in force and the first owner about to go on in it, when a successor that the old set had promised to
-/// goes on there first. Whether the first owner gets something acknowledged.
-fn late_owner_is_acknowledged(carry_promise: bool) -> bool {
+/// The next set is installed after a majority of the old set promised a successor's ballot. Returns whether
+/// the first owner then gets a record acknowledged in the next set.
+fn superseded_owner_is_acknowledged(carry_promise: bool) -> bool {
     let mut stores = four_stores();
     let checks = AcceptorChecks { carry_promise, ..AcceptorChecks::default() };
     for (acceptor, _) in stores.acceptors.values_mut() {
         *acceptor = acceptor.clone().with_checks(checks);
     }
-    let mut first = owner_that_chose(&mut stores, ProposerChecks::default());
+    let mut first = owner_with_pending_set(&mut stores, ProposerChecks::default());
     while first.change.is_none() {
-        let transmit = first.poll().expect("the choice is not decided");
-        stores.answer(transmit.request).into_iter().for_each(|response| first.step(response));
+        let transmit = first.poll().expect("the next set is not decided");
+        stores.send(transmit.request).into_iter().for_each(|response| first.step(response));
     }
-    // `a` and `d`, which make a majority of the next set, know nothing of the successor by themselves.
-    stores.reach(&["b", "c"]);
+    // `a` and `d`, a majority of the next set, receive no request from the successor.
+    stores.set_reachable(&["b", "c"]);
     let mut successor = Owner::new("second", &first_set(), ProposerChecks::default());
     while !successor.leads {
-        let transmit = successor.poll().expect("it does not lead");
-        stores.answer(transmit.request).into_iter().for_each(|response| successor.step(response));
+        let transmit = successor.poll().expect("the successor does not lead");
+        stores.send(transmit.request).into_iter().for_each(|response| successor.step(response));
     }
-    // A store finishes the change by itself: `first` only hears that the next set is in force.
-    stores.reach(&["a", "b", "d"]);
-    assert!(stores.change(&first_set(), &without_c(&first_set()), Default::default()));
-    stores.reach(&["a", "d"]);
+    // Another node completes the reconfiguration, and `first` only learns that the next set is installed.
+    stores.set_reachable(&["a", "b", "d"]);
+    assert!(stores.reconfigure(&first_set(), &with_c_replaced_by_d(&first_set()), Default::default()));
+    stores.set_reachable(&["a", "d"]);
     first.run(&mut stores);
     first.acknowledged.contains(&b"first 2".to_vec())
 }
 
 #[test]
-fn the_next_set_keeps_to_what_the_old_one_promised() {
-    assert!(!late_owner_is_acknowledged(true));
+fn next_set_keeps_the_promises_of_the_old_set() {
+    assert!(!superseded_owner_is_acknowledged(true));
 }
 
 #[test]
 fn without_carrying_promises_over_a_superseded_owner_is_acknowledged() {
-    assert!(late_owner_is_acknowledged(false));
+    assert!(superseded_owner_is_acknowledged(false));
 }
 
-/// `c` missed the second owner and was repaired since; a late request of the first owner, whom alone it promised, comes.
+/// `c` has promised only the first owner's ballot and was repaired with entries of the second owner, when a
+/// late request of the first owner arrives.
 #[test]
-fn a_late_request_does_not_undo_what_was_repaired() {
+fn late_request_does_not_overwrite_repaired_entries() {
     let mut stores = Stores::new(&["a", "b", "c"]);
     let mut first = Owner::new("first", &first_set(), ProposerChecks::default());
     first.run(&mut stores);
@@ -334,38 +337,38 @@
         decided_through: LogIndex(1),
         truncate_before: LogIndex::ZERO,
     });
-    stores.reach(&["a", "b"]);
+    stores.set_reachable(&["a", "b"]);
     let mut second = Owner::new("second", &first_set(), ProposerChecks::default());
     second.run(&mut stores);
     second.append();
     second.run(&mut stores);
-    stores.reach(&["a", "b", "c"]);
+    stores.set_reachable(&["a", "b", "c"]);
     let set = first_set();
-    let decided = stores.ask(&set, "a", Operation::ReadDecided(LogIndex(1)));
+    let decided = stores.operate(&set, "a", Operation::ReadDecided(LogIndex(1)));
     let ReplicaAnswer::Decided { entries, .. } = decided else { panic!("{decided:?}") };
     let (acceptor, storage) = stores.acceptors.get_mut(&StoreId::new("c")).expect("a store");
     let Ok(_) = acceptor.repair(storage, &set.shard, set.generation, entries);
-    stores.ask(&set, "c", late);
-    stores.reach(&["b", "c"]);
+    stores.operate(&set, "c", late);
+    stores.set_reachable(&["b", "c"]);
     let mut third = Owner::new("third", &set, ProposerChecks::default());
     third.run(&mut stores);
     assert!(!third.found.contains(&b"late".to_vec()), "{:?}", third.found);
     assert_eq!(third.found.len(), 3);
 }
 
-/// A store that is sealed must not count as having promised: what a majority sealed before, the owner goes on without
-/// hearing of the promise.
+/// A sealed store must not promise a ballot: the owner continues in the next set without learning of the
+/// promise.
 #[test]
-fn what_an_owner_got_acknowledged_in_the_next_set_is_kept_though_another_asked_sealed_stores() {
+fn acknowledged_records_survive_promises_requested_from_sealed_stores() {
     let mut stores = four_stores();
-    // `c` stays behind, so that there is nothing to be read from it.
-    stores.reach(&["a", "b"]);
-    let mut first = owner_that_chose(&mut stores, ProposerChecks::default());
+    // `c` gets no entries, so that nothing can be read from it.
+    stores.set_reachable(&["a", "b"]);
+    let mut first = owner_with_pending_set(&mut stores, ProposerChecks::default());
     while first.change.is_none() {
-        let transmit = first.poll().expect("the choice is not decided");
-        stores.answer(transmit.request).into_iter().for_each(|response| first.step(response));
+        let transmit = first.poll().expect("the next set is not decided");
+        stores.send(transmit.request).into_iter().for_each(|response| first.step(response));
     }
-    // `b` hears that the choice is decided: nothing has to be accepted again.
+    // `b` learns that the next set is decided, so nothing has to be accepted again.
     let accept = Accept {
         ballot: first.proposer.ballot().clone(),
         from: LogIndex(3),
@@ -373,38 +376,39 @@
         decided_through: LogIndex(2),
         truncate_before: LogIndex::ZERO,
     };
-    stores.ask(&first_set(), "b", Operation::Accept(accept));
-    stores.reach(&["a", "c", "d"]);
+    stores.operate(&first_set(), "b", Operation::Accept(accept));
+    stores.set_reachable(&["a", "c", "d"]);
     first.now = first.now + RETRANSMIT_AFTER;
     first.run(&mut stores);
     assert!(first.acknowledged.contains(&b"first 2".to_vec()));
-    stores.reach(&["b", "c"]);
+    stores.set_reachable(&["b", "c"]);
     let mut successor = Owner::new("second", &first_set(), ProposerChecks::default());
     successor.run(&mut stores);
-    stores.reach(&["b", "d"]);
+    stores.set_reachable(&["b", "d"]);
     successor.run(&mut stores);
-    assert_eq!(found_afterwards(&mut stores)[..2], first.acknowledged);
+    assert_eq!(recovered_by_next_owner(&mut stores)[..2], first.acknowledged);
 }
 
 proptest! {
-    /// Two owners, both with the change in hand, in any order, with lost and late messages and a restart of the first.
+    /// Two owners run the same reconfiguration, with messages in any order, lost and late ones, and a restart
+    /// of the first.
     #[test]
-    fn nothing_acknowledged_is_lost_in_any_order(
+    fn acknowledged_records_survive_any_message_order(
         steps in proptest::collection::vec((any::<bool>(), 0_u8..8), 0..160),
         restart_at in 0_usize..320,
     ) {
         let mut stores = four_stores();
-        let first = owner_that_chose(&mut stores, ProposerChecks::default());
+        let first = owner_with_pending_set(&mut stores, ProposerChecks::default());
         let epoch = first.proposer.epoch();
         let second = Owner::new("second", &first_set(), ProposerChecks::default());
         let mut owners = [first, second];
         let mut late = VecDeque::new();
-        for (number, (who, fate)) in steps.into_iter().enumerate() {
+        for (number, (who, delivery)) in steps.into_iter().enumerate() {
             if number == restart_at {
                 owners[0].ended = true;
             }
             let who = usize::from(who);
-            if fate == 0 {
+            if delivery == 0 {
                 let Some((who, response)) = late.pop_front() else { continue };
                 let owner: &mut Owner = &mut owners[who];
                 owner.step(response);
@@ -415,20 +419,20 @@
                 owner.now = owner.now + RETRANSMIT_AFTER;
                 continue;
             };
-            let response = if fate == 1 { None } else { stores.answer(transmit.request) };
+            let response = if delivery == 1 { None } else { stores.send(transmit.request) };
             match response {
-                Some(response) if fate == 2 => late.push_back((who, response)),
-                Some(response) if fate > 3 => owner.step(response),
+                Some(response) if delivery == 2 => late.push_back((who, response)),
+                Some(response) if delivery > 3 => owner.step(response),
                 _ => {}
             }
         }
         prop_assert_eq!(owners[0].proposer.epoch(), epoch);
-        let found = found_afterwards(&mut stores);
+        let found = recovered_by_next_owner(&mut stores);
         for record in owners.iter().flat_map(|owner| &owner.acknowledged) {
             let times = found.iter().filter(|found| *found == record).count();
             prop_assert_eq!(times, 1, "{:?} in {:?}", record, &found);
         }
-        // Whoever is ahead has seen all that was acknowledged under a lower epoch.
+        // The owner with the higher epoch has recovered all records acknowledged under a lower one.
         if owners[1].leads && !owners[1].found.contains(&b"first 2".to_vec()) {
             prop_assert!(!owners[0].acknowledged.contains(&b"first 2".to_vec()));
         }
--- a/crates/core/tests/replication_support/mod.rs
+++ b/crates/core/tests/replication_support/mod.rs
@@ -1,4 +1,4 @@
-//! Stores that answer at once, for proofs of changes of a replica set.
+//! In-memory stores that respond immediately, for tests of reconfiguration.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -20,7 +20,7 @@
 
 pub const NOW_UNIX_MS: u64 = 1_000_000;
 
-/// Stores that answer at once, as far as they can be reached.
+/// In-memory stores, of which only the reachable ones respond.
 pub struct Stores {
     pub acceptors: BTreeMap<StoreId, (Acceptor, MemoryStorage)>,
     pub reachable: Vec<StoreId>,
@@ -34,15 +34,15 @@
             (StoreId::new(*name), (acceptor, MemoryStorage::default()))
         });
         let mut all = Self { acceptors: stores.collect(), reachable: Vec::new(), now_unix_ms: NOW_UNIX_MS };
-        all.reach(names);
+        all.set_reachable(names);
         all
     }
 
-    pub fn reach(&mut self, names: &[&str]) {
+    pub fn set_reachable(&mut self, names: &[&str]) {
         self.reachable = names.iter().map(|name| StoreId::new(*name)).collect();
     }
 
-    pub fn answer(&mut self, request: ReplicaRequest) -> Option<ReplicaResponse> {
+    pub fn send(&mut self, request: ReplicaRequest) -> Option<ReplicaResponse> {
         if !self.reachable.contains(&request.store) {
             return None;
         }
@@ -51,33 +51,39 @@
         Some(response)
     }
 
-    /// Takes the shard over and appends; gives what was found, or nothing where it did not get that far.
-    pub fn own(&mut self, set: &ReplicaSet, owner: &str, records: &[&[u8]]) -> Option<Vec<Vec<u8>>> {
+    /// Takes the shard over and appends `records`. Returns the recovered records, or `None` if the take-over
+    /// failed.
+    pub fn take_over_and_append(
+        &mut self,
+        set: &ReplicaSet,
+        owner: &str,
+        records: &[&[u8]],
+    ) -> Option<Vec<Vec<u8>>> {
         let config = ProposerConfig { maximum_epoch_raises: 10, ..ProposerConfig::default() };
         let mut proposer = Proposer::new(set.clone(), ProposerId::new(owner), Epoch(1), config);
         let mut found = None;
         while let Some(transmit) = proposer.poll_transmit(Timestamp::ORIGIN) {
-            if let Some(response) = self.answer(transmit.request) {
+            if let Some(response) = self.send(transmit.request) {
                 proposer.step(Timestamp::ORIGIN, response);
             }
             while let Some(event) = proposer.poll_event() {
                 if let ProposerEvent::Recovered(log) = event {
                     found = Some(log.records);
                     let appended = proposer.append(records.iter().map(|record| record.to_vec()).collect());
-                    appended.expect("it leads");
+                    appended.expect("the owner leads");
                 }
             }
         }
         found
     }
 
-    pub fn change(&mut self, old: &ReplicaSet, next: &ReplicaSet, checks: ReconfigurerChecks) -> bool {
+    pub fn reconfigure(&mut self, old: &ReplicaSet, next: &ReplicaSet, checks: ReconfigurerChecks) -> bool {
         let transfer = TransferId(format!("to {}", next.generation));
         let mut change = Reconfigurer::new(old.clone(), next.clone(), transfer, Duration::from_secs(1));
         change = change.with_checks(checks);
         let mut installed = false;
         while let Some(transmit) = change.poll_transmit(Timestamp::ORIGIN) {
-            if let Some(response) = self.answer(transmit.request) {
+            if let Some(response) = self.send(transmit.request) {
                 change.step(response);
             }
             while let Some(event) = change.poll_event() {
@@ -99,13 +105,13 @@
             issued_at_unix_ms,
             attempt: AttemptId::new(attempt),
         };
-        self.ask(set, store, Operation::Claim(claim))
+        self.operate(set, store, Operation::Claim(claim))
     }
 
-    pub fn ask(&mut self, set: &ReplicaSet, store: &str, operation: Operation) -> ReplicaAnswer {
+    pub fn operate(&mut self, set: &ReplicaSet, store: &str, operation: Operation) -> ReplicaAnswer {
         let (shard, generation, store) = (set.shard.clone(), set.generation, StoreId::new(store));
         let request = ReplicaRequest { shard, generation, store, operation };
-        self.answer(request).expect("a reachable store").outcome
+        self.send(request).expect("a reachable store").outcome
     }
 }
 
@@ -123,7 +129,7 @@
     ReplicaSet { shard: ShardId::new("job/pricing"), generation: Generation::FIRST, members }
 }
 
-pub fn without_c(set: &ReplicaSet) -> ReplicaSet {
+pub fn with_c_replaced_by_d(set: &ReplicaSet) -> ReplicaSet {
     set.with_replaced(&StoreId::new("c"), member("d")).expect("c is a member and d is not")
 }
 
