--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The settings tree, its documents, and the writer of a change.
+//! Tests of the settings tree, its documents and the change writer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_child_overrides_only_what_it_names() {
+fn child_level_overrides_only_the_values_it_sets() {
     let register = register(&[
         ("/", "staleness_bound", json!(2)),
         ("/ramsaran", "retry_budget_percent", json!(20)),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_removed_value_is_inherited_again() {
+fn removed_value_is_inherited_again() {
     let set = register(&[("/", "staleness_bound", json!(2)), ("/ramsaran", "staleness_bound", json!(5))]);
     let removed = set.apply(&change(2, "remove", "/ramsaran", "staleness_bound", None)).expect("applies");
     let tree = SettingsTree::from_document(removed.document());
@@ -70,16 +70,16 @@
 }
 
 #[test]
-fn paths_name_levels_and_wrong_ones_are_refused() {
+fn valid_paths_map_to_levels_and_invalid_paths_are_rejected() {
     let levels = ["/", "/s", "/s/p", "/s/p/j", "/s/p/j/y"].map(|text| path(text).level());
     assert_eq!(levels, Level::ALL);
-    for wrong in ["", "s", "/s/", "//", "/s p", "/a/b/c/d/e", "/s#x"] {
-        assert!(LevelPath::parse(wrong).is_err(), "{wrong}");
+    for invalid in ["", "s", "/s/", "//", "/s p", "/a/b/c/d/e", "/s#x"] {
+        assert!(LevelPath::parse(invalid).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn every_default_is_allowed_by_its_own_schema() {
+fn defaults_satisfy_their_schema() {
     for setting in schema::ALL {
         let levels = setting.levels();
         let at = ["/", "/s", "/s/p", "/s/p/j", "/s/p/j/y"].map(path);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_bad_change_names_its_path_and_the_remedy() {
+fn invalid_change_errors_name_the_path_and_remedy() {
     let cases = [
         (
             change(0, "c", "/r", "staleness_bound", Some(json!(1001))),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_id_used_again_for_another_change_is_refused() {
+fn reused_change_id_is_refused() {
     let register = register(&[("/", "staleness_bound", json!(2))]);
     let same = change(0, "change-0", "/", "staleness_bound", Some(json!(2)));
     assert_eq!(register.find(&same), Ok(Some(Revision(1))));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_entry_of_a_newer_release_is_left_out_of_the_tree() {
+fn unknown_entries_are_ignored() {
     let entries = [("/#staleness_bound", "3"), ("/#key_of_tomorrow", "1"), ("no path", "1")];
     let entries = entries.map(|(key, value)| (key.to_owned(), value.to_owned()));
     let tree = SettingsTree::from_document(&Document::new(Revision(1), BTreeMap::from(entries)));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_copy_too_far_behind_gets_a_snapshot_and_others_a_delta() {
+fn outdated_copies_get_a_delta_or_a_snapshot() {
     let mut document = Document::default();
     for revision in 1..=RETAINED_CHANGES as u64 + 10 {
         let entry = EntryChange { key: "key".to_owned(), value: Some(revision.to_string()) };
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_delta_on_a_different_copy_is_refused() {
+fn delta_is_refused_by_a_different_copy() {
     let sender = Document::new(Revision(1), BTreeMap::from([("a".to_owned(), "1".to_owned())]));
     let entry = EntryChange { key: "b".to_owned(), value: Some("2".to_owned()) };
     let update = sender.with_changes(Revision(2), vec![entry]).update_after(Revision(1)).expect("behind");
@@ -147,9 +147,9 @@
 }
 
 proptest! {
-    /// Whatever changes fall between two revisions, the older copy comes to the same entries.
+    /// After an update, an older copy has the same entries as the newest document.
     #[test]
-    fn an_update_brings_any_older_copy_to_the_same_entries(
+    fn update_brings_any_older_copy_up_to_date(
         changes in prop::collection::vec((0_u8..6, prop::option::of(0_u8..4)), 1..100),
         at in 0_usize..100,
     ) {
@@ -162,7 +162,7 @@
         let newest = versions.last().expect("one");
         let copy = &versions[at % versions.len()];
         if let Some(update) = copy.update_after(newest.revision()) {
-            prop_assert!(false, "an older copy has nothing for a newer one: {update:?}");
+            prop_assert!(false, "an older copy returned an update for a newer revision: {update:?}");
         }
         let Some(update) = newest.update_after(copy.revision()) else {
             prop_assert_eq!(copy.revision(), newest.revision());
@@ -187,7 +187,7 @@
     Some(StoredRegister { version: version.map(Revision), register })
 }
 
-/// Reads an empty register and begins to write; gives what is written.
+/// Lets the writer read an empty register and start a write. Returns the written register.
 fn begin_write(writer: &mut ChangeWriter) -> Register {
     assert_eq!(writer.poll(at(0)), Some(Action::Read));
     writer.read_finished(stored(None, Register::default()), at(1));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_write_without_a_reply_that_took_effect_is_accepted_by_the_next_read() {
+fn unanswered_write_that_took_effect_is_accepted_after_the_next_read() {
     let mut writer = writer();
     let written = begin_write(&mut writer);
     writer.write_finished(WriteReply::NoReply, at(2));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_write_without_a_reply_that_was_overtaken_is_refused() {
+fn unanswered_write_is_refused_after_a_concurrent_change() {
     let mut writer = writer();
     begin_write(&mut writer);
     writer.write_finished(WriteReply::NoReply, at(2));
@@ -221,20 +221,23 @@
 }
 
 #[test]
-fn a_write_without_a_reply_stays_in_doubt_while_nothing_answers() {
+fn unanswered_write_ends_in_doubt_if_reads_fail() {
     let mut writer = writer();
     begin_write(&mut writer);
     writer.write_finished(WriteReply::NoReply, at(2));
     assert_eq!(writer.poll(at(4_000)), Some(Action::Read));
     writer.read_finished(None, at(4_000));
-    assert!(matches!(writer.poll(at(4_000)), Some(Action::Wait(_))), "settling takes longer than reaching");
+    assert!(
+        matches!(writer.poll(at(4_000)), Some(Action::Wait(_))),
+        "the in-doubt timeout is longer than the unavailable timeout"
+    );
     assert_eq!(writer.poll(at(9_000)), Some(Action::Read));
     writer.read_finished(None, at(9_000));
     assert_eq!(writer.poll(at(9_000)), Some(Action::Finish(ChangeOutcome::InDoubt)));
 }
 
 #[test]
-fn while_nothing_was_written_silence_ends_as_unavailable() {
+fn failed_reads_without_a_write_end_as_unavailable() {
     let mut writer = writer();
     assert_eq!(writer.poll(at(0)), Some(Action::Read));
     writer.read_finished(None, at(1));
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn a_lost_write_that_may_still_arrive_is_repeated_on_the_same_version() {
+fn unanswered_write_is_repeated_on_the_same_base_version() {
     let mut writer = writer();
     let first = begin_write(&mut writer);
     writer.write_finished(WriteReply::NoReply, at(2));
@@ -253,7 +256,7 @@
     writer.read_finished(stored(None, Register::default()), at(1_001));
     let again = writer.poll(at(1_001));
     assert_eq!(again, Some(Action::Write { base_version: None, register: first.clone() }));
-    // The first one arrives after all, so this one conflicts; only a read tells that the conflict is with itself.
+    // The first write took effect later, so the second conflicts with it, which only a read can show.
     writer.write_finished(WriteReply::Conflict, at(1_002));
     assert_eq!(writer.poll(at(1_002)), Some(Action::Read));
     writer.read_finished(stored(Some(1), first.clone()), at(1_003));
--- a/crates/core/tests/membership_support/mod.rs
+++ b/crates/core/tests/membership_support/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes of the membership protocol on the simulated network.
+//! Membership nodes on the simulated network, and helpers to inspect them.
 
-// Each test binary uses a part of this.
+// Each test binary uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -14,30 +14,30 @@
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_simulation::{LinkQuality, Outbox, Process, ProcessId, Simulation};
 
-/// Zones of the letter's cluster.
+/// Number of zones in the required deployment.
 pub const ZONES: usize = 7;
 
-/// Zones of the first region; the other region has the rest.
+/// Number of zones in the first region; the other zones form the second region.
 pub const FIRST_REGION_ZONES: usize = 4;
 
-/// Bytes of a UDP header and an IPv4 header.
+/// Size of a UDP header and an IPv4 header, in bytes.
 pub const HEADER_BYTES: u64 = 28;
 
 const PORT: u16 = 7_000;
 const SEEDS: usize = 3;
 
-/// One node and what it reported.
+/// A node and the events that it reported.
 pub struct Node {
     pub membership: Membership,
     pub events: Vec<(Timestamp, Event)>,
     index: usize,
-    life: u64,
+    run: u64,
     config: Config,
     now: Timestamp,
 }
 
 impl Node {
-    pub fn new(index: usize, life: u64, config: &Config, now: Timestamp) -> Self {
+    pub fn new(index: usize, run: u64, config: &Config, now: Timestamp) -> Self {
         let info = MemberInfo {
             node: node_id(index),
             zone: ZoneName::new(format!("zone-{}", index % ZONES)),
@@ -45,28 +45,28 @@
             attributes: 0,
         };
         let seeds = (0..SEEDS).map(address).collect();
-        let incarnation = Incarnation(1_000 * (life + 1));
-        let seed = (index as u64) << 16 | life;
+        let incarnation = Incarnation(1_000 * (run + 1));
+        let seed = (index as u64) << 16 | run;
         let membership = Membership::new(config.clone(), info, incarnation, seeds, seed, now).unwrap();
-        Self { membership, events: Vec::new(), index, life, config: config.clone(), now }
+        Self { membership, events: Vec::new(), index, run, config: config.clone(), now }
     }
 
-    /// The node's next life: nothing is kept but its id and address.
-    pub fn reborn(&self, now: Timestamp) -> Self {
-        Self::new(self.index, self.life + 1, &self.config, now)
+    /// Returns the node after a restart, which keeps only its id and address.
+    pub fn next_run(&self, now: Timestamp) -> Self {
+        Self::new(self.index, self.run + 1, &self.config, now)
     }
 
-    /// A next life that takes the incarnation of this one again.
-    pub fn reborn_with_clock_behind(&self, now: Timestamp) -> Self {
-        Self::new(self.index, self.life, &self.config, now)
+    /// Returns the node after a restart with the same incarnation as before.
+    pub fn next_run_with_same_incarnation(&self, now: Timestamp) -> Self {
+        Self::new(self.index, self.run, &self.config, now)
     }
 
-    fn introduction(&self) -> Update {
+    fn alive_update(&self) -> Update {
         let record = self.membership.member(&node_id(self.index)).unwrap();
         Update::alive(&record.info, record.claim.incarnation)
     }
 
-    fn read_list(&mut self, list: &[Update]) {
+    fn receive_list(&mut self, list: &[Update]) {
         for entries in list.chunks(16) {
             let body = Body::ListPage { entries: entries.to_vec(), next: None };
             let page = Message::new(NodeId::new("list"), 0, body, Vec::new());
@@ -125,22 +125,22 @@
     ProcessId(usize::from(u16::from_be_bytes([high, low])))
 }
 
-/// A cluster in which everybody knows everybody from the start, as if each had got the whole list from a seed.
-pub fn introduced(size: usize, seed: u64, config: &Config) -> Cluster {
+/// Creates a cluster in which every node knows all members, as if it had received the whole list from a seed.
+pub fn cluster_with_full_views(size: usize, seed: u64, config: &Config) -> Cluster {
     let mut cluster = Cluster::new(seed, LinkQuality::GOOD);
     let now = cluster.now();
     let nodes: Vec<Node> = (0..size).map(|index| Node::new(index, 0, config, now)).collect();
-    let list: Vec<Update> = nodes.iter().map(Node::introduction).collect();
+    let list: Vec<Update> = nodes.iter().map(Node::alive_update).collect();
     for mut node in nodes {
-        node.read_list(&list);
+        node.receive_list(&list);
         cluster.add(node);
     }
     assert!(views_are(&cluster, &ids(0..size), &ids(0..size)));
     cluster
 }
 
-/// A cluster that forms through its seeds.
-pub fn converged(size: usize, seed: u64, config: &Config) -> Cluster {
+/// Creates a cluster whose nodes join through the seeds, and waits until all views are complete.
+pub fn cluster_from_seeds(size: usize, seed: u64, config: &Config) -> Cluster {
     let mut cluster = Cluster::new(seed, LinkQuality::GOOD);
     for index in 0..size {
         cluster.add(Node::new(index, 0, config, cluster.now()));
@@ -163,11 +163,11 @@
     ids((0..size).filter(|index| index % ZONES < FIRST_REGION_ZONES))
 }
 
-pub fn without(all: &[ProcessId], gone: &[ProcessId]) -> Vec<ProcessId> {
-    all.iter().copied().filter(|id| !gone.contains(id)).collect()
+pub fn excluding(all: &[ProcessId], excluded: &[ProcessId]) -> Vec<ProcessId> {
+    all.iter().copied().filter(|id| !excluded.contains(id)).collect()
 }
 
-/// Whether each observer's view is exactly `expected`.
+/// Returns whether the live members of each observer are exactly `expected`.
 pub fn views_are(cluster: &Cluster, observers: &[ProcessId], expected: &[ProcessId]) -> bool {
     let expected: Vec<NodeId> = expected.iter().map(|id| node_id(id.0)).collect();
     observers.iter().all(|observer| {
@@ -177,7 +177,8 @@
     })
 }
 
-/// Runs until all views are as expected, looking every tenth of a second. Returns whether they came to be.
+/// Runs until the live members of each observer are `expected`, checking every 100 ms. Returns whether this
+/// happened within `limit`.
 pub fn run_until_views(
     cluster: &mut Cluster,
     observers: &[ProcessId],
@@ -194,10 +195,10 @@
     true
 }
 
-/// Times at which any observer declared a member failed that is not among `gone`.
-pub fn false_failures(cluster: &Cluster, observers: &[ProcessId], gone: &[ProcessId]) -> usize {
-    let gone: BTreeSet<NodeId> = gone.iter().map(|id| node_id(id.0)).collect();
-    count_events(cluster, observers, |event| event.kind == EventKind::Failed && !gone.contains(&event.node))
+/// Counts the failures that observers reported of members that are not among `failed`.
+pub fn false_failures(cluster: &Cluster, observers: &[ProcessId], failed: &[ProcessId]) -> usize {
+    let failed: BTreeSet<NodeId> = failed.iter().map(|id| node_id(id.0)).collect();
+    count_events(cluster, observers, |event| event.kind == EventKind::Failed && !failed.contains(&event.node))
 }
 
 pub fn count_events(cluster: &Cluster, observers: &[ProcessId], wanted: impl Fn(&Event) -> bool) -> usize {
@@ -205,7 +206,7 @@
     events.filter(|(_, event)| wanted(event)).count()
 }
 
-pub fn forget_events(cluster: &mut Cluster) {
+pub fn clear_events(cluster: &mut Cluster) {
     for id in cluster.ids().collect::<Vec<_>>() {
         cluster.interact(id, |node, _, _| node.events.clear());
     }
@@ -225,7 +226,7 @@
     total
 }
 
-/// Bytes sent a second by one node on average, headers counted.
+/// Returns the average bytes per second sent by a node, including headers.
 pub fn bytes_per_second(before: Counters, after: Counters, nodes: usize, elapsed: Duration) -> f64 {
     let payload = after.bytes_sent - before.bytes_sent;
     let headers = (after.datagrams_sent - before.datagrams_sent) * HEADER_BYTES;
