--- a/crates/core/tests/request_assembly.rs
+++ b/crates/core/tests/request_assembly.rs
@@ -1,4 +1,4 @@
-//! The whole answer from numbered chunks, whatever order, doubling or mixing of attempts they come with.
+//! Assembly of answers from chunks that are duplicated, out of order or from different attempts.
 
 use lichenpulley_core::identity::{AttemptId, WeightVersion};
 use lichenpulley_core::request::answer::{FinishReason, VersionSpan};
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 const MAX_TOKENS: u32 = 200;
-/// Where the answers of these tests change from version 1 to version 2.
+/// Index of the first token that version 2 generated; version 1 generated those before.
 const VERSION_CHANGE: u32 = 40;
 
 fn token(number: u32) -> u32 {
@@ -17,7 +17,7 @@
     WeightVersion(if number < VERSION_CHANGE { 1 } else { 2 })
 }
 
-/// Cuts an answer into chunks that don't cross the change of version.
+/// Splits an answer into chunks of at most `size` tokens, each of one version.
 fn chunks(length: u32, size: u32) -> Vec<Chunk> {
     let mut chunks = Vec::new();
     let mut first = 0;
@@ -35,7 +35,7 @@
     Chunk { first_token, tokens: tokens.to_vec(), weight_version: WeightVersion(weight_version) }
 }
 
-fn begun(attempt: &AttemptId, max_tokens: u32) -> Assembly {
+fn assembly_of(attempt: &AttemptId, max_tokens: u32) -> Assembly {
     let mut assembly = Assembly::new(max_tokens);
     assembly.begin(attempt.clone());
     assembly
@@ -43,7 +43,7 @@
 
 proptest! {
     #[test]
-    fn any_order_with_repeats_gives_the_whole_answer(
+    fn chunks_in_any_order_with_duplicates_give_the_complete_answer(
         length in 1..MAX_TOKENS,
         size in 1_u32..20,
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..200),
@@ -51,22 +51,22 @@
     ) {
         let attempt = AttemptId::new("a.1");
         let chunks = chunks(length, size);
-        let mut assembly = begun(&attempt, MAX_TOKENS);
+        let mut assembly = assembly_of(&attempt, MAX_TOKENS);
         let mut taken = Vec::new();
         let mut arrivals: Vec<&Chunk> = order.iter().map(|index| index.get(&chunks)).collect();
         arrivals.extend(&chunks);
         let end_at = end_at.index(arrivals.len());
         for (position, arrival) in arrivals.into_iter().enumerate() {
             if position == end_at {
-                assembly.finish(&attempt, length, FinishReason::Stop).expect("a true end");
+                assembly.finish(&attempt, length, FinishReason::Stop).expect("a valid end");
             }
-            assembly.accept(&attempt, arrival.clone()).expect("a true chunk");
+            assembly.accept(&attempt, arrival.clone()).expect("a valid chunk");
             for fresh in assembly.take_new() {
                 prop_assert_eq!(fresh.first_token as usize, taken.len());
                 taken.extend(fresh.tokens);
             }
         }
-        let answer = assembly.into_answer().expect("whole");
+        let answer = assembly.into_answer().expect("a complete answer");
         let expected: Vec<u32> = (0..length).map(token).collect();
         prop_assert_eq!(&answer.tokens, &expected);
         prop_assert_eq!(&taken, &expected);
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn an_answer_with_a_gap_is_never_whole(
+    fn an_answer_with_a_gap_is_never_complete(
         length in 2..MAX_TOKENS,
         size in 1_u32..20,
         missing in any::<prop::sample::Index>(),
@@ -90,52 +90,52 @@
         let attempt = AttemptId::new("a.1");
         let mut chunks = chunks(length, size);
         chunks.remove(missing.index(chunks.len()));
-        let mut assembly = begun(&attempt, MAX_TOKENS);
+        let mut assembly = assembly_of(&attempt, MAX_TOKENS);
         for chunk in chunks {
-            assembly.accept(&attempt, chunk).expect("a true chunk");
+            assembly.accept(&attempt, chunk).expect("a valid chunk");
         }
-        assembly.finish(&attempt, length, FinishReason::Stop).expect("a true end");
+        assembly.finish(&attempt, length, FinishReason::Stop).expect("a valid end");
         prop_assert!(assembly.has_gap());
         prop_assert!(assembly.into_answer().is_err());
     }
 
     #[test]
-    fn memory_stays_bounded_and_what_was_dropped_can_be_fetched_again(size in 1_u32..50) {
+    fn the_buffer_is_bounded_and_dropped_chunks_can_be_fetched_again(size in 1_u32..50) {
         let attempt = AttemptId::new("a.1");
-        let limit = u32::try_from(MAX_BUFFERED_TOKENS).expect("a small limit");
+        let limit = u32::try_from(MAX_BUFFERED_TOKENS).expect("the limit fits into u32");
         let length = limit * 2;
-        let mut assembly = begun(&attempt, length);
+        let mut assembly = assembly_of(&attempt, length);
         let chunks = chunks(length, size);
         let mut dropped = 0;
         for ahead in &chunks[1..] {
-            let acceptance = assembly.accept(&attempt, ahead.clone()).expect("a true chunk");
+            let acceptance = assembly.accept(&attempt, ahead.clone()).expect("a valid chunk");
             dropped += usize::from(acceptance == Acceptance::TooFarAhead);
         }
         prop_assert!(dropped > 0);
-        assembly.accept(&attempt, chunks[0].clone()).expect("a true chunk");
+        assembly.accept(&attempt, chunks[0].clone()).expect("a valid chunk");
         prop_assert!(assembly.next_token() <= limit + size);
         for again in &chunks {
-            assembly.accept(&attempt, again.clone()).expect("a true chunk");
+            assembly.accept(&attempt, again.clone()).expect("a valid chunk");
         }
-        assembly.finish(&attempt, length, FinishReason::Length).expect("a true end");
+        assembly.finish(&attempt, length, FinishReason::Length).expect("a valid end");
         prop_assert!(assembly.is_complete());
     }
 }
 
 #[test]
-fn a_later_attempt_goes_on_and_chunks_of_the_earlier_one_are_passed_over() {
+fn a_later_attempt_continues_and_chunks_of_the_earlier_one_are_ignored() {
     let (first, second) = (AttemptId::new("a.1"), AttemptId::new("a.2"));
-    let mut assembly = begun(&first, MAX_TOKENS);
+    let mut assembly = assembly_of(&first, MAX_TOKENS);
     assembly.accept(&first, chunk(0, &[10, 11], 1)).expect("a chunk");
-    assembly.accept(&first, chunk(4, &[14], 1)).expect("a chunk ahead");
+    assembly.accept(&first, chunk(4, &[14], 1)).expect("a chunk after a gap");
     assembly.begin(second.clone());
     let late = assembly.accept(&first, chunk(2, &[99, 99], 1));
     assert_eq!(late, Ok(Acceptance::SupersededAttempt));
     assembly.accept(&second, chunk(2, &[12, 13], 2)).expect("a chunk");
-    assembly.finish(&first, 2, FinishReason::Stop).expect("passed over");
+    assembly.finish(&first, 2, FinishReason::Stop).expect("ignored");
     assert!(!assembly.is_complete());
     assembly.finish(&second, 4, FinishReason::Stop).expect("the end");
-    let answer = assembly.into_answer().expect("whole");
+    let answer = assembly.into_answer().expect("a complete answer");
     assert_eq!(answer.tokens, [10, 11, 12, 13]);
     let span = |first_token, version| VersionSpan {
         weight_version: WeightVersion(version),
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn contradictions_are_errors() {
+fn contradictory_chunks_are_errors() {
     let attempt = AttemptId::new("a.1");
-    let mut assembly = begun(&attempt, MAX_TOKENS);
+    let mut assembly = assembly_of(&attempt, MAX_TOKENS);
     assembly.accept(&attempt, chunk(0, &[1, 2], 1)).expect("a chunk");
     let differs = assembly.accept(&attempt, chunk(1, &[3], 1));
     assert_eq!(differs, Err(AssemblyError::ConflictingToken { token: 1 }));
--- a/crates/core/tests/request_outcome.rs
+++ b/crates/core/tests/request_outcome.rs
@@ -1,4 +1,4 @@
-//! "Not run" comes only from a ledger on which no attempt was admitted or left in doubt.
+//! A request is reported as not run only if no attempt was admitted or left in doubt.
 
 use lichenpulley_core::identity::AttemptId;
 use lichenpulley_core::request::outcome::{
@@ -6,9 +6,9 @@
 };
 use proptest::prelude::*;
 
-/// What can happen to one attempt.
+/// Result of one attempt.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum AttemptResult {
     NothingWritten,
     Refused,
     RefusalOfAnother,
@@ -16,13 +16,18 @@
     Unanswered,
 }
 
-const FATES: [Fate; 5] =
-    [Fate::NothingWritten, Fate::Refused, Fate::RefusalOfAnother, Fate::InDoubt, Fate::Unanswered];
+const ATTEMPT_RESULTS: [AttemptResult; 5] = [
+    AttemptResult::NothingWritten,
+    AttemptResult::Refused,
+    AttemptResult::RefusalOfAnother,
+    AttemptResult::InDoubt,
+    AttemptResult::Unanswered,
+];
 
 proptest! {
     #[test]
-    fn not_run_is_shown_only_where_every_attempt_was_refused_or_never_written(
-        fates in prop::collection::vec(prop::sample::select(FATES.to_vec()), 0..6),
+    fn not_run_is_proved_only_if_every_attempt_was_refused_or_never_written(
+        results in prop::collection::vec(prop::sample::select(ATTEMPT_RESULTS.to_vec()), 0..6),
         repeatable in any::<bool>(),
         claimed in any::<bool>(),
     ) {
@@ -30,26 +35,26 @@
         if claimed {
             ledger.claimed(ClaimGranted::by_majority());
         }
-        for (number, fate) in fates.iter().enumerate() {
+        for (number, result) in results.iter().enumerate() {
             let attempt = AttemptId::new(format!("a.{number}"));
             ledger.dispatch(attempt.clone());
-            match fate {
-                Fate::NothingWritten => ledger.nothing_written(),
-                Fate::Refused => ledger.refused(&EngineRefusal { attempt }),
-                Fate::RefusalOfAnother => ledger.refused(&EngineRefusal { attempt: AttemptId::new("b.1") }),
-                Fate::InDoubt => ledger.in_doubt(),
-                Fate::Unanswered => {}
+            match result {
+                AttemptResult::NothingWritten => ledger.nothing_written(),
+                AttemptResult::Refused => ledger.refused(&EngineRefusal { attempt }),
+                AttemptResult::RefusalOfAnother => ledger.refused(&EngineRefusal { attempt: AttemptId::new("b.1") }),
+                AttemptResult::InDoubt => ledger.in_doubt(),
+                AttemptResult::Unanswered => {}
             }
         }
-        let harmless = |fate: &Fate| matches!(fate, Fate::NothingWritten | Fate::Refused);
-        let expected = fates.iter().all(harmless) && (repeatable || claimed);
-        let shown = matches!(ledger.into_evidence(), Evidence::NotRun(_));
-        prop_assert_eq!(shown, expected);
+        let is_not_run = |result: &AttemptResult| matches!(result, AttemptResult::NothingWritten | AttemptResult::Refused);
+        let expected = results.iter().all(is_not_run) && (repeatable || claimed);
+        let is_proved = matches!(ledger.into_evidence(), Evidence::NotRun(_));
+        prop_assert_eq!(is_proved, expected);
     }
 }
 
 #[test]
-fn a_request_that_may_run_at_most_once_is_not_promised_before_its_claim() {
+fn an_unclaimed_at_most_once_request_is_not_reported_as_not_run() {
     let repeatable = refuse_at_once(true, RefusalReason::NodeDraining, None);
     assert!(matches!(repeatable, RequestOutcome::NotRun { .. }));
     let once = refuse_at_once(false, RefusalReason::NodeDraining, None);
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget's bound, the backoff's bounds, and the time to come back.
+//! Bounds of the retry budget and the backoff, and the `retry_after` of each cause.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 proptest! {
     #[test]
-    fn retries_stay_within_what_requests_paid_in(
+    fn retries_stay_within_the_deposited_budget(
         steps in prop::collection::vec((0_u64..2_000, any::<bool>()), 1..400),
     ) {
         let config = BudgetConfig::default();
@@ -37,7 +37,7 @@
     }
 
     #[test]
-    fn backoff_grows_to_its_limit_and_not_beyond(retry in 1_u32..100, seed in any::<u64>()) {
+    fn backoff_stays_within_its_limit_and_exponential_bound(retry in 1_u32..100, seed in any::<u64>()) {
         let backoff = Backoff::new(Duration::from_millis(10), Duration::from_secs(1));
         let pause = backoff.jittered_pause(retry, &mut Pcg64Mcg::seed_from_u64(seed));
         prop_assert!(pause <= backoff.limit);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_follows_the_drain_rate() {
+fn retry_after_follows_the_drain_rate() {
     let mut rate = DrainRate::new(Timestamp::ORIGIN);
     let mut now = Timestamp::ORIGIN;
     for _ in 0..1_000 {
@@ -57,18 +57,18 @@
     assert!(soon > Duration::from_millis(800) && soon < Duration::from_millis(1_200), "{soon:?}");
     assert!(rate.retry_after(now, 99) > soon);
     let later = now + Duration::from_secs(20);
-    assert!(rate.retry_after(later, 9) > soon, "a pool that has stopped draining asks callers back later");
+    assert!(rate.retry_after(later, 9) > soon, "retry_after grows when a pool stops draining");
 }
 
 #[test]
-fn a_caller_that_met_cold_replicas_comes_back_when_one_opens_within_bounds() {
+fn retry_after_for_cold_replicas_follows_their_warm_up_within_bounds() {
     let after_ms = |left_ms| RetryCause::Warming(Duration::from_millis(left_ms)).retry_after().as_millis();
     assert_eq!([after_ms(0), after_ms(100), after_ms(650), after_ms(1_000)], [100, 100, 650, 1_000]);
-    assert_eq!(after_ms(8_000), 1_000, "another gateway may have a share earlier");
+    assert_eq!(after_ms(8_000), 1_000, "capped, since another gateway may have capacity earlier");
 }
 
 #[test]
-fn each_other_cause_has_one_time_to_come_back() {
+fn every_other_cause_has_a_fixed_retry_after() {
     let after_ms = |cause: RetryCause| cause.retry_after().as_millis();
     assert_eq!(after_ms(RetryCause::NoReplica), 100);
     assert_eq!(after_ms(RetryCause::NodeShortage), 400);
--- a/crates/core/tests/rollout_retries.rs
+++ b/crates/core/tests/rollout_retries.rs
@@ -1,4 +1,4 @@
-//! Slots whose attempts fail again and again, such as those under which engines end.
+//! Slots whose attempts keep failing, for example because their prompt crashes engines.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 };
 use lichenpulley_core::time::Timestamp;
 
-/// The attempt that is started, after the records at hand are kept.
-fn started(controller: &mut JobController, now: Timestamp) -> Option<AttemptId> {
+/// Commits pending records and returns the attempt that was started, if any.
+fn started_attempt(controller: &mut JobController, now: Timestamp) -> Option<AttemptId> {
     let mut started = None;
     while let Some(action) = controller.poll_action() {
         match action {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_slot_that_fails_without_end_is_tried_at_growing_intervals() {
+fn a_slot_that_keeps_failing_is_retried_with_growing_delays() {
     let specification = JobSpecification {
         job: JobId::new("j"),
         pool: PoolName::new("p"),
@@ -36,24 +36,24 @@
     let config = ControllerConfig::default();
     let mut now = Timestamp::ORIGIN;
     let mut controller = JobController::create(specification, Epoch(1), config, now);
-    let mut pauses = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..20 {
         let attempt = loop {
-            if let Some(attempt) = started(&mut controller, now) {
+            if let Some(attempt) = started_attempt(&mut controller, now) {
                 break attempt;
             }
-            now = controller.next_wakeup().expect("it is tried again");
+            now = controller.next_wakeup().expect("a retry is due");
             controller.handle(Event::WakeUp, now);
         };
         let outcome = AttemptOutcome::Failed { reason: "engine_lost".to_owned(), retry_after: None };
         let failed_at = now;
         controller.handle(Event::AttemptEnded { attempt, outcome }, now);
-        assert!(started(&mut controller, now).is_none());
-        now = controller.next_wakeup().expect("it is tried again");
-        pauses.push(now.saturating_since(failed_at));
+        assert!(started_attempt(&mut controller, now).is_none());
+        now = controller.next_wakeup().expect("a retry is due");
+        delays.push(now.saturating_since(failed_at));
         controller.handle(Event::WakeUp, now);
     }
-    // The first comes as soon as ever: an engine that ends by itself costs its slots no more than before.
-    assert_eq!(pauses[..3], [200, 400, 800].map(Duration::from_millis));
-    assert_eq!(pauses[19], Duration::from_secs(30));
+    // The first delays stay short, so that a single engine crash delays a slot little.
+    assert_eq!(delays[..3], [200, 400, 800].map(Duration::from_millis));
+    assert_eq!(delays[19], Duration::from_secs(30));
 }
