--- a/crates/core/tests/batch_cut_off.rs
+++ b/crates/core/tests/batch_cut_off.rs
@@ -1,4 +1,4 @@
-//! When an owner leaves because it can't reach its stores.
+//! Detecting that an owner cannot reach its stores.
 
 use std::time::Duration;
 
@@ -6,48 +6,48 @@
 
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-const fn reply(answered: usize, took_ms: u64) -> ProbeResult {
+const fn result(answered: usize, took_ms: u64) -> ProbeResult {
     ProbeResult { answered, took: Duration::from_millis(took_ms), timeout: TIMEOUT }
 }
 
-/// A watch that has just asked the stores.
-fn asking() -> CutOffMonitor {
-    let mut watch = CutOffMonitor::default();
+/// Returns a monitor that has just requested a probe.
+fn probing_monitor() -> CutOffMonitor {
+    let mut monitor = CutOffMonitor::default();
     assert_eq!(
-        [true; 3].map(|silent| watch.poll(silent)),
+        [true; 3].map(|silent| monitor.poll(silent)),
         [CutOffStep::Continue, CutOffStep::Continue, CutOffStep::Probe]
     );
-    watch
+    monitor
 }
 
 #[test]
-fn an_owner_that_no_store_answers_leaves() {
-    let mut watch = asking();
-    assert_eq!(watch.poll(true), CutOffStep::Continue, "one question at a time");
-    assert_eq!(watch.probe_ended(reply(0, 301)), CutOffStep::Leave);
+fn an_owner_leaves_if_no_store_answers_the_probe() {
+    let mut monitor = probing_monitor();
+    assert_eq!(monitor.poll(true), CutOffStep::Continue, "one probe at a time");
+    assert_eq!(monitor.probe_ended(result(0, 301)), CutOffStep::Leave);
 }
 
 #[test]
-fn an_owner_whose_stores_are_busy_with_its_appends_stays() {
-    let mut watch = asking();
+fn an_owner_stays_if_busy_stores_answer_the_probe() {
+    let mut monitor = probing_monitor();
     for _ in 0..10 {
-        assert_eq!(watch.probe_ended(reply(40, 20)), CutOffStep::Continue);
-        let steps = [true; 3].map(|silent| watch.poll(silent));
+        assert_eq!(monitor.probe_ended(result(40, 20)), CutOffStep::Continue);
+        let steps = [true; 3].map(|silent| monitor.poll(silent));
         assert_eq!(steps, [CutOffStep::Continue, CutOffStep::Continue, CutOffStep::Probe]);
     }
 }
 
 #[test]
-fn an_owner_that_stood_still_itself_asks_again() {
-    let mut watch = asking();
-    assert_eq!(watch.probe_ended(reply(0, 900)), CutOffStep::Continue);
-    assert_eq!([true; 3].map(|silent| watch.poll(silent))[2], CutOffStep::Probe);
-    assert_eq!(watch.probe_ended(reply(0, 310)), CutOffStep::Leave);
+fn a_probe_that_overran_its_timeout_is_repeated() {
+    let mut monitor = probing_monitor();
+    assert_eq!(monitor.probe_ended(result(0, 900)), CutOffStep::Continue);
+    assert_eq!([true; 3].map(|silent| monitor.poll(silent))[2], CutOffStep::Probe);
+    assert_eq!(monitor.probe_ended(result(0, 310)), CutOffStep::Leave);
 }
 
 #[test]
-fn an_answer_to_an_append_ends_the_silence() {
-    let mut watch = asking();
-    assert_eq!(watch.poll(false), CutOffStep::Continue);
-    assert_eq!(watch.probe_ended(reply(0, 301)), CutOffStep::Continue);
+fn an_append_answer_during_the_probe_ends_the_silence() {
+    let mut monitor = probing_monitor();
+    assert_eq!(monitor.poll(false), CutOffStep::Continue);
+    assert_eq!(monitor.probe_ended(result(0, 301)), CutOffStep::Continue);
 }
--- a/crates/core/tests/batch_duties.rs
+++ b/crates/core/tests/batch_duties.rs
@@ -1,4 +1,4 @@
-//! Duties of the owner: what a call waits for, and how one holder follows another.
+//! Calls of the owner to the platform: when they are sent, and how holders succeed each other.
 
 mod batch_support;
 
@@ -23,59 +23,59 @@
     OwnerHarness::with_lease(lease_of(name), config, ledger, false, &[replica("a", 1)])
 }
 
-fn tick(bench: &mut OwnerHarness, now_ms: u64) {
-    bench.controller.tick_duties(at(now_ms), WallTime(START_MS + now_ms));
-    bench.drain_actions();
+fn tick(harness: &mut OwnerHarness, now_ms: u64) {
+    harness.controller.tick_duties(at(now_ms), WallTime(START_MS + now_ms));
+    harness.drain_actions();
 }
 
-/// Counts three requests and lets their window be closed; its call is on its way to the stores.
-fn close_a_window(bench: &mut OwnerHarness) {
-    tick(bench, 100);
+/// Reports three requests and closes their window; the record of the call is not committed yet.
+fn close_window(harness: &mut OwnerHarness) {
+    tick(harness, 100);
     let entry = UsageEntry { tenant: TenantName::new("t"), age_ms: 50 };
     let sent_at = WallTime(START_MS + 1_000);
     let report = UsageReport { source: "n/1".to_owned(), sent_at, first: 0, entries: vec![entry; 3] };
-    bench.controller.take_usage(at(1_000), &report);
-    bench.commit_appends(at(1_010));
-    tick(bench, 9_100);
-    bench.commit_appends(at(9_110));
-    tick(bench, 9_150);
+    harness.controller.take_usage(at(1_000), &report);
+    harness.commit_appends(at(1_010));
+    tick(harness, 9_100);
+    harness.commit_appends(at(9_110));
+    tick(harness, 9_150);
 }
 
-fn told(call: &DutyCall) -> (u64, u64) {
+fn reported_usage(call: &DutyCall) -> (u64, u64) {
     match call {
         DutyCall::Usage { window, counts } => (window.0, counts.values().sum()),
-        DutyCall::Scale(order) => panic!("{order:?} was not wanted"),
+        DutyCall::Scale(order) => panic!("unexpected scaling order {order:?}"),
     }
 }
 
 #[test]
-fn a_call_leaves_only_after_it_is_kept_that_it_is_made() {
+fn a_call_is_sent_only_after_its_record_is_committed() {
     let mut first = holder("node-1", Ledger::default());
-    close_a_window(&mut first);
+    close_window(&mut first);
     assert!(first.calls.is_empty());
     first.commit_appends(at(9_160));
-    assert_eq!(first.calls.iter().map(told).collect::<Vec<_>>(), [(START_MS / 5_000, 3)]);
+    assert_eq!(first.calls.iter().map(reported_usage).collect::<Vec<_>>(), [(START_MS / 5_000, 3)]);
 }
 
 #[test]
-fn nothing_is_called_without_a_confirmed_authority() {
+fn no_call_is_made_without_confirmed_authority() {
     let mut first = holder("node-1", Ledger::default());
     first.controller.set_confirmed(false);
-    close_a_window(&mut first);
+    close_window(&mut first);
     first.commit_appends(at(9_160));
     assert!(first.calls.is_empty());
 }
 
 #[test]
-fn the_next_holder_waits_for_the_lease_and_tells_the_same() {
+fn the_next_holder_waits_for_the_lease_and_reports_the_same_counts() {
     let mut first = holder("node-1", Ledger::default());
-    close_a_window(&mut first);
+    close_window(&mut first);
     first.commit_appends(at(9_160));
     let mut next = holder("node-2", first.ledger_of_records());
     for now_ms in [100, 2_900] {
         next.controller.tick_duties(at(now_ms), WallTime(START_MS + 9_200 + now_ms));
         next.commit_appends(at(now_ms));
-        assert!(next.calls.is_empty(), "{now_ms} ms: the first may still be heard");
+        assert!(next.calls.is_empty(), "{now_ms} ms: the lease of the first holder has not expired");
     }
     next.controller.tick_duties(at(3_100), WallTime(START_MS + 12_300));
     next.commit_appends(at(3_100));
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn a_call_that_was_missed_is_made_again_with_the_same_counts_and_one_that_was_taken_is_not() {
+fn a_missed_call_is_repeated_with_the_same_counts_and_an_accepted_one_is_not() {
     let mut first = holder("node-1", Ledger::default());
-    close_a_window(&mut first);
+    close_window(&mut first);
     first.commit_appends(at(9_160));
     let call = first.calls.remove(0);
     first.controller.duty_ended(at(10_200), &call, DutyOutcome::Missed);
--- a/crates/core/tests/batch_follower.rs
+++ b/crates/core/tests/batch_follower.rs
@@ -1,4 +1,4 @@
-//! A ledger that follows the log amounts to what a new owner recovers from all of it.
+//! A ledger that follows the log equals the one that a new owner recovers from the whole log.
 
 mod batch_support;
 
@@ -16,29 +16,29 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// What may come next in a log.
+/// A step that extends a log.
 #[derive(Clone, Debug)]
 enum Step {
     Accept,
-    /// Events of an item, or its end, by one of the jobs so far.
+    /// An event of an item of one of the jobs so far; the flag marks the last one.
     Progress(u8, u8, bool),
     End(u8),
     Snapshot,
-    /// The next owner begins.
-    Change,
-    /// A record of the owner before that was left at a minority.
-    Overtaken,
+    /// The next owner takes over.
+    NewOwner,
+    /// A record of the previous owner that only a minority of stores had.
+    Superseded,
     Gap,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         2 => Just(Step::Accept),
-        6 => (any::<u8>(), 0..3_u8, any::<bool>()).prop_map(|(job, item, whole)| Step::Progress(job, item, whole)),
+        6 => (any::<u8>(), 0..3_u8, any::<bool>()).prop_map(|(job, item, is_last)| Step::Progress(job, item, is_last)),
         1 => any::<u8>().prop_map(Step::End),
         1 => Just(Step::Snapshot),
-        1 => Just(Step::Change),
-        1 => Just(Step::Overtaken),
+        1 => Just(Step::NewOwner),
+        1 => Just(Step::Superseded),
         1 => Just(Step::Gap),
     ];
     proptest::collection::vec(step, 1..40)
@@ -48,55 +48,55 @@
     Payload::Record { origin, bytes: record.encode().expect("a record") }
 }
 
-/// A log and where its last snapshot begins.
-fn log_of(steps: &[Step]) -> (Vec<Payload>, usize) {
+/// Builds a log and returns it with the position of its last snapshot.
+fn build_log(steps: &[Step]) -> (Vec<Payload>, usize) {
     let (mut log, mut ledger, mut epoch, mut jobs, mut base) =
         (Vec::new(), Ledger::default(), Epoch(1), 0_u8, 0);
-    let keep = |log: &mut Vec<Payload>, ledger: &mut Ledger, epoch, kept: Record| {
-        log.push(record(epoch, &kept));
-        ledger.apply(kept);
+    let append = |log: &mut Vec<Payload>, ledger: &mut Ledger, epoch, appended: Record| {
+        log.push(record(epoch, &appended));
+        ledger.apply(appended);
     };
     for step in steps {
         let batch = |number: u8| BatchId::new(format!("job-{}", number % jobs.max(1)));
         match step {
             Step::Accept => {
-                keep(&mut log, &mut ledger, epoch, Record::Accepted(job(&format!("job-{jobs}"), 3, 0)));
+                append(&mut log, &mut ledger, epoch, Record::Accepted(job(&format!("job-{jobs}"), 3, 0)));
                 jobs += 1;
             }
-            Step::Progress(number, item, is_complete) => {
+            Step::Progress(number, item, is_last) => {
                 let (batch, item) = (batch(*number), u32::from(*item));
                 let known = ledger.job(&batch).filter(|job| job.is_open(item));
                 let Some(known) = known else { continue };
                 let next = known.items[item as usize].last_event().map_or(0, |last| last + 1);
                 let events = vec![OutputEvent { number: next, version: 1, data: format!("d{next}") }];
-                let made = if *is_complete {
+                let progress = if *is_last {
                     Record::Completed { batch, item, events }
                 } else {
                     Record::Progress { batch, item, events }
                 };
-                keep(&mut log, &mut ledger, epoch, made);
+                append(&mut log, &mut ledger, epoch, progress);
             }
             Step::End(number) if jobs > 0 => {
-                keep(&mut log, &mut ledger, epoch, Record::Ended(batch(*number)));
+                append(&mut log, &mut ledger, epoch, Record::Ended(batch(*number)));
             }
             Step::Snapshot => {
                 base = log.len();
                 log.extend(split_snapshot(&ledger.to_snapshot().expect("a snapshot"), 64, epoch));
             }
-            Step::Change => epoch = epoch.next(),
-            Step::Overtaken if epoch.0 > 1 && log.last().and_then(Payload::origin) == Some(epoch) => {
+            Step::NewOwner => epoch = epoch.next(),
+            Step::Superseded if epoch.0 > 1 && log.last().and_then(Payload::origin) == Some(epoch) => {
                 log.push(record(Epoch(epoch.0 - 1), &Record::Accepted(job("never", 1, 0))));
             }
             Step::Gap => log.push(Payload::Noop),
-            Step::End(_) | Step::Overtaken => {}
+            Step::End(_) | Step::Superseded => {}
         }
     }
     (log, base)
 }
 
-fn page(log: &[Payload], base: usize, from: LogIndex, through: usize, most: usize) -> DecidedPage {
+fn page(log: &[Payload], base: usize, from: LogIndex, through: usize, max_entries: usize) -> DecidedPage {
     let first = (from.0 as usize - 1).max(base);
-    let last = through.min(first + most);
+    let last = through.min(first + max_entries);
     let entry = |position: usize| IndexedEntry {
         index: LogIndex(position as u64 + 1),
         entry: Entry { epoch: Epoch(9), payload: log[position].clone() },
@@ -122,37 +122,37 @@
 
 proptest! {
     #[test]
-    fn a_takeover_after_following_amounts_to_one_that_reads_everything(
+    fn recovery_after_following_equals_a_full_recovery(
         steps in steps(),
         pages in proptest::collection::vec((0..40_usize, 1..9_usize), 0..12),
         is_truncated in any::<bool>(),
     ) {
-        let (log, snapshot) = log_of(&steps);
+        let (log, snapshot) = build_log(&steps);
         let base = if is_truncated { snapshot } else { 0 };
         let mut follower = LedgerFollower::default();
-        for (through, most) in pages {
+        for (through, max_entries) in pages {
             let through = through.min(log.len());
-            // The log was truncated only once the snapshot was decided.
+            // The log is truncated only after the snapshot is decided.
             let base = if through == log.len() { base } else { 0 };
             let next = follower.next();
-            follower.take(page(&log, base, next, through, most)).expect("records");
+            follower.take(page(&log, base, next, through, max_entries)).expect("records");
         }
-        let whole = recovered(&log, KnownLog::default(), None);
+        let full = recovered(&log, KnownLog::default(), None);
         let after = if follower.is_complete() {
             recovered(&log, follower.known(), Some(follower.into_ledger()))
         } else {
             recovered(&log, KnownLog::default(), None)
         };
-        prop_assert_eq!(after, whole);
+        prop_assert_eq!(after, full);
     }
 }
 
-/// A follower that has read so much of a log.
+/// Returns a follower that has read a log up to `through`.
 fn follower_of(log: &[Payload], base: usize, through: usize, is_outline: bool) -> LedgerFollower {
-    read_on(LedgerFollower::default(), log, base, through, is_outline)
+    read_to_end(LedgerFollower::default(), log, base, through, is_outline)
 }
 
-fn read_on(
+fn read_to_end(
     mut follower: LedgerFollower,
     log: &[Payload],
     base: usize,
@@ -171,20 +171,21 @@
 }
 
 proptest! {
-    /// A takeover by the outline goes on as one that read everything, and is the same once the texts came.
+    /// A takeover from an outline sees the same events as a full recovery, and has the same ledger once texts
+    /// are filled in.
     #[test]
-    fn an_outline_that_is_filled_amounts_to_the_whole_log(steps in steps(), through in 0..60_usize) {
-        let (log, snapshot) = log_of(&steps);
+    fn a_filled_outline_equals_the_full_ledger(steps in steps(), through in 0..60_usize) {
+        let (log, snapshot) = build_log(&steps);
         let through = through.min(log.len());
-        // The log is truncated only once the snapshot is decided.
+        // The log is truncated only after the snapshot is decided.
         let base = if through == log.len() { snapshot } else { 0 };
         let outline = follower_of(&log, base, through, true);
         prop_assume!(outline.is_complete());
-        let whole = recovered(&log, KnownLog::default(), None);
+        let full = recovered(&log, KnownLog::default(), None);
         let known = outline.known();
         let before_open = outline.before_open_jobs();
         let mut after = recovered(&log, known, Some(outline.into_ledger()));
-        for (batch, state) in whole.jobs() {
+        for (batch, state) in full.jobs() {
             let outlined = after.job(batch).expect("the job");
             prop_assert_eq!(outlined.is_ended, state.is_ended);
             prop_assert_eq!(outlined.results.len(), state.results.len());
@@ -195,24 +196,24 @@
                 }
             }
         }
-        // The texts of open jobs come first, where these were taken after the last snapshot.
+        // Texts of open jobs are filled in first, if the jobs were accepted after the last snapshot.
         if let Some(before_open) = before_open {
             let open: Vec<BatchId> =
                 after.jobs().iter().filter(|(_, state)| !state.is_ended).map(|(batch, _)| batch.clone()).collect();
             let tail = LedgerFollower::beginning_after(before_open);
-            after.fill_texts(read_on(tail, &log, base, through, false).into_ledger());
+            after.fill_texts(read_to_end(tail, &log, base, through, false).into_ledger());
             prop_assert!(open.iter().all(|batch| !after.lacks_texts(batch)));
         }
         after.fill_texts(follower_of(&log, base, through, false).into_ledger());
         prop_assert!(!after.is_outline());
-        prop_assert_eq!(after, whole);
+        prop_assert_eq!(after, full);
     }
 }
 
 #[test]
-fn nothing_is_listed_of_a_job_whose_texts_are_missing() {
+fn a_job_lacks_texts_until_they_are_filled_in() {
     let steps = [Step::Accept, Step::Progress(0, 0, false), Step::Progress(0, 0, true), Step::Accept];
-    let (log, base) = log_of(&steps);
+    let (log, base) = build_log(&steps);
     let mut ledger = follower_of(&log, base, log.len(), true).into_ledger();
     let batches: Vec<BatchId> = ledger.jobs().keys().cloned().collect();
     let lacks: Vec<bool> = batches.iter().map(|batch| ledger.lacks_texts(batch)).collect();
@@ -223,17 +224,17 @@
 }
 
 #[test]
-fn texts_that_are_not_in_the_other_ledger_stay_missing() {
+fn texts_that_the_other_ledger_lacks_stay_missing() {
     let steps = [Step::Accept, Step::Progress(0, 0, true)];
-    let (log, base) = log_of(&steps);
+    let (log, base) = build_log(&steps);
     let mut ledger = follower_of(&log, base, log.len(), true).into_ledger();
     ledger.fill_texts(Ledger::default());
     assert!(ledger.is_outline());
 }
 
 #[test]
-fn a_follower_that_read_a_part_of_the_snapshot_alone_is_of_no_use() {
-    let (log, base) = log_of(&[Step::Accept, Step::Snapshot]);
+fn a_follower_is_incomplete_until_it_has_read_the_whole_snapshot() {
+    let (log, base) = build_log(&[Step::Accept, Step::Snapshot]);
     let mut follower = LedgerFollower::default();
     assert!(follower.take(page(&log, base, LogIndex::FIRST, log.len(), 1)).expect("a part"), "there is more");
     assert!(!follower.is_complete());
@@ -243,9 +244,9 @@
 }
 
 #[test]
-fn a_follower_that_fell_behind_a_snapshot_begins_with_it() {
+fn a_follower_behind_a_truncation_restarts_from_the_snapshot() {
     let steps = [Step::Accept, Step::Progress(0, 0, false), Step::Snapshot, Step::Progress(0, 1, true)];
-    let (log, base) = log_of(&steps);
+    let (log, base) = build_log(&steps);
     let mut follower = LedgerFollower::default();
     assert!(follower.take(page(&log, 0, LogIndex::FIRST, log.len(), 1)).expect("a record"), "there is more");
     let next = follower.next();
--- a/crates/core/tests/batch_handover.rs
+++ b/crates/core/tests/batch_handover.rs
@@ -1,4 +1,4 @@
-//! Leaving batch jobs to another owner: what it goes on from, and when an offer is not taken.
+//! Handover of batch jobs to another owner, and when an offer of progress is rejected.
 
 mod batch_support;
 
@@ -8,15 +8,15 @@
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
 use lichenpulley_core::identity::{BatchId, Epoch};
 
-/// An owner with one run that has given so many events, none of them kept.
-fn running(events: u64) -> OwnerHarness {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1)]);
-    bench.submit(at(1), job("j", 1, 0));
-    let run = bench.started[0].run;
+/// Returns an owner with one run that has received this many events, none of them committed.
+fn owner_with_events(events: u64) -> OwnerHarness {
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1)]);
+    harness.submit(at(1), job("j", 1, 0));
+    let run = harness.started[0].run;
     for number in 0..events {
-        bench.event(at(2 + number), run, number, 1);
+        harness.event(at(2 + number), run, number, 1);
     }
-    bench
+    harness
 }
 
 fn successor(ledger: Ledger, offer: ProgressOffer, latest: Epoch) -> (Controller, usize) {
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_planned_leave_keeps_all_progress() {
-    let mut first = running(5);
+fn a_planned_handover_commits_all_progress() {
+    let mut first = owner_with_events(5);
     first.controller.flush_progress(at(20));
     first.drain_actions();
     assert!(!first.controller.is_settled());
@@ -39,18 +39,18 @@
 }
 
 #[test]
-fn an_owner_that_is_cut_off_hands_over_what_its_stores_do_not_keep() {
-    let first = running(5);
+fn a_cut_off_owner_offers_its_uncommitted_events() {
+    let first = owner_with_events(5);
     let offer = first.controller.progress_offer(Epoch(7));
     let (_, adopted) = successor(first.ledger_of_records(), offer.clone(), Epoch(7));
     assert_eq!(adopted, 5);
     let (_, adopted) = successor(first.ledger_of_records(), offer, Epoch(8));
-    assert_eq!(adopted, 0, "another owner has been between: its runs went on from what is kept");
+    assert_eq!(adopted, 0, "an offer of an owner before the last one is rejected");
 }
 
 #[test]
-fn an_offer_counts_what_is_on_its_way_to_the_stores() {
-    let mut first = running(5);
+fn an_offer_includes_pending_appends() {
+    let mut first = owner_with_events(5);
     first.controller.flush_progress(at(20));
     first.drain_actions();
     let run = first.started[0].run;
@@ -59,8 +59,8 @@
     let offer = first.controller.progress_offer(Epoch(7));
     let numbers: Vec<u64> = offer.items[0].events.iter().map(|event| event.number).collect();
     assert_eq!((offer.items[0].after, numbers), (None, vec![0, 1, 2, 3, 4, 5]));
-    // The stores had kept the flush after all: what is known is not taken twice.
-    let mut kept = running(5);
+    // If the flush was committed after all, its events are not adopted twice.
+    let mut kept = owner_with_events(5);
     kept.controller.flush_progress(at(20));
     kept.commit_appends(at(21));
     let (controller, adopted) = successor(kept.ledger_of_records(), offer, Epoch(7));
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn an_offer_with_a_gap_before_it_is_not_taken() {
-    let mut first = running(3);
+fn an_offer_with_a_gap_is_rejected() {
+    let mut first = owner_with_events(3);
     first.controller.flush_progress(at(20));
     first.commit_appends(at(21));
     let run = first.started[0].run;
     first.event(at(22), run, 3, 1);
     let offer = first.controller.progress_offer(Epoch(7));
     assert_eq!(offer.items[0].after, Some(2));
-    let bare = running(0);
+    let bare = owner_with_events(0);
     let (_, adopted) = successor(bare.ledger_of_records(), offer, Epoch(7));
     assert_eq!(adopted, 0);
 }
 
 #[test]
-fn nothing_is_taken_for_a_job_that_was_ended() {
-    let mut first = running(3);
+fn no_events_are_adopted_for_an_ended_job() {
+    let mut first = owner_with_events(3);
     let offer = first.controller.progress_offer(Epoch(7));
     first.controller.end(at(20), &BatchId::new("j"));
     first.commit_appends(at(21));
@@ -93,10 +93,10 @@
     assert_eq!(adopted, 0);
 }
 
-/// The owner that kept the end was lost before its line: nobody who searched the decisions for the job's end found that it is kept.
+/// Guards against a committed end without a recorded decision, because its owner failed before recording one.
 #[test]
-fn an_end_that_a_takeover_reads_from_the_log_is_said_to_be_kept_where_it_is_asked_for() {
-    let mut first = running(3);
+fn a_new_owner_records_that_an_end_in_the_log_is_committed() {
+    let mut first = owner_with_events(3);
     first.controller.end(at(20), &BatchId::new("j"));
     first.commit_appends(at(21));
     let mut next = OwnerHarness::new(first.ledger_of_records(), false, &[replica("a", 1)]);
--- a/crates/core/tests/batch_leaving.rs
+++ b/crates/core/tests/batch_leaving.rs
@@ -1,4 +1,4 @@
-//! When an owner leaves the batch jobs to a more capable node.
+//! When an owner hands the batch jobs over to a more capable node.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 }
 
 #[test]
-fn a_more_capable_node_must_stay_for_two_seconds() {
+fn a_more_capable_node_must_be_present_for_two_seconds() {
     let better = NodeId::new("better");
-    let mut watch = LeaveMonitor::default();
-    assert!(!watch.poll(Some(&better), true, at(0)));
-    assert!(!watch.poll(Some(&better), true, at(1_999)));
-    assert!(watch.poll(Some(&better), true, at(2_000)));
+    let mut monitor = LeaveMonitor::default();
+    assert!(!monitor.poll(Some(&better), true, at(0)));
+    assert!(!monitor.poll(Some(&better), true, at(1_999)));
+    assert!(monitor.poll(Some(&better), true, at(2_000)));
 }
 
 #[test]
-fn a_node_that_vanishes_or_changes_begins_the_wait_anew() {
+fn a_missing_or_different_node_restarts_the_wait() {
     let (better, other) = (NodeId::new("better"), NodeId::new("other"));
-    let mut watch = LeaveMonitor::default();
-    assert!(!watch.poll(Some(&better), true, at(0)));
-    assert!(!watch.poll(None, true, at(1_000)));
-    assert!(!watch.poll(Some(&better), true, at(2_500)));
-    assert!(!watch.poll(Some(&other), true, at(5_000)));
-    assert!(!watch.poll(Some(&other), true, at(6_900)));
-    assert!(watch.poll(Some(&other), true, at(7_000)));
+    let mut monitor = LeaveMonitor::default();
+    assert!(!monitor.poll(Some(&better), true, at(0)));
+    assert!(!monitor.poll(None, true, at(1_000)));
+    assert!(!monitor.poll(Some(&better), true, at(2_500)));
+    assert!(!monitor.poll(Some(&other), true, at(5_000)));
+    assert!(!monitor.poll(Some(&other), true, at(6_900)));
+    assert!(monitor.poll(Some(&other), true, at(7_000)));
 }
 
 #[test]
 fn an_owner_without_confirmed_authority_stays() {
     let better = NodeId::new("better");
-    let mut watch = LeaveMonitor::default();
-    assert!(!watch.poll(Some(&better), true, at(0)));
-    assert!(!watch.poll(Some(&better), false, at(3_000)));
-    assert!(watch.poll(Some(&better), true, at(3_050)));
+    let mut monitor = LeaveMonitor::default();
+    assert!(!monitor.poll(Some(&better), true, at(0)));
+    assert!(!monitor.poll(Some(&better), false, at(3_000)));
+    assert!(monitor.poll(Some(&better), true, at(3_050)));
 }
--- a/crates/core/tests/batch_moves.rs
+++ b/crates/core/tests/batch_moves.rs
@@ -1,4 +1,4 @@
-//! When a run leaves its replica for a faster one.
+//! When a run moves to a faster replica.
 
 mod batch_support;
 
@@ -6,54 +6,57 @@
 use lichenpulley_core::batch::controller::{RunEnd, RunId};
 use lichenpulley_core::batch::ledger::Ledger;
 
-/// Two runs at two replicas, of which one pauses so much longer between events; then the quick one ends. Returns the bench
-/// after the next look, the slow run, and when that was.
+/// Starts two runs on two replicas with different pauses between events and ends the quick one. Returns the
+/// harness after the next tick, the slow run, and the time in milliseconds.
 fn slow_and_quick(slow_ms: u64, quick_ms: u64, slow_events: u64) -> (OwnerHarness, RunId, u64) {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1), replica("b", 1)]);
-    bench.submit(at(0), job("j", 2, 1));
-    let [slow, quick] = [bench.started[0].run, bench.started[1].run];
-    assert_ne!(bench.started[0].replica.id, bench.started[1].replica.id);
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1), replica("b", 1)]);
+    harness.submit(at(0), job("j", 2, 1));
+    let [slow, quick] = [harness.started[0].run, harness.started[1].run];
+    assert_ne!(harness.started[0].replica.id, harness.started[1].replica.id);
     let end_ms = slow_ms * slow_events;
     for now_ms in 1..=end_ms {
         if now_ms.is_multiple_of(slow_ms) {
-            bench.event(at(now_ms), slow, now_ms / slow_ms - 1, 1);
+            harness.event(at(now_ms), slow, now_ms / slow_ms - 1, 1);
         }
         if now_ms.is_multiple_of(quick_ms) {
-            bench.event(at(now_ms), quick, now_ms / quick_ms - 1, 1);
+            harness.event(at(now_ms), quick, now_ms / quick_ms - 1, 1);
         }
     }
-    bench.commit_appends(at(end_ms));
-    bench.end(at(end_ms), quick, RunEnd::Complete);
-    bench.commit_appends(at(end_ms));
-    bench.controller.tick(at(end_ms + 10));
-    bench.drain_actions();
-    (bench, slow, end_ms + 10)
+    harness.commit_appends(at(end_ms));
+    harness.end(at(end_ms), quick, RunEnd::Complete);
+    harness.commit_appends(at(end_ms));
+    harness.controller.tick(at(end_ms + 10));
+    harness.drain_actions();
+    (harness, slow, end_ms + 10)
 }
 
 #[test]
-fn a_long_run_moves_to_a_replica_that_is_some_quarter_faster_and_goes_on_after_its_last_event() {
-    let (bench, slow, _) = slow_and_quick(65, 50, 40);
-    assert!(bench.stopped.contains(&slow));
-    let moved = bench.started.last().expect("a run");
+fn a_long_run_moves_to_a_faster_replica_and_resumes_after_its_last_event() {
+    let (harness, slow, _) = slow_and_quick(65, 50, 40);
+    assert!(harness.stopped.contains(&slow));
+    let moved = harness.started.last().expect("a run");
     assert_eq!(moved.last_event, Some(39));
-    assert_eq!(moved.replica.id, bench.started[1].replica.id, "to where the quick one ran");
+    assert_eq!(
+        moved.replica.id, harness.started[1].replica.id,
+        "the run moves to the replica of the quick run"
+    );
 }
 
 #[test]
-fn a_run_that_has_made_little_stays_since_the_move_would_cost_more_than_it_gains() {
-    let (bench, slow, _) = slow_and_quick(65, 50, 9);
-    assert!(!bench.stopped.contains(&slow));
-    assert_eq!(bench.started.len(), 2);
+fn a_short_run_stays_because_a_move_costs_more_than_it_saves() {
+    let (harness, slow, _) = slow_and_quick(65, 50, 9);
+    assert!(!harness.stopped.contains(&slow));
+    assert_eq!(harness.started.len(), 2);
 }
 
 #[test]
-fn a_run_stays_where_paces_are_as_good_as_equal() {
-    let (bench, slow, _) = slow_and_quick(53, 50, 140);
-    assert!(!bench.stopped.contains(&slow));
+fn a_run_stays_if_paces_are_similar() {
+    let (harness, slow, _) = slow_and_quick(53, 50, 140);
+    assert!(!harness.stopped.contains(&slow));
 }
 
 #[test]
-fn a_run_on_a_replica_that_has_become_very_slow_moves_soon() {
-    let (bench, slow, _) = slow_and_quick(200, 50, 4);
-    assert!(bench.stopped.contains(&slow));
+fn a_run_on_a_very_slow_replica_moves_soon() {
+    let (harness, slow, _) = slow_and_quick(200, 50, 4);
+    assert!(harness.stopped.contains(&slow));
 }
--- a/crates/core/tests/batch_recovery.rs
+++ b/crates/core/tests/batch_recovery.rs
@@ -1,4 +1,4 @@
-//! A ledger put together piece by piece: the same as at once, and never without a heartbeat for long.
+//! Recovery of a ledger in steps: the same result as in one step, with heartbeats in between.
 
 mod batch_support;
 
@@ -8,26 +8,26 @@
 use lichenpulley_core::batch::ledger::Ledger;
 use lichenpulley_core::batch::recovery::{LedgerRecovery, RecoveryStep};
 
-/// Records of many small jobs.
+/// Returns the records of many small jobs.
 fn records(jobs: usize) -> Vec<Vec<u8>> {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1)]);
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &[replica("a", 1)]);
     for number in 0..jobs {
         let id = format!("j{number}");
         let one = if number % 2 == 0 { job(&id, 1, 0) } else { scored_job(&id, 1) };
-        bench.run_to_completion(at(number as u64 + 1), one);
+        harness.run_to_completion(at(number as u64 + 1), one);
     }
-    bench.records.iter().map(|record| record.encode().expect("bytes")).collect()
+    harness.records.iter().map(|record| record.encode().expect("bytes")).collect()
 }
 
 #[test]
-fn an_owner_that_recovers_a_long_log_is_never_silent_for_long() {
+fn a_long_recovery_sends_heartbeats_in_time() {
     let records = records(400);
     let interval = Duration::from_millis(200);
     let mut recovery = LedgerRecovery::begin(None, &records, interval, at(0)).expect("a recovery");
     let (mut now_ms, mut heartbeat_ms, mut heartbeats) = (0, 0, 0);
     loop {
         match recovery.step(at(now_ms)).expect("a step") {
-            // A slow machine: each piece takes 150 ms.
+            // Simulates a slow machine on which each step takes 150 ms.
             RecoveryStep::Working => now_ms += 150,
             RecoveryStep::HeartbeatDue => {
                 heartbeats += 1;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_snapshot_and_what_follows_it_amount_to_the_same() {
+fn recovery_from_a_snapshot_yields_the_same_ledger() {
     let records = records(40);
     let (before, after) = records.split_at(70);
     let snapshot = Ledger::recover(None, before).expect("a ledger").to_snapshot().expect("a snapshot");
@@ -50,12 +50,12 @@
     let begun = LedgerRecovery::begin(Some(&snapshot), after, interval, at(0));
     let mut recovery = begun.expect("a recovery");
     while recovery.step(at(0)).expect("a step") != RecoveryStep::Done {}
-    let whole = Ledger::recover(Some(&snapshot), after).expect("a ledger");
-    assert_eq!(recovery.into_ledger(), whole);
+    let expected = Ledger::recover(Some(&snapshot), after).expect("a ledger");
+    assert_eq!(recovery.into_ledger(), expected);
 }
 
 #[test]
-fn what_is_none_of_ours_is_an_error() {
+fn invalid_bytes_are_rejected() {
     let interval = Duration::from_secs(1);
     assert!(LedgerRecovery::begin(Some(&[1, 2]), &[], interval, at(0)).is_err());
     let bad = vec![vec![250, 0, 0, 0]];
--- a/crates/core/tests/batch_scoring.rs
+++ b/crates/core/tests/batch_scoring.rs
@@ -1,4 +1,4 @@
-//! Whole texts and their scorers: when a score request leaves, what is listed, what is tried again, what is given up.
+//! Scoring of complete texts: when score requests are sent, listed, retried and given up.
 
 mod batch_support;
 
@@ -11,7 +11,7 @@
 use lichenpulley_core::batch::score_plan::ScoreEnd;
 use lichenpulley_core::identity::BatchId;
 
-fn bench(scorers: &[&str]) -> OwnerHarness {
+fn harness(scorers: &[&str]) -> OwnerHarness {
     bench_of(Ledger::default(), scorers)
 }
 
@@ -26,68 +26,68 @@
 }
 
 #[test]
-fn a_score_request_leaves_only_once_the_whole_text_is_kept() {
-    let mut bench = bench(&["s"]);
-    bench.submit(at(1), scored_job("j", 1));
-    let run = bench.started[0].run;
-    bench.event(at(10), run, 0, 1);
-    bench.end(at(20), run, RunEnd::Complete);
-    assert!(bench.scores.is_empty(), "the text is not decided yet");
-    bench.commit_appends(at(25));
-    assert_eq!(bench.scores.len(), 1);
-    assert_eq!(bench.scores[0].request.id, "score-j-0");
-    assert_eq!(bench.results("j"), 0, "nothing is listed without its score");
+fn a_score_request_is_sent_only_after_the_text_is_committed() {
+    let mut harness = harness(&["s"]);
+    harness.submit(at(1), scored_job("j", 1));
+    let run = harness.started[0].run;
+    harness.event(at(10), run, 0, 1);
+    harness.end(at(20), run, RunEnd::Complete);
+    assert!(harness.scores.is_empty(), "the text is not committed yet");
+    harness.commit_appends(at(25));
+    assert_eq!(harness.scores.len(), 1);
+    assert_eq!(harness.scores[0].request.id, "score-j-0");
+    assert_eq!(harness.results("j"), 0, "nothing is listed without its score");
 }
 
 #[test]
 fn a_result_carries_the_signature_of_its_own_scorer() {
-    let mut bench = bench(&["s"]);
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    bench.score_end(at(40), 0, scored("seal-0"));
-    assert_eq!(bench.results("j"), 0, "the score is not decided yet");
-    bench.commit_appends(at(45));
-    let ledger = bench.controller.ledger();
+    let mut harness = harness(&["s"]);
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    harness.score_end(at(40), 0, scored("seal-0"));
+    assert_eq!(harness.results("j"), 0, "the score is not committed yet");
+    harness.commit_appends(at(45));
+    let ledger = harness.controller.ledger();
     let result = &ledger.job(&BatchId::new("j")).expect("the job").results[0];
     assert_eq!((result.text.as_str(), result.score.as_deref()), ("d0", Some("seal-0")));
 }
 
 #[test]
-fn an_item_without_a_scorer_is_listed_as_it_came() {
-    let mut bench = bench(&["s"]);
-    bench.run_to_completion(at(1), job("j", 1, 0));
-    assert!(bench.scores.is_empty());
-    assert_eq!(bench.results("j"), 1);
+fn an_item_without_a_scorer_is_listed_unscored() {
+    let mut harness = harness(&["s"]);
+    harness.run_to_completion(at(1), job("j", 1, 0));
+    assert!(harness.scores.is_empty());
+    assert_eq!(harness.results("j"), 1);
 }
 
 #[test]
-fn a_new_owner_repeats_the_score_request_and_never_the_generation() {
-    let mut first = bench(&["s"]);
+fn a_new_owner_repeats_the_score_request_but_not_the_generation() {
+    let mut first = harness(&["s"]);
     first.run_to_completion(at(1), scored_job("j", 1));
     let next = bench_of(first.ledger_of_records(), &["s"]);
-    assert!(next.started.is_empty(), "the text is whole");
+    assert!(next.started.is_empty(), "the text is complete");
     assert_eq!(next.scores.len(), 1);
 }
 
-/// The record of a whole text is on its way when the job is ended: what follows from it must not bring the job back.
+/// Guards against a pending record of a text that brings an ended job back.
 #[test]
-fn no_score_is_requested_for_a_text_that_is_kept_after_the_end_of_its_job() {
-    let mut bench = bench(&["s"]);
-    bench.submit(at(1), scored_job("j", 1));
-    bench.commit_appends(at(1));
-    let run = bench.started[0].run;
-    bench.event(at(2), run, 0, 1);
-    bench.end(at(3), run, RunEnd::Complete);
-    assert_eq!(bench.controller.end(at(4), &BatchId::new("j")), Some(false));
-    bench.drain_actions();
-    bench.commit_appends(at(5));
-    bench.controller.tick(at(500));
-    bench.drain_actions();
-    assert!(bench.scores.is_empty() && bench.started.len() == 1);
+fn no_score_is_requested_for_a_text_committed_after_its_job_ended() {
+    let mut harness = harness(&["s"]);
+    harness.submit(at(1), scored_job("j", 1));
+    harness.commit_appends(at(1));
+    let run = harness.started[0].run;
+    harness.event(at(2), run, 0, 1);
+    harness.end(at(3), run, RunEnd::Complete);
+    assert_eq!(harness.controller.end(at(4), &BatchId::new("j")), Some(false));
+    harness.drain_actions();
+    harness.commit_appends(at(5));
+    harness.controller.tick(at(500));
+    harness.drain_actions();
+    assert!(harness.scores.is_empty() && harness.started.len() == 1);
 }
 
 #[test]
-fn a_snapshot_keeps_what_waits_for_its_score() {
-    let mut first = bench(&["s"]);
+fn a_snapshot_preserves_texts_that_await_scores() {
+    let mut first = harness(&["s"]);
     first.run_to_completion(at(1), scored_job("j", 1));
     first.score_end(at(30), 0, ScoreEnd::Failed);
     first.commit_appends(at(31));
@@ -97,18 +97,18 @@
 }
 
 #[test]
-fn a_request_without_an_answer_is_sent_to_another_replica_at_once() {
-    let mut bench = bench(&["s", "t"]);
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    bench.score_end(at(30), 0, ScoreEnd::Broken);
-    assert_eq!(bench.scores.len(), 2);
-    assert_ne!(bench.scores[0].replica.id, bench.scores[1].replica.id);
-    assert_eq!(bench.results("j"), 0);
+fn an_unanswered_request_is_retried_on_another_replica_at_once() {
+    let mut harness = harness(&["s", "t"]);
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    harness.score_end(at(30), 0, ScoreEnd::Broken);
+    assert_eq!(harness.scores.len(), 2);
+    assert_ne!(harness.scores[0].replica.id, harness.scores[1].replica.id);
+    assert_eq!(harness.results("j"), 0);
 }
 
 #[test]
-fn failures_are_counted_across_owners_and_give_the_item_up_no_sooner_than_the_route_allows() {
-    let mut first = bench(&["s", "t"]);
+fn score_failures_count_across_owners_up_to_the_limit_of_the_route() {
+    let mut first = harness(&["s", "t"]);
     first.run_to_completion(at(1), scored_job("j", 1));
     first.score_end(at(30), 0, ScoreEnd::Failed);
     first.commit_appends(at(31));
@@ -119,7 +119,7 @@
     next.score_end(at(20), 1, ScoreEnd::Broken);
     next.controller.tick(at(200));
     next.commit_appends(at(200));
-    assert_eq!(next.results("j"), 0, "an answer that was lost is no failure");
+    assert_eq!(next.results("j"), 0, "a lost answer is not a failure");
     next.score_end(at(220), 2, ScoreEnd::Failed);
     next.commit_appends(at(221));
     let ledger = next.controller.ledger();
@@ -128,129 +128,132 @@
 }
 
 #[test]
-fn an_ended_job_asks_its_scorer_no_more() {
-    let mut bench = bench(&["s"]);
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    assert_eq!(bench.controller.end(at(30), &BatchId::new("j")), Some(false));
-    bench.commit_appends(at(30));
-    assert_eq!(bench.stopped_scores, [bench.scores[0].id]);
-    bench.score_end(at(31), 0, scored("late"));
-    bench.controller.tick(at(300));
-    bench.commit_appends(at(300));
-    assert_eq!((bench.results("j"), bench.scores.len()), (0, 1));
+fn ending_a_job_cancels_its_score_requests() {
+    let mut harness = harness(&["s"]);
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    assert_eq!(harness.controller.end(at(30), &BatchId::new("j")), Some(false));
+    harness.commit_appends(at(30));
+    assert_eq!(harness.stopped_scores, [harness.scores[0].id]);
+    harness.score_end(at(31), 0, scored("late"));
+    harness.controller.tick(at(300));
+    harness.commit_appends(at(300));
+    assert_eq!((harness.results("j"), harness.scores.len()), (0, 1));
 }
 
 #[test]
-fn a_scorer_keeps_places_for_live_callers() {
-    let mut bench = bench(&["s"]);
+fn score_requests_leave_slots_for_live_requests() {
+    let mut harness = harness(&["s"]);
     for number in 0..8 {
-        bench.run_to_completion(at(100 * number + 1), scored_job(&format!("j{number}"), 1));
+        harness.run_to_completion(at(100 * number + 1), scored_job(&format!("j{number}"), 1));
     }
-    // Of the six slots one quarter, rounded up, stays free.
-    assert_eq!(bench.scores.len(), 4);
-    bench.score_end_with(at(900), 0, scored("seal"), Some(4));
-    assert_eq!(bench.scores.len(), 5);
-    bench.score_end_with(at(910), 1, scored("seal"), Some(6));
-    assert_eq!(bench.scores.len(), 5, "live callers have the places");
-    bench.controller.tick(at(1_400));
-    bench.commit_appends(at(1_400));
-    assert_eq!(bench.scores.len(), 6, "what a replica said some time ago holds no more");
+    // A quarter of the six slots, rounded up, stays free.
+    assert_eq!(harness.scores.len(), 4);
+    harness.score_end_with(at(900), 0, scored("seal"), Some(4));
+    assert_eq!(harness.scores.len(), 5);
+    harness.score_end_with(at(910), 1, scored("seal"), Some(6));
+    assert_eq!(harness.scores.len(), 5, "live requests use the slots");
+    harness.controller.tick(at(1_400));
+    harness.commit_appends(at(1_400));
+    assert_eq!(harness.scores.len(), 6, "an old load report is no longer used");
 }
 
 #[test]
-fn a_sick_service_is_not_stormed() {
-    let mut bench = bench(&["s", "t"]);
+fn the_retry_budget_limits_requests_to_a_failing_service() {
+    let mut harness = harness(&["s", "t"]);
     let items = 40;
     for number in 0..items {
-        bench.run_to_completion(at(number + 1), scored_job(&format!("j{number}"), 1));
+        harness.run_to_completion(at(number + 1), scored_job(&format!("j{number}"), 1));
     }
     let mut answered = 0;
     let mut now = 100;
     while now < 10_000 {
-        while answered < bench.scores.len() {
-            bench.score_end(at(now), answered, ScoreEnd::Broken);
+        while answered < harness.scores.len() {
+            harness.score_end(at(now), answered, ScoreEnd::Broken);
             answered += 1;
         }
         now += 50;
-        bench.controller.tick(at(now));
-        bench.commit_appends(at(now));
+        harness.controller.tick(at(now));
+        harness.commit_appends(at(now));
     }
-    // Forty first requests pay in for eight retries, to the first forty and four a second.
-    let most = items as usize + 40 + 8 + 40;
-    assert!((80..=most + 1).contains(&bench.scores.len()), "{}", bench.scores.len());
+    // The budget is eight retries from forty first requests, plus four a second for ten seconds.
+    let max_requests = items as usize + 40 + 8 + 40;
+    assert!((80..=max_requests + 1).contains(&harness.scores.len()), "{}", harness.scores.len());
 }
 
 #[test]
-fn a_request_whose_route_is_gone_waits_for_it() {
-    let mut bench = bench(&["s"]);
+fn a_request_waits_while_its_route_is_missing() {
+    let mut harness = harness(&["s"]);
     let mut routes = batch_support::routes(false).as_ref().clone();
     let scorer_route = routes.routes.pop().expect("the scorer's route");
-    bench.controller.update(
+    harness.controller.update(
         at(0),
         Some(std::sync::Arc::new(routes.clone())),
         &table(&[replica("a", 1), scorer_replica("s")]),
         &BTreeMap::new(),
     );
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    assert!(bench.scores.is_empty());
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    assert!(harness.scores.is_empty());
     routes.routes.push(scorer_route);
-    bench.controller.update(
+    harness.controller.update(
         at(50),
         Some(std::sync::Arc::new(routes)),
         &table(&[replica("a", 1), scorer_replica("s")]),
         &BTreeMap::new(),
     );
-    bench.commit_appends(at(50));
-    assert_eq!(bench.scores.len(), 1);
+    harness.commit_appends(at(50));
+    assert_eq!(harness.scores.len(), 1);
 }
 
 #[test]
-fn a_leaving_replica_is_asked_for_no_score() {
-    let mut bench = bench(&["s"]);
-    let mut leaving = scorer_replica("s");
-    leaving.is_draining = true;
-    bench.controller.update(at(0), None, &table(&[replica("a", 1), leaving]), &BTreeMap::new());
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    assert!(bench.scores.is_empty());
+fn a_draining_replica_gets_no_score_requests() {
+    let mut harness = harness(&["s"]);
+    let mut draining = scorer_replica("s");
+    draining.is_draining = true;
+    harness.controller.update(at(0), None, &table(&[replica("a", 1), draining]), &BTreeMap::new());
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    assert!(harness.scores.is_empty());
 }
 
 #[test]
-fn a_score_without_its_whole_text_is_never_listed() {
-    let mut bench = bench(&["s"]);
-    bench.submit(at(1), scored_job("j", 1));
-    let mut ledger = bench.ledger_of_records();
+fn a_score_without_a_complete_text_is_not_listed() {
+    let mut harness = harness(&["s"]);
+    harness.submit(at(1), scored_job("j", 1));
+    let mut ledger = harness.ledger_of_records();
     let batch = BatchId::new("j");
     ledger.apply(Record::Scored { batch: batch.clone(), item: 0, score: "seal".to_owned() });
     assert!(ledger.job(&batch).expect("the job").results.is_empty());
     assert_eq!(MODEL, "pricing");
 }
 
-/// A scorer that took 0.7 s, with a route that aims at 0.15 s and allows 1.5 s, was cut off after 0.6 s each time although no other could
-/// be asked: its item was never scored. The lines were `score_requested patience_ms=600` and `score_ended broken`, again and again.
+/// Guards against an item that is never scored, because every attempt at the only scorer times out after the
+/// same time.
 #[test]
-fn a_scorer_without_an_alternative_is_given_longer_each_time_up_to_its_routes_limit() {
-    let mut bench = bench(&["s"]);
-    bench.run_to_completion(at(1), scored_job("j", 1));
+fn the_timeout_of_the_only_scorer_grows_up_to_the_limit_of_the_route() {
+    let mut harness = harness(&["s"]);
+    harness.run_to_completion(at(1), scored_job("j", 1));
     for (position, now_ms) in [(0, 700), (1, 2_700)] {
-        bench.score_end(at(now_ms), position, ScoreEnd::Broken);
-        bench.controller.tick(at(now_ms + 1_000));
-        bench.drain_actions();
+        harness.score_end(at(now_ms), position, ScoreEnd::Broken);
+        harness.controller.tick(at(now_ms + 1_000));
+        harness.drain_actions();
     }
-    let timeouts: Vec<u128> = bench.scores.iter().map(|start| start.timeout.as_millis()).collect();
+    let timeouts: Vec<u128> = harness.scores.iter().map(|start| start.timeout.as_millis()).collect();
     assert_eq!(timeouts, [600, 1_200, 1_500]);
 }
 
 #[test]
-fn a_replica_that_was_not_cut_off_before_gets_no_more_than_the_first_time() {
-    let mut bench = bench(&["s", "t"]);
-    bench.run_to_completion(at(1), scored_job("j", 1));
-    bench.score_end(at(700), 0, ScoreEnd::Broken);
-    bench.controller.tick(at(1_700));
-    bench.drain_actions();
-    assert_ne!(bench.scores[0].replica.id, bench.scores[1].replica.id);
-    assert_eq!(bench.scores[1].timeout, bench.scores[0].timeout);
-    bench.score_end(at(1_800), 1, ScoreEnd::Rejected);
-    bench.controller.tick(at(2_800));
-    bench.drain_actions();
-    assert!(bench.scores[2].timeout <= bench.scores[0].timeout * 2, "a refusal asks for no more time");
+fn the_timeout_grows_only_for_replicas_that_timed_out() {
+    let mut harness = harness(&["s", "t"]);
+    harness.run_to_completion(at(1), scored_job("j", 1));
+    harness.score_end(at(700), 0, ScoreEnd::Broken);
+    harness.controller.tick(at(1_700));
+    harness.drain_actions();
+    assert_ne!(harness.scores[0].replica.id, harness.scores[1].replica.id);
+    assert_eq!(harness.scores[1].timeout, harness.scores[0].timeout);
+    harness.score_end(at(1_800), 1, ScoreEnd::Rejected);
+    harness.controller.tick(at(2_800));
+    harness.drain_actions();
+    assert!(
+        harness.scores[2].timeout <= harness.scores[0].timeout * 2,
+        "a rejection does not extend the timeout"
+    );
 }
--- a/crates/core/tests/batch_support/mod.rs
+++ b/crates/core/tests/batch_support/mod.rs
@@ -1,4 +1,4 @@
-//! An owner of batch jobs whose appends are decided, and whose runs end, when a test says so.
+//! A test harness for an owner of batch jobs. Tests decide when its appends are committed and its runs end.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// A job whose items name a scorer.
+/// Returns a job whose items name a scorer.
 pub(crate) fn scored_job(id: &str, items: usize) -> BatchJob {
     let mut job = job(id, items, 0);
     for item in &mut job.items {
@@ -126,7 +126,7 @@
     job
 }
 
-/// A replica of the scorers' service.
+/// Returns a replica of the scorers' service.
 pub(crate) fn scorer_replica(id: &str) -> ReplicaRecord {
     ReplicaRecord { service: "scorers".to_owned(), slots: 6, models: BTreeMap::new(), ..replica(id, 1) }
 }
@@ -135,12 +135,12 @@
     Timestamp::from_millis(milliseconds)
 }
 
-/// The lease of an owner whose predecessor was heard of just now.
+/// Returns the lease of an owner whose predecessor was active until just now.
 pub(crate) fn lease_of(holder: &str) -> OrderLease {
     OrderLease { holder: NodeId::new(holder), length: Duration::from_secs(3), idle: Duration::ZERO }
 }
 
-/// An owner and what it asked for, with its appends decided only when the test says so.
+/// An owner and the actions that it requested. Appends are committed only on request.
 pub(crate) struct OwnerHarness {
     pub(crate) controller: Controller,
     pub(crate) appends: usize,
@@ -177,7 +177,7 @@
     ) -> Self {
         let mut controller = Controller::new(config, ledger, at(0), lease);
         controller.update(at(0), Some(routes(needs_single_version)), &table(replicas), &BTreeMap::new());
-        let mut bench = Self {
+        let mut harness = Self {
             controller,
             appends: 0,
             started: Vec::new(),
@@ -189,8 +189,8 @@
             calls: Vec::new(),
             decisions: Vec::new(),
         };
-        bench.drain_actions();
-        bench
+        harness.drain_actions();
+        harness
     }
 
     pub(crate) fn drain_actions(&mut self) {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// All appends so far are kept by a majority.
+    /// Commits all pending appends.
     pub(crate) fn commit_appends(&mut self, now: Timestamp) {
         self.drain_actions();
         while self.appends > 0 {
@@ -237,7 +237,7 @@
         self.drain_actions();
     }
 
-    /// Takes a job of one item whose text comes whole at once.
+    /// Submits a job of one item and completes its text with a single event.
     pub(crate) fn run_to_completion(&mut self, now: Timestamp, job: BatchJob) {
         self.submit(now, job);
         let run = self.started.last().expect("a run").run;
@@ -246,12 +246,12 @@
         self.commit_appends(now);
     }
 
-    /// The score request that was sent as number `position` ends.
+    /// Ends the score request at index `position`.
     pub(crate) fn score_end(&mut self, now: Timestamp, position: usize, end: ScoreEnd) {
         self.score_end_with(now, position, end, None);
     }
 
-    /// The same, with the replica's word of how many requests it has in hand.
+    /// Ends a score request; `busy` is the number of requests that the replica reported to have in hand.
     pub(crate) fn score_end_with(
         &mut self,
         now: Timestamp,
