--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -24,7 +24,7 @@
 impl Controller {
     /// Adds the usage that a node counted. It is committed once
     /// [`crate::usage::account::UsageAccount::through`] has reached the end of the report.
-    pub fn take_usage(&mut self, now: Timestamp, report: &UsageReport) {
+    pub fn record_usage(&mut self, now: Timestamp, report: &UsageReport) {
         let Some(usage) = &mut self.duties.usage else { return };
         let Some(added) = usage.accept(self.ledger.usage(), report, now) else { return };
         let (source, through) = (report.source.clone(), report.through());
--- a/crates/core/src/batch/ledger_follower.rs
+++ b/crates/core/src/batch/ledger_follower.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// Fails when a record cannot be decoded; the follower must then be discarded.
-    pub fn take(&mut self, page: DecidedPage) -> Result<bool, speedy::Error> {
+    pub fn apply_page(&mut self, page: DecidedPage) -> Result<bool, speedy::Error> {
         if page.base > self.next() {
             *self = Self::beginning_after(page.base.previous());
         }
--- a/crates/core/tests/batch_duties.rs
+++ b/crates/core/tests/batch_duties.rs
@@ -34,7 +34,7 @@
     let entry = UsageEntry { tenant: TenantName::new("t"), age_ms: 50 };
     let sent_at = WallTime(START_MS + 1_000);
     let report = UsageReport { source: "n/1".to_owned(), sent_at, first: 0, entries: vec![entry; 3] };
-    harness.controller.take_usage(at(1_000), &report);
+    harness.controller.record_usage(at(1_000), &report);
     harness.commit_appends(at(1_010));
     tick(harness, 9_100);
     harness.commit_appends(at(9_110));
--- a/crates/core/tests/batch_follower.rs
+++ b/crates/core/tests/batch_follower.rs
@@ -135,7 +135,7 @@
             // The log is truncated only after the snapshot is decided.
             let base = if through == log.len() { base } else { 0 };
             let next = follower.next();
-            follower.take(page(&log, base, next, through, max_entries)).expect("records");
+            follower.apply_page(page(&log, base, next, through, max_entries)).expect("records");
         }
         let full = recovered(&log, KnownLog::default(), None);
         let after = if follower.is_complete() {
@@ -164,7 +164,7 @@
         if is_outline {
             outline_entries(&mut page.entries);
         }
-        if !follower.take(page).expect("records") {
+        if !follower.apply_page(page).expect("records") {
             return follower;
         }
     }
@@ -236,10 +236,13 @@
 fn a_follower_is_incomplete_until_it_has_read_the_whole_snapshot() {
     let (log, base) = build_log(&[Step::Accept, Step::Snapshot]);
     let mut follower = LedgerFollower::default();
-    assert!(follower.take(page(&log, base, LogIndex::FIRST, log.len(), 1)).expect("a part"), "there is more");
+    assert!(
+        follower.apply_page(page(&log, base, LogIndex::FIRST, log.len(), 1)).expect("a part"),
+        "there is more"
+    );
     assert!(!follower.is_complete());
     let next = follower.next();
-    follower.take(page(&log, base, next, log.len(), log.len())).expect("the others");
+    follower.apply_page(page(&log, base, next, log.len(), log.len())).expect("the others");
     assert!(follower.is_complete());
 }
 
@@ -248,9 +251,12 @@
     let steps = [Step::Accept, Step::Progress(0, 0, false), Step::Snapshot, Step::Progress(0, 1, true)];
     let (log, base) = build_log(&steps);
     let mut follower = LedgerFollower::default();
-    assert!(follower.take(page(&log, 0, LogIndex::FIRST, log.len(), 1)).expect("a record"), "there is more");
+    assert!(
+        follower.apply_page(page(&log, 0, LogIndex::FIRST, log.len(), 1)).expect("a record"),
+        "there is more"
+    );
     let next = follower.next();
-    assert!(!follower.take(page(&log, base, next, log.len(), log.len())).expect("records"));
+    assert!(!follower.apply_page(page(&log, base, next, log.len(), log.len())).expect("records"));
     assert_eq!(follower.known().through, LogIndex(log.len() as u64));
     assert_eq!(follower.into_ledger(), recovered(&log, KnownLog::default(), None));
 }
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -162,7 +162,7 @@
         let Some(follower) = followed.as_mut().filter(|follower| follower.next() == next) else {
             return false;
         };
-        match follower.take(page) {
+        match follower.apply_page(page) {
             Ok(has_more) => {
                 let most_bytes =
                     self.scope.context.settings.machine.memory_bytes / 100 * FOLLOWED_MEMORY_PERCENT;
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -171,7 +171,7 @@
 }
 
 fn take(follower: &mut LedgerFollower, page: DecidedPage) -> Option<()> {
-    match follower.take(page) {
+    match follower.apply_page(page) {
         Ok(_) => Some(()),
         Err(error) => {
             log::error!(target: "batch", "The log can't be read: {error}.");
--- a/crates/daemon/src/batch/owner/callers.rs
+++ b/crates/daemon/src/batch/owner/callers.rs
@@ -48,7 +48,7 @@
             }
             BatchRequest::Usage(report) => {
                 let (source, through) = (report.source.clone(), report.through());
-                self.controller.take_usage(self.now(), report);
+                self.controller.record_usage(self.now(), report);
                 self.callers.add_usage(source, through, command);
                 self.answer_writers();
             }
