--- a/crates/core/src/batch/controller/duties.rs
+++ b/crates/core/src/batch/controller/duties.rs
@@ -134,7 +134,7 @@
                 ready.entry(zone.clone()).or_default();
             }
         }
-        let wants = |live: &LiveItem| live.stage == ItemStage::Generating;
+        let is_generating = |live: &LiveItem| live.stage == ItemStage::Generating;
         let is_of_service = |batch: &BatchId| {
             let job = self.ledger.job(batch);
             let route = job.and_then(|job| routes.by_name(&job.job.route));
@@ -142,10 +142,9 @@
         };
         let of_service: BTreeMap<&BatchId, bool> =
             self.tallies.keys().map(|batch| (batch, is_of_service(batch))).collect();
-        let demand = self
-            .items
-            .iter()
-            .filter(|((batch, _), live)| wants(live) && of_service.get(batch).copied().unwrap_or(false));
+        let demand = self.items.iter().filter(|((batch, _), live)| {
+            is_generating(live) && of_service.get(batch).copied().unwrap_or(false)
+        });
         let demand = u32::try_from(demand.count()).unwrap_or(u32::MAX);
         let renewable = self.loads.renewable(service, &self.replicas, &self.gate);
         Some(ObservedService { ready, slots, demand, renewable })
--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -171,8 +171,8 @@
 
     /// Returns the number of running items and of waiting items.
     pub fn item_counts(&self) -> (usize, usize) {
-        let waits = |item: &&LiveItem| item.run.is_none() && item.stage == ItemStage::Generating;
-        let waiting = self.items.values().filter(waits).count();
+        let is_waiting = |item: &&LiveItem| item.run.is_none() && item.stage == ItemStage::Generating;
+        let waiting = self.items.values().filter(is_waiting).count();
         (self.runs.len(), waiting)
     }
 
--- a/crates/core/src/batch/controller/retention.rs
+++ b/crates/core/src/batch/controller/retention.rs
@@ -18,8 +18,8 @@
     pub fn tick(&mut self, now: Timestamp) {
         self.stop_stalled(now);
         self.move_slow(now);
-        self.give_up_old(now);
-        self.drop_old(now);
+        self.give_up_expired(now);
+        self.drop_expired(now);
         if self.pending_appends.is_empty()
             && now.saturating_since(self.last_append_at) >= self.config.heartbeat_interval
         {
@@ -29,36 +29,36 @@
         self.mark_items_and_loads_due(now);
     }
 
-    fn give_up_old(&mut self, now: Timestamp) {
+    fn give_up_expired(&mut self, now: Timestamp) {
         let clock_ms = self.clock_ms(now);
-        let is_too_old = |batch: &&BatchId| {
+        let is_expired = |batch: &&BatchId| {
             let (Some(job), Some(route)) = (self.ledger.job(batch), self.route(batch)) else { return false };
             let age = Duration::from_millis(clock_ms.saturating_sub(job.accepted_at_ms));
             age > route.max_queue + GIVE_UP_MARGIN
         };
-        let too_old: Vec<&BatchId> = self.tallies.keys().filter(is_too_old).collect();
-        let mut old = Vec::new();
-        for batch in too_old {
+        let expired_jobs: Vec<&BatchId> = self.tallies.keys().filter(is_expired).collect();
+        let mut expired = Vec::new();
+        for batch in expired_jobs {
             let Some(job) = self.ledger.job(batch) else { continue };
             let positions = (0..).take(job.items.len()).filter(|position| job.is_open(*position));
-            old.extend(positions.map(|position| (batch.clone(), position)));
+            expired.extend(positions.map(|position| (batch.clone(), position)));
         }
-        for (batch, item) in old {
+        for (batch, item) in expired {
             self.give_up(now, &batch, item, "too_old");
         }
     }
 
-    fn drop_old(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         let clock_ms = self.clock_ms(now);
         let retention_ms = whole_millis(self.config.retention);
         let is_done = |job: &JobState| job.is_ended || job.results.len() == job.job.items.len();
-        let old = self
+        let expired = self
             .ledger
             .jobs()
             .values()
             .filter(|job| is_done(job) && clock_ms.saturating_sub(job.accepted_at_ms) > retention_ms);
-        let old: Vec<BatchId> = old.map(|job| job.job.id.clone()).collect();
-        for batch in old {
+        let expired: Vec<BatchId> = expired.map(|job| job.job.id.clone()).collect();
+        for batch in expired {
             if let Some(job) = self.ledger.job(&batch) {
                 self.held_bytes = self.held_bytes.saturating_sub(held_bytes(job));
             }
--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -83,14 +83,18 @@
             if live.run.is_some() || live.stage != ItemStage::Generating {
                 continue;
             }
-            let Some(of_job) = classes.get(batch) else { continue };
-            let Some(request) = of_job.job.job.items.get(*item as usize) else { continue };
-            let Some(class) = of_job.class(request.model.as_deref()) else { continue };
+            let Some(job_classes) = classes.get(batch) else { continue };
+            let Some(request) = job_classes.job.job.items.get(*item as usize) else { continue };
+            let Some(class) = job_classes.class(request.model.as_deref()) else { continue };
             let tally = self.tallies.get(batch);
             let group_left = tally.and_then(|tally| tally.group(*item).map(|group| tally.remaining(group)));
             let expected = expected_tokens(request).saturating_sub(live.events.len() as u64);
-            let rank =
-                (of_job.is_late, of_job.job.accepted_at_ms, u64::MAX - expected, group_left.unwrap_or(0));
+            let rank = (
+                job_classes.is_late,
+                job_classes.job.accepted_at_ms,
+                u64::MAX - expected,
+                group_left.unwrap_or(0),
+            );
             waiting.push((rank, batch, *item, class));
         }
         waiting.sort_unstable();
@@ -197,7 +201,7 @@
         let Some(request) = self.item(batch, item) else { return false };
         let Some(live) = self.items.get(&(batch.clone(), item)) else { return false };
         let tokens = requirements.tokens;
-        let Some(Choice { replica: chosen, restarts_text }) = self.choose(requirements, now) else {
+        let Some(Placement { replica: chosen, restarts_text }) = self.choose(requirements, now) else {
             return false;
         };
         let last_event = live.events.last().map(|event| event.number).filter(|_| !restarts_text);
@@ -230,19 +234,19 @@
 
     /// Chooses the replica that should finish an item first. If no replica has the model version of the
     /// item's events, chooses one with another version and restarts the text.
-    fn choose(&self, requirements: Requirements<'_>, now: Timestamp) -> Option<Choice> {
+    fn choose(&self, requirements: Requirements<'_>, now: Timestamp) -> Option<Placement> {
         if let Some(replica) = schedule::choose(&self.replicas, &requirements, self.slowdown, now) {
-            return Some(Choice { replica, restarts_text: false });
+            return Some(Placement { replica, restarts_text: false });
         }
         requirements.exact_version?;
         let requirements = Requirements { exact_version: None, ..requirements };
         let replica = schedule::choose(&self.replicas, &requirements, self.slowdown, now)?;
-        Some(Choice { replica, restarts_text: true })
+        Some(Placement { replica, restarts_text: true })
     }
 }
 
 /// The replica chosen for an item.
-struct Choice {
+struct Placement {
     /// Id of the replica.
     replica: String,
     /// Whether the events received so far are discarded.
--- a/crates/core/src/batch/election.rs
+++ b/crates/core/src/batch/election.rs
@@ -148,8 +148,9 @@
     // Never empty, since `latest` itself is included.
     let idle = of_latest.map(|seen| seen.idle).min().unwrap_or_default();
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    let silence = if &latest.owner == node { RESTART_DELAY } else { takeover_after + RANK_DELAY * rank };
-    if answers.len() >= quorum && idle >= silence {
+    let required_silence =
+        if &latest.owner == node { RESTART_DELAY } else { takeover_after + RANK_DELAY * rank };
+    if answers.len() >= quorum && idle >= required_silence {
         return TakeoverDecision::TakeOver(Some(idle));
     }
     TakeoverDecision::Wait(Some(latest.owner.clone()))
--- a/crates/core/src/batch/schedule.rs
+++ b/crates/core/src/batch/schedule.rs
@@ -157,8 +157,8 @@
     }
 
     fn gap_at(&self, load: f64, slowdown: Slowdown) -> Duration {
-        let empty = self.unloaded_gap_ms.map(|gap| Duration::from_secs_f64(gap / 1_000.0));
-        empty.unwrap_or(DEFAULT_GAP).mul_f64(slowdown.factor(load))
+        let unloaded_gap = self.unloaded_gap_ms.map(|gap| Duration::from_secs_f64(gap / 1_000.0));
+        unloaded_gap.unwrap_or(DEFAULT_GAP).mul_f64(slowdown.factor(load))
     }
 
     /// Returns the mean pause between events of one run at the current load.
@@ -247,12 +247,12 @@
     slowdown: Slowdown,
     now: Timestamp,
 ) -> Option<String> {
-    let fitting = replicas.values().filter(|replica| requirements.is_met_by(replica, now));
+    let candidates = replicas.values().filter(|replica| requirements.is_met_by(replica, now));
     let key = |replica: &ReplicaState| {
         let is_avoided = requirements.avoid == Some(replica.record.id.as_str());
         (is_avoided, replica.expected_pace(slowdown))
     };
-    let best = fitting.min_by(|left, right| {
+    let best = candidates.min_by(|left, right| {
         let (left, right) = (key(left), key(right));
         left.0.cmp(&right.0).then(left.1.total_cmp(&right.1))
     });
--- a/crates/core/src/batch/weights.rs
+++ b/crates/core/src/batch/weights.rs
@@ -225,11 +225,11 @@
     /// both are large enough.
     fn reassign_one(&mut self, surplus: &BTreeMap<String, f64>, members: &[&ReplicaState]) {
         let to = least_surplus_model(surplus);
-        let Some((from, most)) = surplus.iter().max_by(|left, right| left.1.total_cmp(right.1)) else {
+        let Some((from, max_surplus)) = surplus.iter().max_by(|left, right| left.1.total_cmp(right.1)) else {
             return;
         };
-        let least = surplus.get(&to).copied().unwrap_or_default();
-        if *most < MIN_IMBALANCE || least > -MIN_IMBALANCE {
+        let min_surplus = surplus.get(&to).copied().unwrap_or_default();
+        if *max_surplus < MIN_IMBALANCE || min_surplus > -MIN_IMBALANCE {
             return;
         }
         let mut ids = members.iter().map(|member| &member.record.id);
@@ -265,6 +265,6 @@
 
 /// Returns the model with the smallest surplus.
 fn least_surplus_model(surplus: &BTreeMap<String, f64>) -> String {
-    let least = surplus.iter().min_by(|left, right| left.1.total_cmp(right.1));
-    least.map(|(model, _)| model.clone()).unwrap_or_default()
+    let lowest = surplus.iter().min_by(|left, right| left.1.total_cmp(right.1));
+    lowest.map(|(model, _)| model.clone()).unwrap_or_default()
 }
