--- a/crates/core/src/configuration/dissemination/bootstrap.rs
+++ b/crates/core/src/configuration/dissemination/bootstrap.rs
@@ -11,7 +11,7 @@
 
 /// Answers received from the quorum set.
 ///
-/// Invariant (brief point 9): after a restart, a node never puts a revision in force that is lower than the one
+/// Invariant: after a restart, a node never puts a revision in force that is lower than the one
 /// it may have had before. Any revision in force is held by a majority of the quorum set. The node therefore
 /// queries until a read quorum of authoritative members has answered, and starts at the highest revision among
 /// the answers or a later one.
--- a/crates/core/src/configuration/dissemination/disseminator.rs
+++ b/crates/core/src/configuration/dissemination/disseminator.rs
@@ -42,7 +42,7 @@
 
 /// State machine that disseminates one document on one node.
 ///
-/// Invariant (brief point 9): the revision in force never decreases. It increases only to a revision that a
+/// Invariant: the revision in force never decreases. It increases only to a revision that a
 /// majority of the quorum set holds, as counted by this node or as implied by the announcement of a node on
 /// which the revision is in force.
 #[derive(Clone, Debug)]
--- a/crates/core/src/configuration/dissemination/gather.rs
+++ b/crates/core/src/configuration/dissemination/gather.rs
@@ -115,7 +115,7 @@
         self.announce_to_sample(revision);
     }
 
-    /// Announces a revision to a random sample of members, seeded by the revision.
+    /// Announces a revision to a random sample of members, which differs per node and revision.
     pub(super) fn announce_to_sample(&mut self, revision: Revision) {
         let seed = xxh3_64(format!("{}\n{}\n{revision}", self.node, self.document).as_bytes());
         let recipients = self.placement.sample(&self.node, seed, self.config.fanout);
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Hierarchical settings, their storage and their dissemination to every node (brief point 9).
+//! Hierarchical settings, their storage and their dissemination to every node.
 //!
 //! - [`schema`] defines the settings and validates values.
 //! - [`path`] defines the levels at which settings can be set, and [`tree`] resolves the effective value at a
--- a/crates/core/src/configuration/register.rs
+++ b/crates/core/src/configuration/register.rs
@@ -86,7 +86,7 @@
 
 /// The configuration document and its recently applied changes.
 ///
-/// Invariant (brief point 9): each change is applied at most once. A writer first looks for its id, and applies
+/// Invariant: each change is applied at most once. A writer first looks for its id, and applies
 /// it only to its base revision; the object API refuses a write whose base version is not current.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
--- a/crates/core/src/configuration/schema.rs
+++ b/crates/core/src/configuration/schema.rs
@@ -46,7 +46,7 @@
 }
 
 /// Maximum staleness bound with which a job can be submitted. Staleness is the age of the oldest weights in a
-/// sample, counted in versions before the one that the trainer is about to produce (brief point 2).
+/// sample, counted in versions back from the one that its trainer is about to train.
 pub static STALENESS_BOUND: IntegerSetting = IntegerSetting {
     key: "staleness_bound",
     description: "a job with a higher staleness bound than this is refused",
--- a/crates/core/src/configuration/writer.rs
+++ b/crates/core/src/configuration/writer.rs
@@ -90,7 +90,7 @@
 
 /// State machine that writes one change.
 ///
-/// Invariant (brief point 9): the outcome is `Accepted` only after a confirmed write, or a read that shows the
+/// Invariant: the outcome is `Accepted` only after a confirmed write, or a read that shows the
 /// change's id. It is `Unavailable` or `Refused` only if no write of this writer can still take effect. A write
 /// without a reply is ruled out by a read that shows a different version without the change's id, because its
 /// base version can never be current again.
