--- a/crates/core/src/duties/mod.rs
+++ b/crates/core/src/duties/mod.rs
@@ -1,24 +1,25 @@
-//! Calls to the platform that one holder makes at a time: usage by tenant, and replicas ordered.
+//! Duties: calls to the platform that only one holder makes at a time, to report usage by tenant and to order
+//! replicas.
 //!
-//! This is the half without I/O: what a call is, and which plans decide when one is due. The daemon's
-//! `duties` makes the calls.
+//! This module defines the calls and the plans that decide when one is due. The daemon's `duties` performs
+//! them.
 
 use crate::scaling::{ScaleOrder, ScalePlan, ScalingPolicy};
 use crate::usage::account::TenantCounts;
 use crate::usage::reporter::{ReporterConfig, UsageReporter};
 use crate::usage::window::WindowNumber;
 
-/// The subject of usage: all windows together.
+/// Subject of all usage reports.
 pub(crate) const USAGE_SUBJECT: &str = "duty/usage";
 
-/// A call to make.
+/// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyCall {
-    /// Tells what a window holds.
+    /// Reports the usage of a window.
     Usage {
         /// The window.
         window: WindowNumber,
-        /// Requests by tenant.
+        /// Number of requests by tenant.
         counts: TenantCounts,
     },
     /// Orders replicas.
@@ -26,7 +27,7 @@
 }
 
 impl DutyCall {
-    /// What no two holders call about at a time: all windows together, or a service in a zone.
+    /// Returns the subject on which only one holder may call at a time: all usage, or a service in a zone.
     pub fn subject(&self) -> String {
         match self {
             Self::Usage { .. } => USAGE_SUBJECT.to_owned(),
@@ -35,19 +36,19 @@
     }
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyOutcome {
-    /// The platform took it.
+    /// The platform accepted the call.
     Taken,
-    /// The platform has heard of a later holder.
+    /// The platform knows a later holder.
     Superseded,
-    /// The platform refused it for now, or gave no answer.
+    /// The platform refused the call for now, or did not answer.
     Missed,
 }
 
 impl DutyOutcome {
-    /// The name used in logs and metrics.
+    /// Returns the stable name used in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Taken => "taken",
@@ -57,26 +58,26 @@
     }
 }
 
-/// Which duties there are.
+/// Configuration of the duties.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DutyConfig {
-    /// Usage, where the platform asks for it.
+    /// Usage reports, if the platform requires them.
     pub usage: Option<ReporterConfig>,
-    /// Replicas, where they can be ordered.
+    /// Autoscaling, if replicas can be ordered.
     pub scaling: Option<ScalingPolicy>,
 }
 
-/// The duties of a holder.
+/// State of the duties of a holder.
 #[derive(Clone, Debug, Default)]
 pub struct DutyPlan {
-    /// Usage.
+    /// Usage reports.
     pub usage: Option<UsageReporter>,
-    /// Replicas.
+    /// Autoscaling.
     pub scaling: Option<ScalePlan>,
 }
 
 impl DutyPlan {
-    /// A plan that has called nobody.
+    /// Creates a plan that has made no call.
     pub(crate) fn new(config: DutyConfig) -> Self {
         Self { usage: config.usage.map(UsageReporter::new), scaling: config.scaling.map(ScalePlan::new) }
     }
--- a/crates/core/src/usage/account.rs
+++ b/crates/core/src/usage/account.rs
@@ -1,8 +1,7 @@
-//! What the records on usage amount to.
+//! Usage by window and tenant, derived from the usage records.
 //!
-//! Invariants: a count is taken once, however often its report came; what a closed window holds never
-//! changes, so that it can be reported again and again, by one holder of the duty or the next, without being
-//! reported differently.
+//! Invariants: each request is counted once, however often its report is received. A closed window never
+//! changes, so that every duty holder reports the same counts for it, however often.
 
 use std::collections::BTreeMap;
 
@@ -11,67 +10,67 @@
 use super::window::WindowNumber;
 use crate::identity::TenantName;
 
-/// Requests by tenant.
+/// Number of requests by tenant.
 pub type TenantCounts = BTreeMap<TenantName, u64>;
 
-/// An incarnation of a node is forgotten once this many windows were closed after its last count: what it may
-/// still repeat is too late to be counted.
-pub(super) const SOURCE_WINDOWS: u64 = 24;
+/// Closed windows after its last count until a source is removed. What it repeats later is too late to be
+/// counted.
+pub(super) const SOURCE_RETENTION_WINDOWS: u64 = 24;
 
-/// Requests of one tenant that began in one window.
+/// Number of requests of one tenant that started in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct WindowCount {
     /// The window.
     pub window: WindowNumber,
     /// The tenant.
     pub tenant: TenantName,
-    /// How many.
+    /// Number of requests.
     pub requests: u64,
 }
 
-/// What is known of a node that counts.
+/// Counted entries of a source, which is one incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct SourceMark {
-    /// All its entries before this number are taken.
+struct SourceProgress {
+    /// Number of the first entry that is not counted.
     through: u64,
-    /// The window that was open when it last counted.
+    /// Latest window of its last counts, or the last closed window if that is later.
     window: WindowNumber,
 }
 
-/// Counts by window.
+/// Usage by window and tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageAccount {
-    sources: BTreeMap<String, SourceMark>,
+    sources: BTreeMap<String, SourceProgress>,
     open: BTreeMap<WindowNumber, TenantCounts>,
     closed: BTreeMap<WindowNumber, TenantCounts>,
     closed_through: Option<WindowNumber>,
 }
 
 impl UsageAccount {
-    /// All entries of a source before this number are taken.
+    /// Returns the number of the first entry of a source that is not counted.
     pub fn through(&self, source: &str) -> u64 {
-        self.sources.get(source).map_or(0, |mark| mark.through)
+        self.sources.get(source).map_or(0, |progress| progress.through)
     }
 
-    /// The last window that is closed.
+    /// Returns the last closed window.
     pub(crate) const fn closed_through(&self) -> Option<WindowNumber> {
         self.closed_through
     }
 
-    /// Closed windows that the platform has not taken yet, oldest first.
+    /// Returns the closed windows that the platform has not accepted, oldest first.
     pub const fn closed(&self) -> &BTreeMap<WindowNumber, TenantCounts> {
         &self.closed
     }
 
-    /// Takes the counts of a source up to an entry. A holder writes none of windows that are closed
-    /// ([`super::reporter`]); those that an earlier release wrote are passed over, as it did itself.
+    /// Adds the counts of a source up to an entry. Counts of closed windows, which only earlier releases
+    /// wrote (see [`super::reporter`]), are ignored as in those releases.
     pub(crate) fn count(&mut self, source: &str, through: u64, counts: &[WindowCount]) {
         if through <= self.through(source) {
             return;
         }
         let window = counts.iter().map(|count| count.window).max();
         let window = window.max(self.closed_through).unwrap_or_default();
-        self.sources.insert(source.to_owned(), SourceMark { through, window });
+        self.sources.insert(source.to_owned(), SourceProgress { through, window });
         self.add(counts);
     }
 
@@ -91,15 +90,15 @@
         self.closed.append(&mut std::mem::replace(&mut self.open, still_open));
         self.closed.entry(window).or_default();
         self.closed_through = Some(window);
-        self.sources.retain(|_, mark| mark.window.0 + SOURCE_WINDOWS >= window.0);
+        self.sources.retain(|_, progress| progress.window.0 + SOURCE_RETENTION_WINDOWS >= window.0);
     }
 
-    /// The platform has taken a window.
+    /// Removes a window that the platform has accepted.
     pub(crate) fn delivered(&mut self, window: WindowNumber) {
         self.closed.remove(&window);
     }
 
-    /// The same as records, for a snapshot.
+    /// Returns the account in the form stored in a snapshot.
     pub(crate) fn parts(&self) -> AccountParts {
         let counts = |windows: &BTreeMap<WindowNumber, TenantCounts>| {
             let of_window = |(window, counts): (&WindowNumber, &TenantCounts)| {
@@ -115,7 +114,9 @@
         };
         let sources = self.sources.iter();
         AccountParts {
-            sources: sources.map(|(source, mark)| (source.clone(), mark.through, mark.window)).collect(),
+            sources: sources
+                .map(|(source, progress)| (source.clone(), progress.through, progress.window))
+                .collect(),
             open: counts(&self.open),
             closed: counts(&self.closed),
             closed_windows: self.closed.keys().copied().collect(),
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Restores the account from the form stored in a snapshot.
     pub(crate) fn from_parts(parts: AccountParts) -> Self {
         let mut account = Self::default();
         account.add(&parts.closed);
@@ -134,12 +136,12 @@
         account.add(&parts.open);
         let sources = parts.sources.into_iter();
         account.sources =
-            sources.map(|(source, through, window)| (source, SourceMark { through, window })).collect();
+            sources.map(|(source, through, window)| (source, SourceProgress { through, window })).collect();
         account
     }
 }
 
-/// An account in the form that a snapshot holds.
+/// An account in the form stored in a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct AccountParts {
     sources: Vec<(String, u64, WindowNumber)>,
--- a/crates/core/src/usage/meter.rs
+++ b/crates/core/src/usage/meter.rs
@@ -1,4 +1,4 @@
-//! What a node counts until the holder of the duty keeps it.
+//! Counts requests on a node until the duty holder has committed the counts.
 
 use std::collections::VecDeque;
 
@@ -9,46 +9,44 @@
 use crate::time::Timestamp;
 use crate::time::whole_millis;
 
-/// Counts that are held at most; the oldest give way. A node begins some tens of requests a second, so that
-/// these last for half an hour without a holder.
-const HELD_LIMIT: usize = 65_536;
-/// Counts that one report carries at most: greater makes a message of more than some 100 kB, smaller makes a
-/// node that was cut off catch up in more calls.
-const REPORT_LIMIT: usize = 1_024;
+/// Most pending entries; the oldest are dropped. Covers about half an hour without a duty holder.
+const MAX_PENDING_ENTRIES: usize = 65_536;
+/// Most entries in one report. Keeps the message at about 100 kB.
+const MAX_REPORT_ENTRIES: usize = 1_024;
 
-/// A request that began to run.
+/// A request that started.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct UsageEntry {
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: TenantName,
-    /// How long before the report it began, in milliseconds.
+    /// Time from the start of the request to the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a node counted, for the holder of the duty.
+/// Counted requests of a node, for the duty holder.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct UsageReport {
-    /// The incarnation of the node that counted; a restart has another.
+    /// Incarnation of the node, which changes with each restart.
     pub source: String,
-    /// The node's time of day as the report left.
+    /// The node's wall-clock time when it sent the report.
     pub sent_at: WallTime,
-    /// The number of the first entry among all of this incarnation.
+    /// Number of the first entry, counted over this incarnation.
     pub first: u64,
     /// The entries, in the order in which they were counted.
     pub entries: Vec<UsageEntry>,
 }
 
 impl UsageReport {
-    /// The number that follows the last entry.
+    /// Returns the number after that of the last entry.
     pub fn through(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 }
 
-/// Counts requests that began to run on one node.
+/// Counts the requests that start on one node.
 ///
-/// Invariant: an entry is held until the holder of the duty has said that it keeps it, or until it is one of
-/// more than 65,536 that wait; entries keep their numbers.
+/// Invariant: an entry stays pending until the duty holder acknowledges it, or until more than 65,536 entries
+/// are pending. The number of an entry never changes.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     entries: VecDeque<(Timestamp, TenantName)>,
@@ -57,9 +55,9 @@
 }
 
 impl UsageMeter {
-    /// A request of a tenant began to run.
+    /// Counts a request of a tenant that started at `at`.
     pub fn count(&mut self, at: Timestamp, tenant: TenantName) {
-        if self.entries.len() >= HELD_LIMIT {
+        if self.entries.len() >= MAX_PENDING_ENTRIES {
             self.entries.pop_front();
             self.first += 1;
             self.dropped += 1;
@@ -67,7 +65,7 @@
         self.entries.push_back((at, tenant));
     }
 
-    /// What is to be reported now; `None` where nothing waits.
+    /// Returns a report of the oldest pending entries, or `None` if there are none.
     pub fn report(&self, source: &str, now: Timestamp, wall: WallTime) -> Option<UsageReport> {
         if self.entries.is_empty() {
             return None;
@@ -76,28 +74,28 @@
             tenant: tenant.clone(),
             age_ms: whole_millis(now.saturating_since(*at)),
         };
-        let entries = self.entries.iter().take(REPORT_LIMIT).map(entry).collect();
+        let entries = self.entries.iter().take(MAX_REPORT_ENTRIES).map(entry).collect();
         Some(UsageReport { source: source.to_owned(), sent_at: wall, first: self.first, entries })
     }
 
-    /// The holder keeps all entries before this number.
+    /// Removes all entries before this number, which the duty holder has committed.
     pub fn acknowledge(&mut self, through: u64) {
         while self.first < through && self.entries.pop_front().is_some() {
             self.first += 1;
         }
     }
 
-    /// Entries that wait.
+    /// Returns the number of pending entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no entry is pending.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Entries that were dropped unheard.
+    /// Returns the number of entries that were dropped without an acknowledgement.
     pub const fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/crates/core/src/usage/mod.rs
+++ b/crates/core/src/usage/mod.rs
@@ -1,9 +1,10 @@
-//! What each tenant used: how many of its requests began to run in each window of time, reported to the
-//! platform once.
+//! Usage of each tenant: the number of its requests that started in each time window, reported to the platform
+//! once.
 //!
-//! Nodes count what they pass on ([`meter`]) and hand it to the holder of the duty, which keeps it in its log
-//! before it says so: [`account`] is what the records amount to, [`reporter`] decides when a window is closed
-//! and reported. Clocks of single nodes may jump; [`median_clock`] goes by most of them.
+//! Nodes count the requests they forward ([`meter`]) and report them to the duty holder, which commits them to
+//! its log before it acknowledges the report. [`account`] is the state derived from the records, and
+//! [`reporter`] decides when a window is closed and reported. [`median_clock`] tolerates wrong clocks on single
+//! nodes.
 
 pub mod account;
 pub mod median_clock;
--- a/crates/core/src/usage/reporter.rs
+++ b/crates/core/src/usage/reporter.rs
@@ -1,17 +1,17 @@
-//! When a window of usage is closed, and when it is reported to the platform.
+//! Decides when a usage window is closed and when it is reported to the platform.
 //!
-//! Inputs: the time of day as most nodes have it (`median_clock`), the length of a window and how long after its
-//! end it is due, and what the account holds. A window is closed by a record, so that each holder of the duty
-//! reports the same of it; it is reported until the platform has taken it.
+//! The decision depends on the median clock (`median_clock`), the window length, how long after its end a
+//! window is due, and the account. A window is closed by a record, so that every duty holder reports the same
+//! counts, and it is reported until the platform has accepted it.
 //!
-//! What comes after its window was closed is counted in the first one that is still open: whoever bills by
-//! the reports gets each request once, some of them a window or two later. The window is chosen before the
-//! record is written, so that every node, also one of an older release, reads the same out of the log.
+//! A request reported after its window was closed is counted in the first window that is still open, so that
+//! billing sees each request once. Its window is chosen before the record is written, so that every node,
+//! including one of an older release, derives the same counts from the log.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::account::{SOURCE_WINDOWS, TenantCounts, UsageAccount, WindowCount};
+use super::account::{SOURCE_RETENTION_WINDOWS, TenantCounts, UsageAccount, WindowCount};
 use super::median_clock::MedianClock;
 use super::meter::UsageReport;
 use super::window::{WallTime, WindowLength, WindowNumber};
@@ -19,139 +19,138 @@
 use crate::retry::backoff::Backoff;
 use crate::time::Timestamp;
 
-/// The part of the time until a window is due after which it is closed: counts of nodes that were cut off for
-/// less come in time, and a takeover of some four seconds can pass before it is due. Later, and a window is
-/// missed when all power is gone for a moment; earlier, and more counts come after their window.
-const CLOSE_SHARE: f64 = 0.4;
-/// A new holder closes nothing for this time, unless a window would be due meanwhile: nodes find the holder,
-/// give up calls to the one before, and report what they held.
-const REPORT_WAIT: Duration = Duration::from_millis(2_500);
-/// The time for a call and its repetition before a window is due.
-const TELL_TIME: Duration = Duration::from_secs(2);
-/// Windows that are made up for after a long outage; earlier ones are too late by far.
-const MADE_UP_WINDOWS: u64 = 24;
-/// Counts that come so many windows after theirs was closed are left out: they may be repeated by a source
-/// that the account has forgotten. Half as many as it remembers, so that a clock that is set between two
-/// reports makes no difference.
-const LATE_WINDOWS: u64 = SOURCE_WINDOWS / 2;
-/// The pause after calls in a row that the platform did not take: shorter spends calls on a platform that is
-/// away, longer reports a window late.
-const TELL_RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(300), Duration::from_secs(2));
+/// Fraction of the time until a window is due after which it is closed. Leaves time for late reports before
+/// the close, and for a takeover of about four seconds before the window is due.
+const CLOSE_AFTER_FRACTION: f64 = 0.4;
+/// A new holder closes no window for this time, unless one is due soon, so that nodes can find the holder and
+/// report their pending entries.
+const NEW_HOLDER_WAIT: Duration = Duration::from_millis(2_500);
+/// Time before a window is due that is reserved for a call and one retry.
+const REPORT_CALL_TIME: Duration = Duration::from_secs(2);
+/// Most past windows that are closed after a long outage.
+const MAX_BACKFILL_WINDOWS: u64 = 24;
+/// Requests reported more than this many windows after the close of theirs are discarded, since they may be
+/// repeated by a source that the account has removed. Half of the retention, to tolerate a clock that is set
+/// between two reports.
+const MAX_LATE_WINDOWS: u64 = SOURCE_RETENTION_WINDOWS / 2;
+/// Pause after consecutive calls that the platform did not accept.
+const REPORT_RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(300), Duration::from_secs(2));
 
-/// What the platform asks for.
+/// Reporting requirements of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReporterConfig {
-    /// The length of a window.
+    /// Length of a window.
     pub window: WindowLength,
-    /// A window is due so long after its end.
+    /// Time after the end of a window until its report is due.
     pub due_after: Duration,
 }
 
-/// What a report adds to the account.
+/// Counts that a report adds to the account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportDelta {
-    /// Requests by the window in which they are counted, and by tenant.
+    /// Number of requests by counting window and tenant.
     pub counts: Vec<WindowCount>,
-    /// Requests among them whose own window was closed before the report came.
+    /// Number of those requests whose own window was closed before the report was received.
     pub late: u64,
-    /// Requests that came too late to be counted in any window.
+    /// Number of requests that were reported too late to be counted.
     pub discarded: u64,
 }
 
-/// Decides what is closed and reported. What must outlast it lies in the [`UsageAccount`].
+/// Decides which windows are closed and reported. Its persistent state is the [`UsageAccount`].
 #[derive(Clone, Debug)]
 pub struct UsageReporter {
     config: ReporterConfig,
-    time: MedianClock,
-    /// Entries that are on their way into the account, by source.
-    taking: HashMap<String, u64>,
-    /// The last window whose close is on its way into the account.
+    clock: MedianClock,
+    /// Number after the last accepted entry whose record may not be committed yet, by source.
+    pending: HashMap<String, u64>,
+    /// The last window whose close may not be committed yet.
     closing: Option<WindowNumber>,
-    /// When this holder first looked for windows to close, and the window that was open then.
-    began: Option<(Timestamp, WindowNumber)>,
-    /// The window that is being reported.
+    /// When this holder first checked for windows to close, and the window that was current then.
+    started: Option<(Timestamp, WindowNumber)>,
+    /// The window whose report is in flight.
     reporting: Option<WindowNumber>,
-    /// Windows that the platform took, until the account says so.
+    /// Windows that the platform accepted, until the account has removed them.
     reported: BTreeSet<WindowNumber>,
-    /// The window of the last call: after one that was missed the next window has its turn, so that none
-    /// keeps the others from being reported in time.
-    last: Option<WindowNumber>,
+    /// The window of the last call. Windows are reported in turn, so that a rejected one does not delay the
+    /// others.
+    last_reported: Option<WindowNumber>,
     failures: u32,
     not_before: Timestamp,
 }
 
 impl UsageReporter {
-    /// A reporter that has reported nothing.
+    /// Creates a reporter that has reported nothing.
     pub fn new(config: ReporterConfig) -> Self {
         Self {
             config,
-            time: MedianClock::default(),
-            taking: HashMap::new(),
+            clock: MedianClock::default(),
+            pending: HashMap::new(),
             closing: None,
-            began: None,
+            started: None,
             reporting: None,
             reported: BTreeSet::new(),
-            last: None,
+            last_reported: None,
             failures: 0,
             not_before: Timestamp::ORIGIN,
         }
     }
 
-    /// This node's own clock.
+    /// Records a sample of this node's own clock.
     pub fn observe_own_clock(&mut self, node: &str, wall: WallTime, now: Timestamp) {
-        self.time.observe_clock(node, wall, now);
+        self.clock.observe_clock(node, wall, now);
     }
 
-    /// Takes a report: what it adds to the account, by window, or `None` where all of it is taken or on its
-    /// way.
+    /// Accepts a report and returns the counts that it adds to the account, or `None` if all of its entries
+    /// were accepted before.
     pub fn accept(
         &mut self,
         account: &UsageAccount,
         report: &UsageReport,
         now: Timestamp,
     ) -> Option<ReportDelta> {
-        self.time.observe_clock(&report.source, report.sent_at, now);
-        let taking = self.taking.get(&report.source).copied().unwrap_or(0);
-        let taken = account.through(&report.source).max(taking);
-        if report.through() <= taken {
+        self.clock.observe_clock(&report.source, report.sent_at, now);
+        let pending = self.pending.get(&report.source).copied().unwrap_or(0);
+        let accepted = account.through(&report.source).max(pending);
+        if report.through() <= accepted {
             return None;
         }
-        let known = usize::try_from(taken.saturating_sub(report.first)).unwrap_or(usize::MAX);
+        let known = usize::try_from(accepted.saturating_sub(report.first)).unwrap_or(usize::MAX);
         let closed = account.closed_through().max(self.closing);
-        let mut added = ReportDelta::default();
+        let mut delta = ReportDelta::default();
         let mut counts: BTreeMap<(WindowNumber, TenantName), u64> = BTreeMap::new();
         for entry in report.entries.iter().skip(known) {
-            let began = report.sent_at.before(Duration::from_millis(entry.age_ms));
-            let own = self.config.window.window_at(self.time.corrected(&report.source, began));
+            let started = report.sent_at.before(Duration::from_millis(entry.age_ms));
+            let source_window = self.config.window.window_at(self.clock.corrected(&report.source, started));
             let window = match closed {
-                Some(closed) if own.0 + LATE_WINDOWS < closed.0 => {
-                    added.discarded += 1;
+                Some(closed) if source_window.0 + MAX_LATE_WINDOWS < closed.0 => {
+                    delta.discarded += 1;
                     continue;
                 }
-                Some(closed) if own <= closed => {
-                    added.late += 1;
+                Some(closed) if source_window <= closed => {
+                    delta.late += 1;
                     closed.next()
                 }
-                _ => own,
+                _ => source_window,
             };
             *counts.entry((window, entry.tenant.clone())).or_default() += 1;
         }
-        self.taking.insert(report.source.clone(), report.through());
+        self.pending.insert(report.source.clone(), report.through());
         let count = |((window, tenant), requests)| WindowCount { window, tenant, requests };
-        added.counts = counts.into_iter().map(count).collect();
-        Some(added)
+        delta.counts = counts.into_iter().map(count).collect();
+        Some(delta)
     }
 
-    /// The next window to close, where one is due. Each is closed by itself, also one without a count.
+    /// Returns the next window to close, if one is due. Windows are closed one by one, including those
+    /// without counts.
     pub fn close_next(&mut self, account: &UsageAccount, now: Timestamp) -> Option<WindowNumber> {
-        let time = self.time.now(now)?;
+        let time = self.clock.now(now)?;
         let current = self.config.window.window_at(time);
-        let (began_at, first) = *self.began.get_or_insert((now, current));
-        // Before any was closed, the window that was open first is the first that can be counted whole.
+        let (started_at, first) = *self.started.get_or_insert((now, current));
+        // Before the first close, start with the window that was current when this holder started.
         let next = account.closed_through().max(self.closing).map_or(first, WindowNumber::next);
-        let next = next.max(WindowNumber(current.0.saturating_sub(MADE_UP_WINDOWS)));
-        let is_settled = now.saturating_since(began_at) >= REPORT_WAIT;
-        if time < self.closes_at(next) || !(is_settled || self.is_nearly_due(next, time)) {
+        let next = next.max(WindowNumber(current.0.saturating_sub(MAX_BACKFILL_WINDOWS)));
+        let is_settled = now.saturating_since(started_at) >= NEW_HOLDER_WAIT;
+        if time < self.closes_at(next) || !(is_settled || self.is_due_soon(next, time)) {
             return None;
         }
         self.closing = Some(next);
@@ -159,16 +158,17 @@
     }
 
     fn closes_at(&self, window: WindowNumber) -> WallTime {
-        self.config.window.end_of(window).after(self.config.due_after.mul_f64(CLOSE_SHARE))
+        self.config.window.end_of(window).after(self.config.due_after.mul_f64(CLOSE_AFTER_FRACTION))
     }
 
-    /// Whether a window is due soon. One that is overdue gains nothing by haste.
-    fn is_nearly_due(&self, window: WindowNumber, time: WallTime) -> bool {
+    /// Returns whether a window is due soon. An overdue window is not, since closing it earlier has no
+    /// benefit.
+    fn is_due_soon(&self, window: WindowNumber, time: WallTime) -> bool {
         let due_at = self.config.window.end_of(window).after(self.config.due_after);
-        time < due_at && due_at <= time.after(TELL_TIME)
+        time < due_at && due_at <= time.after(REPORT_CALL_TIME)
     }
 
-    /// The closed window to report now, where one waits and none is being reported.
+    /// Returns the closed window to report now, if there is one and no report is in flight.
     pub fn next_unreported<'a>(
         &mut self,
         account: &'a UsageAccount,
@@ -179,25 +179,26 @@
         }
         self.reported.retain(|window| account.closed().contains_key(window));
         let unreported = || account.closed().iter().filter(|(window, _)| !self.reported.contains(window));
-        let next =
-            unreported().find(|(window, _)| Some(**window) > self.last).or_else(|| unreported().next());
+        let next = unreported()
+            .find(|(window, _)| Some(**window) > self.last_reported)
+            .or_else(|| unreported().next());
         let (window, counts) = next?;
         self.reporting = Some(*window);
-        self.last = Some(*window);
+        self.last_reported = Some(*window);
         Some((*window, counts))
     }
 
-    /// The call that reported a window has ended; whether the platform took it.
-    pub fn report_answered(&mut self, window: WindowNumber, is_taken: bool, now: Timestamp) {
+    /// Records whether the platform accepted the report of a window.
+    pub fn report_answered(&mut self, window: WindowNumber, is_accepted: bool, now: Timestamp) {
         if self.reporting == Some(window) {
             self.reporting = None;
         }
-        if is_taken {
+        if is_accepted {
             self.reported.insert(window);
             self.failures = 0;
         } else {
             self.failures += 1;
-            self.not_before = now + TELL_RETRY_BACKOFF.pause(self.failures);
+            self.not_before = now + REPORT_RETRY_BACKOFF.pause(self.failures);
         }
     }
 }
