--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -143,8 +143,8 @@
         let peak = self.peaks.entry(service.to_owned()).or_default();
         let peak = peak.observe(observed.demand, self.policy.hold, now);
         let has_observed = now.saturating_since(started_at) >= OBSERVATION_TIME;
-        let wanted = if has_observed { self.wanted(peak, observed) } else { 0 };
-        let shares = shares(wanted, observed, bounds);
+        let required = if has_observed { self.required(peak, observed) } else { 0 };
+        let shares = shares(required, observed, bounds);
         // The previous holder's orders apply until this one has observed the demand for a full `hold`.
         let is_new = now.saturating_since(started_at) < self.policy.hold;
         let mut orders = Vec::new();
@@ -165,11 +165,11 @@
 
     /// Returns the number of replicas for a peak demand, limited to those that can be kept at the newest
     /// weights.
-    fn wanted(&self, peak: u32, observed: &ObservedService) -> u32 {
+    fn required(&self, peak: u32, observed: &ObservedService) -> u32 {
         let busy_replicas = peak.div_ceil(observed.slots.max(1));
-        let wanted = u64::from(busy_replicas) * u64::from(self.policy.margin_percent) / 100;
-        let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        observed.renewable.map_or(wanted, |renewable| wanted.min(renewable))
+        let required = u64::from(busy_replicas) * u64::from(self.policy.margin_percent) / 100;
+        let required = u32::try_from(required).unwrap_or(u32::MAX);
+        observed.renewable.map_or(required, |renewable| required.min(renewable))
     }
 
     /// Records whether the platform accepted an order. `start_time` is how long a replica takes to start.
@@ -209,12 +209,12 @@
 }
 
 /// Divides replicas evenly among the zones. The remainder goes to the cheapest zones.
-fn shares(wanted: u32, observed: &ObservedService, bounds: &ScalingBounds) -> BTreeMap<String, u32> {
+fn shares(required: u32, observed: &ObservedService, bounds: &ScalingBounds) -> BTreeMap<String, u32> {
     let mut zones: Vec<&String> = observed.ready.keys().collect();
     let price = |zone: &String| bounds.zone_prices.get(zone).copied().unwrap_or(1.0);
     zones.sort_by(|left, right| price(left).total_cmp(&price(right)).then_with(|| left.cmp(right)));
     let count = u32::try_from(zones.len()).unwrap_or(u32::MAX).max(1);
-    let (even, remainder) = (wanted / count, wanted % count);
+    let (even, remainder) = (required / count, required % count);
     let zones = (0..).zip(zones);
     zones
         .map(|(position, zone): (u32, &String)| (zone.clone(), even + u32::from(position < remainder)))
