--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -35,7 +35,7 @@
 use crate::identity::BatchId;
 use crate::ingress::admission::AdmissionGate;
 use crate::ingress::routes::{Route, RouteTable};
-use crate::ingress::warmups::Warmups;
+use crate::ingress::warmups::WarmupTracker;
 use crate::quarantine::Quarantine;
 use crate::time::{Timestamp, whole_millis};
 pub use action::{Action, RunEnd, RunEvent, RunId, RunStart, Submission};
@@ -117,7 +117,7 @@
             last_run: 0,
             routes: None,
             replicas: BTreeMap::new(),
-            gate: AdmissionGate::new(Warmups::of_owner(now)),
+            gate: AdmissionGate::new(WarmupTracker::of_owner(now)),
             quarantine: Arc::default(),
             slowdown: Slowdown::default(),
             loads: LoadPlan::default(),
--- a/crates/core/src/batch/controller/starting.rs
+++ b/crates/core/src/batch/controller/starting.rs
@@ -182,7 +182,7 @@
         let compute_fingerprint = || request.fingerprint(&job.job.host, job.job.tenant.as_ref());
         let fingerprint = *live.fingerprint.get_or_insert_with(compute_fingerprint);
         let was_quarantined =
-            std::mem::replace(&mut live.is_quarantined, self.quarantine.holds(&fingerprint));
+            std::mem::replace(&mut live.is_quarantined, self.quarantine.contains(&fingerprint));
         if live.is_quarantined && !was_quarantined {
             let decision = Decision::new(Component::Rollout, "item_held", "quarantined", &request.id);
             let decision = decision.with("batch", batch).with("fingerprint", fingerprint);
@@ -212,7 +212,7 @@
         state.running += 1;
         state.tokens += tokens;
         let replica = state.record.clone();
-        self.gate.sent(&replica, now);
+        self.gate.record_sent(&replica, now);
         self.last_run += 1;
         let run = RunId(self.last_run);
         live.run = Some(run);
--- a/crates/core/src/batch/regional.rs
+++ b/crates/core/src/batch/regional.rs
@@ -44,7 +44,7 @@
         let route_only = (routes.tenants.is_none() || route.is_public).then(|| route.regions.clone());
         of_tenants.chain(route_only).collect::<Vec<_>>()
     });
-    sets.filter(|regions| !regions.is_all() && !regions.is_nowhere()).collect()
+    sets.filter(|regions| !regions.is_all() && !regions.allows_none()).collect()
 }
 
 /// Returns the regions named by routes or tenants that contain no zone. Nothing is served or stored there.
--- a/crates/core/src/batch/schedule.rs
+++ b/crates/core/src/batch/schedule.rs
@@ -209,7 +209,7 @@
             && self.services.iter().any(|part| part.service == record.service)
             && self.has_version(replica)
             && self.has_memory(replica)
-            && self.gate.judge(record, now).is_open()
+            && self.gate.admission(record, now).is_open()
     }
 
     fn has_version(&self, replica: &ReplicaState) -> bool {
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -150,7 +150,7 @@
         let gone: Vec<ScoreId> = gone.map(|(id, _)| *id).collect();
         for id in &gone {
             if let Some(active) = self.active.remove(id) {
-                self.chooser.ended(&active.replica, ReplicaFeedback::Abandoned, now);
+                self.chooser.record_end(&active.replica, ReplicaFeedback::Abandoned, now);
             }
         }
         gone
@@ -168,7 +168,7 @@
         let mut starts = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             let fingerprint = || waiting.request.fingerprint(waiting.tenant.as_ref());
-            if !quarantine.is_empty() && quarantine.holds(&fingerprint()) {
+            if !quarantine.is_empty() && quarantine.contains(&fingerprint()) {
                 self.waiting.push_back(waiting);
                 continue;
             }
@@ -200,7 +200,7 @@
         let service = route.service_at(self.selection_seed())?.to_owned();
         let regions = routes.allowed_regions(route, waiting.tenant.as_ref());
         let mut ready = replicas(&service, &regions);
-        ready.retain(|record| gate.judge(record, now).is_open());
+        ready.retain(|record| gate.admission(record, now).is_open());
         let chosen = self.choose(&ready, &waiting.tried, now)?;
         let budget = self.budgets.entry(service).or_insert_with(|| RetryBudget::new(RETRY_BUDGET, now));
         if waiting.attempts == 0 {
@@ -209,10 +209,10 @@
             return None;
         }
         self.last += 1;
-        self.chooser.sent(&chosen.id);
-        gate.sent(&chosen, now);
+        self.chooser.record_sent(&chosen.id);
+        gate.record_sent(&chosen, now);
         let earlier_breaks = waiting.broken_attempts.get(&chosen.id).copied().unwrap_or(0);
-        let timeout = attempt_timeout::of_score_request(route.target, route.timeout, earlier_breaks);
+        let timeout = attempt_timeout::for_score_request(route.target, route.timeout, earlier_breaks);
         Some(ScoreStart {
             id: ScoreId(self.last),
             request: waiting.request.clone(),
@@ -243,7 +243,7 @@
     pub(super) fn reported(&mut self, id: ScoreId, busy: u32, now: Timestamp) {
         if let Some(active) = self.active.get(&id) {
             // The attempt itself is still counted until its end is handled.
-            self.chooser.reported(&active.replica, busy.saturating_sub(1), now);
+            self.chooser.record_reported_load(&active.replica, busy.saturating_sub(1), now);
         }
     }
 
@@ -265,7 +265,7 @@
             ScoreEnd::Rejected => ReplicaFeedback::Full,
             ScoreEnd::Broken => ReplicaFeedback::Silent,
         };
-        self.chooser.ended(&replica, feedback, now);
+        self.chooser.record_end(&replica, feedback, now);
         let route = routes.and_then(|routes| routes.find(&waiting.request.host, &waiting.request.path));
         let ended = EndedScore {
             key: waiting.key.clone(),
--- a/crates/core/src/ingress/admission.rs
+++ b/crates/core/src/ingress/admission.rs
@@ -1,9 +1,9 @@
 //! Whether a replica may be sent a request now: the one place that every sender asks, for plain requests,
 //! streams, items of batch jobs and score requests alike.
 //!
-//! Inputs: the replica's record, the evacuated zones, the cold replicas ([`Warmups`]) and the time. Sets no
-//! figure of its own. A sender asks [`AdmissionGate::judge`] and, where it sends, calls
-//! [`AdmissionGate::sent`] before the first byte leaves.
+//! Inputs: the replica's record, the evacuated zones, the cold replicas ([`WarmupTracker`]) and the time. Sets no
+//! figure of its own. A sender asks [`AdmissionGate::admission`] and, where it sends, calls
+//! [`AdmissionGate::record_sent`] before the first byte leaves.
 //!
 //! Invariant: nothing new goes to a replica in an evacuated zone, and no more to a cold replica than this
 //! sender's share of the rate that it can take.
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use super::replicas::ReplicaRecord;
-use super::warmups::Warmups;
+use super::warmups::WarmupTracker;
 use crate::time::Timestamp;
 
 /// What a replica may be sent now.
@@ -43,7 +43,7 @@
 impl EvacuatedZones {
     /// Whether a replica may be sent nothing for its zone. A request that was let through and then waited for
     /// a connection is checked by this once more, just before its first byte.
-    pub fn closes(&self, replica: &ReplicaRecord) -> bool {
+    pub fn is_evacuated(&self, replica: &ReplicaRecord) -> bool {
         self.zones.contains(&replica.zone)
     }
 }
@@ -52,22 +52,22 @@
 #[derive(Clone, Debug)]
 pub struct AdmissionGate {
     evacuated: Arc<EvacuatedZones>,
-    warmups: Warmups,
+    warmups: WarmupTracker,
 }
 
 impl AdmissionGate {
     /// The gate of a sender with these cold replicas.
-    pub fn new(warmups: Warmups) -> Self {
+    pub fn new(warmups: WarmupTracker) -> Self {
         Self { evacuated: Arc::default(), warmups }
     }
 
     /// The cold replicas.
-    pub const fn warmups(&self) -> &Warmups {
+    pub const fn warmups(&self) -> &WarmupTracker {
         &self.warmups
     }
 
     /// The cold replicas, to pass them what is known of replicas, services and gateways.
-    pub const fn warmups_mut(&mut self) -> &mut Warmups {
+    pub const fn warmups_mut(&mut self) -> &mut WarmupTracker {
         &mut self.warmups
     }
 
@@ -80,13 +80,13 @@
         let before = std::mem::replace(&mut self.evacuated, evacuated);
         let returned: BTreeSet<&String> = before.zones.difference(&self.evacuated.zones).collect();
         if !returned.is_empty() {
-            self.warmups.zones_returned(&returned, now);
+            self.warmups.zones_readmitted(&returned, now);
         }
     }
 
     /// Whether a replica stands in a zone that is evacuated: it takes no work at all.
     pub fn is_evacuated(&self, replica: &ReplicaRecord) -> bool {
-        self.evacuated.closes(replica)
+        self.evacuated.is_evacuated(replica)
     }
 
     /// The zones that are evacuated.
@@ -95,20 +95,20 @@
     }
 
     /// Whether a replica may be sent a request now.
-    pub fn judge(&self, replica: &ReplicaRecord, now: Timestamp) -> Admission {
+    pub fn admission(&self, replica: &ReplicaRecord, now: Timestamp) -> Admission {
         if self.is_evacuated(replica) {
             return Admission::Evacuated;
         }
-        self.warmups.closed_until(replica, now).map_or(Admission::Open, Admission::Warming)
+        self.warmups.blocked_until(replica, now).map_or(Admission::Open, Admission::Warming)
     }
 
     /// Whether a replica is cold.
     pub fn is_cold(&self, replica: &str, now: Timestamp) -> bool {
-        self.warmups.spell(replica, now).is_some()
+        self.warmups.cold_period(replica, now).is_some()
     }
 
     /// A request is being sent to a replica.
-    pub fn sent(&mut self, replica: &ReplicaRecord, now: Timestamp) {
-        self.warmups.sent(&replica.id, now);
+    pub fn record_sent(&mut self, replica: &ReplicaRecord, now: Timestamp) {
+        self.warmups.record_sent(&replica.id, now);
     }
 }
--- a/crates/core/src/ingress/attempts.rs
+++ b/crates/core/src/ingress/attempts.rs
@@ -47,7 +47,7 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Pass the answer on.
     Answer,
     /// Send the request to another replica.
@@ -91,9 +91,9 @@
     }
 
     /// Takes the outcome of a send.
-    pub fn after(&mut self, outcome: SendOutcome, remaining: Duration) -> Next {
+    pub fn next_step(&mut self, outcome: SendOutcome, remaining: Duration) -> NextStep {
         match outcome {
-            SendOutcome::Answered => return Next::Answer,
+            SendOutcome::Answered => return NextStep::Answer,
             SendOutcome::NotSent | SendOutcome::Withheld => self.unsent += 1,
             SendOutcome::Rejected => self.sends += 1,
             SendOutcome::Failed | SendOutcome::Broken | SendOutcome::TimedOut => {
@@ -104,16 +104,16 @@
         let has_time = remaining >= MIN_RETRY_TIME;
         let has_sends = self.sends < self.max_sends && self.unsent < MAX_UNSENT;
         if has_time && has_sends && (self.is_repeatable || !self.may_have_run) {
-            return Next::TryAnother;
+            return NextStep::TryAnother;
         }
         if outcome == SendOutcome::Failed {
-            return Next::Answer;
+            return NextStep::Answer;
         }
         self.give_up()
     }
 
     /// Gives up where no further replica can be tried.
-    pub const fn give_up(&self) -> Next {
-        if self.may_have_run { Next::GiveUpUnknown } else { Next::GiveUpNotRun }
+    pub const fn give_up(&self) -> NextStep {
+        if self.may_have_run { NextStep::GiveUpUnknown } else { NextStep::GiveUpNotRun }
     }
 }
--- a/crates/core/src/ingress/chooser.rs
+++ b/crates/core/src/ingress/chooser.rs
@@ -121,7 +121,7 @@
 
     /// Whether a request that waits at another replica is worth moving to this one: it gave no cause for
     /// suspicion lately, and did not just refuse for want of room.
-    pub(crate) fn is_worth_a_move(&self, replica: &str, now: Timestamp) -> bool {
+    pub(crate) fn is_move_target(&self, replica: &str, now: Timestamp) -> bool {
         let Some(stats) = self.stats.get(replica) else { return true };
         stats.suspect_until <= now && stats.busy(now) < FULL_LOAD
     }
@@ -132,12 +132,12 @@
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, replica: &str) {
+    pub fn record_sent(&mut self, replica: &str) {
         self.stats.entry(replica.to_owned()).or_default().in_flight += 1;
     }
 
     /// A request has ended.
-    pub fn ended(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
+    pub fn record_end(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
         let stats = self.stats.entry(replica.to_owned()).or_default();
         stats.in_flight = stats.in_flight.saturating_sub(1);
         match feedback {
@@ -156,12 +156,12 @@
 
     /// A request has waited there for longer than its share of the time, and stays: until the replica answers,
     /// it comes last like one that gave no answer.
-    pub(crate) fn late(&mut self, replica: &str, now: Timestamp) {
+    pub(crate) fn mark_late(&mut self, replica: &str, now: Timestamp) {
         self.stats.entry(replica.to_owned()).or_default().suspect(now);
     }
 
     /// A replica reported how many requests it runs and has waiting.
-    pub fn reported(&mut self, replica: &str, busy: u32, now: Timestamp) {
+    pub fn record_reported_load(&mut self, replica: &str, busy: u32, now: Timestamp) {
         self.stats.entry(replica.to_owned()).or_default().reported = Some((now, busy));
     }
 
--- a/crates/core/src/ingress/lapse.rs
+++ b/crates/core/src/ingress/lapse.rs
@@ -38,20 +38,20 @@
 
 /// Decides which entries that vanished are kept, and until when.
 #[derive(Clone, Debug)]
-pub struct LapseKeeper {
+pub struct LapsedEntries {
     grace: Duration,
     state: StoreState,
     lapsed: BTreeSet<String>,
 }
 
-impl LapseKeeper {
+impl LapsedEntries {
     /// A keeper that gives replicas the time `grace` to put their entries back.
     pub const fn new(grace: Duration) -> Self {
         Self { grace, state: StoreState::Steady, lapsed: BTreeSet::new() }
     }
 
     /// The store gave no answer.
-    pub const fn failed(&mut self, now: Timestamp) {
+    pub const fn store_failed(&mut self, now: Timestamp) {
         if !matches!(self.state, StoreState::Away { .. }) {
             self.state = StoreState::Away { since: now, served_until: now };
         }
@@ -59,7 +59,7 @@
 
     /// A peer has a copy that the store confirmed to it the time `age` ago. Returns whether that was after
     /// the store fell silent here.
-    pub fn served_others(&mut self, now: Timestamp, age: Duration) -> bool {
+    pub fn record_peer_confirmation(&mut self, now: Timestamp, age: Duration) -> bool {
         let StoreState::Away { since, served_until } = &mut self.state else { return false };
         let silent_for = now.saturating_since(*since);
         if age >= silent_for {
@@ -74,7 +74,7 @@
     }
 
     /// The store answered; `was_away` where something else of this node says that it was away until just now.
-    pub fn answered(&mut self, now: Timestamp, was_away: bool) {
+    pub fn store_answered(&mut self, now: Timestamp, was_away: bool) {
         let nothing_lapsed = self.lapsed.is_empty();
         self.state = match self.state {
             StoreState::Away { since, served_until }
@@ -89,7 +89,7 @@
     }
 
     /// An entry is not there any more; tells whether it is kept for now.
-    pub fn vanished(&mut self, name: &str) -> bool {
+    pub fn entry_removed(&mut self, name: &str) -> bool {
         let is_kept = self.state != StoreState::Steady;
         if is_kept {
             self.lapsed.insert(name.to_owned());
@@ -98,12 +98,12 @@
     }
 
     /// An entry is there.
-    pub fn is_there(&mut self, name: &str) {
+    pub fn mark_listed(&mut self, name: &str) {
         self.lapsed.remove(name);
     }
 
     /// Whether an entry is one that vanished and is kept.
-    pub fn keeps(&self, name: &str) -> bool {
+    pub fn retains(&self, name: &str) -> bool {
         self.lapsed.contains(name)
     }
 
--- a/crates/core/src/ingress/places.rs
+++ b/crates/core/src/ingress/places.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether a zone is known.
-    pub fn holds(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.regions.contains_key(zone)
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Whether no region is allowed: what a route and its caller's tenant allow has nothing in common.
-    pub fn is_nowhere(&self) -> bool {
+    pub fn allows_none(&self) -> bool {
         self.0.as_ref().is_some_and(|allowed| allowed.is_empty())
     }
 
--- a/crates/core/src/ingress/replicas.rs
+++ b/crates/core/src/ingress/replicas.rs
@@ -16,13 +16,13 @@
     pub name: &'a str,
     /// When this incarnation began, in milliseconds since the Unix epoch; `None` where the replica does not
     /// say.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 impl fmt::Display for ReplicaIncarnation<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born_ms {
-            Some(born_ms) => write!(formatter, "{}@{born_ms}", self.name),
+        match self.started_at_ms {
+            Some(started_at_ms) => write!(formatter, "{}@{started_at_ms}", self.name),
             None => formatter.write_str(self.name),
         }
     }
@@ -64,9 +64,9 @@
 
     /// Whether this incarnation made a report that states when its maker started, in milliseconds since the Unix epoch. A
     /// report or a record without that counts as made by this one.
-    pub fn is_maker(&self, born_ms: Option<u64>) -> bool {
-        let incarnation = ReplicaIncarnation { name: &self.name, born_ms };
-        born_ms.is_none() || !self.may_restart() || self.id == incarnation.to_string()
+    pub fn is_author(&self, started_at_ms: Option<u64>) -> bool {
+        let incarnation = ReplicaIncarnation { name: &self.name, started_at_ms };
+        started_at_ms.is_none() || !self.may_restart() || self.id == incarnation.to_string()
     }
 }
 
--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -113,7 +113,7 @@
     /// Requests a second that one replica can take, from all senders together.
     pub per_second: f64,
     /// How long a replica is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// How the replicas of a service may be ordered.
--- a/crates/core/src/ingress/selection.rs
+++ b/crates/core/src/ingress/selection.rs
@@ -6,11 +6,11 @@
 //! and the admission gate is open for it (not evacuated, and not cold beyond this node's share). Among the
 //! candidates the chooser takes the one with the least expected time to answer.
 //!
-//! A request that waits too long at a replica moves only to one that is worth it ([`ReplicaSelector::select_instead`]):
+//! A request that waits too long at a replica moves only to one that is worth it ([`ReplicaSelector::select_alternative`]):
 //! the work at the first replica is lost with the move.
 //!
 //! Owns the gate and the chooser, and with them all that this node observed of replicas. Relies on its caller
-//! for the clock and the random number, and for reporting each request's end by [`ReplicaSelector::ended`].
+//! for the clock and the random number, and for reporting each request's end by [`ReplicaSelector::record_end`].
 //! Sets no figure of its own: see [`super::chooser`], [`super::admission`] and [`super::warmups`].
 
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use super::chooser::{ReplicaChooser, ReplicaFeedback};
 use super::places::{AllowedRegions, ZoneMap};
 use super::replicas::{ReplicaRecord, ReplicaTable};
-use super::warmups::Warmups;
+use super::warmups::WarmupTracker;
 use crate::time::Timestamp;
 
 /// Why no replica can be sent a request now. Where several reasons hold, the greatest one counts: it says
@@ -107,7 +107,7 @@
     }
 }
 
-/// A replica that was chosen; the request counts there until [`ReplicaSelector::ended`].
+/// A replica that was chosen; the request counts there until [`ReplicaSelector::record_end`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SelectedReplica {
     /// Its record.
@@ -125,7 +125,7 @@
 
 impl ReplicaSelector {
     /// A selector that has observed no replica, with these cold ones.
-    pub fn new(warmups: Warmups) -> Self {
+    pub fn new(warmups: WarmupTracker) -> Self {
         Self { chooser: ReplicaChooser::default(), gate: AdmissionGate::new(warmups) }
     }
 
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     /// When the request is better left where it is.
-    pub fn select_instead(
+    pub fn select_alternative(
         &mut self,
         query: &SelectionQuery<'_>,
         waits_at_cold: bool,
@@ -175,7 +175,7 @@
     ) -> Result<SelectedReplica, StayReason> {
         let mut candidates =
             self.candidates(query, table, evacuated, now).map_err(StayReason::NoCandidate)?;
-        candidates.retain(|record| self.chooser.is_worth_a_move(&record.id, now));
+        candidates.retain(|record| self.chooser.is_move_target(&record.id, now));
         candidates.retain(|record| !(waits_at_cold && self.gate.is_cold(&record.id, now)));
         self.take_best(candidates, now, random).ok_or(StayReason::NoneBetter)
     }
@@ -188,8 +188,8 @@
         random: u64,
     ) -> Option<SelectedReplica> {
         let record = self.chooser.best_of(candidates, now, random)?.clone();
-        self.gate.sent(&record, now);
-        self.chooser.sent(&record.id);
+        self.gate.record_sent(&record, now);
+        self.chooser.record_sent(&record.id);
         let is_cold = self.gate.is_cold(&record.id, now);
         Some(SelectedReplica { record, is_cold })
     }
@@ -214,7 +214,7 @@
         let mut candidates = Vec::new();
         let untried = table.ready(query.service).filter(|record| !query.tried.contains(&record.id));
         for record in untried.filter(|record| query.allows(record)) {
-            let admission = self.gate.judge(record, now);
+            let admission = self.gate.admission(record, now);
             reason = reason.or_not_admitted(admission, now);
             if admission.is_open() {
                 candidates.push(record);
@@ -225,17 +225,17 @@
 
     /// A request has waited at a replica for longer than its share of the time, and stays there. Others go
     /// elsewhere, as far as they can, until it answers.
-    pub fn late(&mut self, replica: &str, now: Timestamp) {
-        self.chooser.late(replica, now);
+    pub fn mark_late(&mut self, replica: &str, now: Timestamp) {
+        self.chooser.mark_late(replica, now);
     }
 
     /// A replica reported how many requests it runs and has waiting.
-    pub fn reported(&mut self, replica: &str, busy: u32, now: Timestamp) {
-        self.chooser.reported(replica, busy, now);
+    pub fn record_reported_load(&mut self, replica: &str, busy: u32, now: Timestamp) {
+        self.chooser.record_reported_load(replica, busy, now);
     }
 
     /// A request that was counted at a replica has ended.
-    pub fn ended(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
-        self.chooser.ended(replica, feedback, now);
+    pub fn record_end(&mut self, replica: &str, feedback: ReplicaFeedback, now: Timestamp) {
+        self.chooser.record_end(replica, feedback, now);
     }
 }
--- a/crates/core/src/ingress/tenants.rs
+++ b/crates/core/src/ingress/tenants.rs
@@ -13,7 +13,7 @@
 use crate::identity::TenantName;
 
 /// The longest key that is taken, in bytes: a header field carries it.
-pub const KEY_LIMIT_BYTES: usize = 4_096;
+pub const MAX_KEY_BYTES: usize = 4_096;
 
 /// A key that can't be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -21,8 +21,8 @@
     /// It has no signs.
     #[error("the key is empty; give it at least one sign")]
     Empty,
-    /// It is longer than [`KEY_LIMIT_BYTES`].
-    #[error("the key is longer than {KEY_LIMIT_BYTES} bytes; shorten it")]
+    /// It is longer than [`MAX_KEY_BYTES`].
+    #[error("the key is longer than {MAX_KEY_BYTES} bytes; shorten it")]
     TooLong,
 }
 
@@ -39,7 +39,7 @@
     },
     /// Two tenants have one name.
     #[error("tenant {0} stands twice; join both entries, or rename one")]
-    DoubledName(TenantName),
+    DuplicateName(TenantName),
     /// Two tenants have one key, so that it names neither.
     #[error("tenants {first} and {second} have one key; take it away from one of them")]
     SharedKey {
@@ -62,7 +62,7 @@
     pub fn of(key: &str) -> Result<Self, KeyError> {
         match key.len() {
             0 => Err(KeyError::Empty),
-            length if length > KEY_LIMIT_BYTES => Err(KeyError::TooLong),
+            length if length > MAX_KEY_BYTES => Err(KeyError::TooLong),
             _ => Ok(Self(Sha256::digest(key.as_bytes()).into())),
         }
     }
@@ -105,7 +105,7 @@
 
     /// The same tenant, whose requests may be served and kept in these regions alone.
     #[must_use]
-    pub fn within(self, regions: AllowedRegions) -> Self {
+    pub fn with_regions(self, regions: AllowedRegions) -> Self {
         Self { regions, ..self }
     }
 }
@@ -128,7 +128,7 @@
         let mut by_key = HashMap::new();
         for (position, tenant) in tenants.iter().enumerate() {
             if by_name.insert(tenant.name.clone(), position).is_some() {
-                return Err(TenantError::DoubledName(tenant.name.clone()));
+                return Err(TenantError::DuplicateName(tenant.name.clone()));
             }
             for key in &tenant.keys {
                 if let Some(first) = by_key.insert(*key, position) {
@@ -142,7 +142,7 @@
     }
 
     /// The tenant that holds a key; `None` where nobody does.
-    pub fn holder(&self, key: &str) -> Option<&Tenant> {
+    pub fn find_by_key(&self, key: &str) -> Option<&Tenant> {
         let digest = KeyDigest::of(key).ok()?;
         self.by_key.get(&digest).and_then(|position| self.tenants.get(*position))
     }
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -83,7 +83,7 @@
 
 /// A replica that is cold for this sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ColdSpell {
+pub struct ColdPeriod {
     /// Why.
     pub cause: ColdCause,
     /// Since when.
@@ -104,7 +104,7 @@
     /// All of them.
     pub cold: usize,
     /// Those that this sender may send to.
-    pub own: usize,
+    pub sendable: usize,
 }
 
 /// What is known of one replica of a service with cold bounds.
@@ -112,14 +112,14 @@
 struct Known {
     record: ReplicaRecord,
     listed_at: Timestamp,
-    spell: Option<ColdSpell>,
+    spell: Option<ColdPeriod>,
     /// When its zone was readmitted, until a later record states how cold it is.
     returned_at: Option<Timestamp>,
 }
 
 /// The cold replicas as one sender knows them.
 #[derive(Clone, Debug)]
-pub struct Warmups {
+pub struct WarmupTracker {
     role: SenderRole,
     /// The other gateways; none for the owner, whose share is its own.
     order: Option<GatewayOrder>,
@@ -131,7 +131,7 @@
     held_until: Timestamp,
 }
 
-impl Warmups {
+impl WarmupTracker {
     /// Those of a new owner of the batch jobs: the budget of the last second is taken as spent by the one
     /// before.
     pub fn of_owner(now: Timestamp) -> Self {
@@ -189,12 +189,12 @@
     }
 
     /// Zones were readmitted: their replicas are taken as cold until a later record says otherwise.
-    pub(crate) fn zones_returned(&mut self, zones: &BTreeSet<&String>, now: Timestamp) {
+    pub(crate) fn zones_readmitted(&mut self, zones: &BTreeSet<&String>, now: Timestamp) {
         for known in self.known.values_mut().filter(|known| zones.contains(&known.record.zone)) {
             let Some(budget) = self.budgets.get(&known.record.service) else { continue };
             known.returned_at = Some(now);
             let reported = known.spell.map_or(Duration::ZERO, |spell| spell.until.saturating_since(now));
-            begin(known, ColdCause::ZoneReturned, budget.bounds.lasts.max(reported), now);
+            begin(known, ColdCause::ZoneReturned, budget.bounds.duration.max(reported), now);
         }
         self.refresh_shares(now);
     }
@@ -227,7 +227,7 @@
         let (cause, left) = cold_time(record, budget);
         // A record of the same cold time ends it later by its own age at most.
         let is_anew =
-            |spell: &ColdSpell| record.cold_left > before || now + left > spell.until + MAX_RECORD_AGE;
+            |spell: &ColdPeriod| record.cold_left > before || now + left > spell.until + MAX_RECORD_AGE;
         match &mut known.spell {
             Some(spell) if !is_anew(spell) => {
                 if is_trusted {
@@ -271,15 +271,15 @@
     /// How many replicas are cold for this sender, and to how many of them it may send.
     pub fn count(&self, now: Timestamp) -> ColdCount {
         let mut count = ColdCount::default();
-        for spell in self.known.keys().filter_map(|id| self.spell(id, now)) {
+        for spell in self.known.keys().filter_map(|id| self.cold_period(id, now)) {
             count.cold += 1;
-            count.own += usize::from(spell.interval.is_some());
+            count.sendable += usize::from(spell.interval.is_some());
         }
         count
     }
 
     /// The cold spell of a replica; `None` where it is warm.
-    pub fn spell(&self, replica: &str, now: Timestamp) -> Option<&ColdSpell> {
+    pub fn cold_period(&self, replica: &str, now: Timestamp) -> Option<&ColdPeriod> {
         if !self.has_spells {
             return None;
         }
@@ -287,7 +287,7 @@
     }
 
     /// When a replica may be sent a request at the earliest; `None` where nothing holds it back.
-    pub(crate) fn closed_until(&self, record: &ReplicaRecord, now: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn blocked_until(&self, record: &ReplicaRecord, now: Timestamp) -> Option<Timestamp> {
         if !self.has_spells && record.cold_left.is_zero() {
             return None;
         }
@@ -297,7 +297,7 @@
             let (_, left) = cold_time(record, budget);
             return Some(now + left);
         }
-        let spell = self.spell(&record.id, now)?;
+        let spell = self.cold_period(&record.id, now)?;
         let opens_at = self.opens_at(&record.id, spell.until);
         let next_at = if spell.interval.is_some() { spell.next_at.max(self.held_until) } else { opens_at };
         (next_at > now).then_some(next_at.min(opens_at))
@@ -312,10 +312,10 @@
     }
 
     /// A request is being sent to a replica.
-    pub fn sent(&mut self, replica: &str, now: Timestamp) {
+    pub fn record_sent(&mut self, replica: &str, now: Timestamp) {
         let Some(spell) = self.known.get_mut(replica).and_then(|known| known.spell.as_mut()) else { return };
         spell.sent += 1;
-        // Without an interval this sender has no share, and `closed_until` does not ask for `next_at`.
+        // Without an interval this sender has no share, and `blocked_until` does not ask for `next_at`.
         spell.next_at = now + spell.interval.unwrap_or_default();
     }
 
@@ -333,7 +333,7 @@
 /// How long a replica is cold by its record, and why it is taken to be.
 fn cold_time(record: &ReplicaRecord, budget: &WarmingBudget) -> (ColdCause, Duration) {
     if record.cold_left == ReplicaRecord::COLD_UNKNOWN {
-        return (ColdCause::Unknown, budget.bounds.lasts);
+        return (ColdCause::Unknown, budget.bounds.duration);
     }
     (ColdCause::Recorded, record.cold_left)
 }
@@ -342,5 +342,5 @@
 fn begin(known: &mut Known, cause: ColdCause, left: Duration, now: Timestamp) {
     let next_at = known.spell.map_or(now, |spell| spell.next_at);
     let (until, since) = (now + left, now);
-    known.spell = Some(ColdSpell { cause, since, until, interval: None, sent: 0, next_at });
+    known.spell = Some(ColdPeriod { cause, since, until, interval: None, sent: 0, next_at });
 }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A request that ends each replica that runs it comes again under other ids and at other nodes. Nodes report
 //! to each other what ran where a replica ended ([`CrashReport`]); each comes to the same verdict
-//! ([`Quarantine`]) and sends a request to no replica once [`CRASHES_TO_HOLD`] replicas have ended under it.
-//! [`CrashWatch`] owns what one node observed. Relies on the daemon for connections that closed, the list of
+//! ([`Quarantine`]) and sends a request to no replica once [`CRASHES_TO_QUARANTINE`] replicas have ended under it.
+//! [`CrashMonitor`] owns what one node observed. Relies on the daemon for connections that closed, the list of
 //! replicas and the store that carries the reports. Reasons and what was weighed:
 //! docs/decisions/quarantine.md.
 //!
@@ -19,11 +19,11 @@
 mod watch;
 
 pub use fingerprint::{Fingerprint, FingerprintError, RequestContent};
-pub use report::{CrashReport, REPORTED_REQUESTS, Suspect};
-pub use verdict::{CRASHES_TO_HOLD, Quarantine};
-pub use watch::{BreakCause, CrashWatch, RunSender, SentRun};
+pub use report::{CrashReport, MAX_REPORTED_REQUESTS, Suspect};
+pub use verdict::{CRASHES_TO_QUARANTINE, Quarantine};
+pub use watch::{BreakCause, CrashMonitor, RunSender, SentRun};
 
 /// A request that was quarantined for this long is let through once, at one node: one that met ending
 /// replicas by chance is not refused for ever. Chosen, not measured: a shorter time lets a guilty request end
 /// replicas more often, a longer one refuses an innocent one longer.
-pub const TRIAL_AFTER: Duration = Duration::from_secs(300);
+pub const TRIAL_DELAY: Duration = Duration::from_secs(300);
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -6,7 +6,7 @@
 
 /// The most requests that one report names: more than one node has running at a replica at a time. Chosen,
 /// not measured: a smaller one could leave out the guilty request.
-pub const REPORTED_REQUESTS: usize = 64;
+pub const MAX_REPORTED_REQUESTS: usize = 64;
 
 /// A replica ended: what one node had running there.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
--- a/crates/core/src/quarantine/verdict.rs
+++ b/crates/core/src/quarantine/verdict.rs
@@ -10,10 +10,10 @@
 use super::{CrashReport, Fingerprint};
 
 /// Replicas that end under a request before it is quarantined. See docs/decisions/quarantine.md.
-pub const CRASHES_TO_HOLD: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 /// This many are enough where other requests ran at the same replicas each time: that two requests meet by
 /// chance at four replicas in a row, each just as it ends, is taken to be impossible. Chosen, not measured.
-const CRASHES_BEYOND_CHANCE: usize = CRASHES_TO_HOLD + 1;
+const CRASHES_BEYOND_CHANCE: usize = CRASHES_TO_QUARANTINE + 1;
 
 /// Requests that reach no replica any more, and those under which a replica ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         let mut counts = self.counts();
         counts.retain(|fingerprint, _| self.repeated.contains(fingerprint));
         let most = counts.values().copied().max().unwrap_or(0);
-        if most < CRASHES_TO_HOLD {
+        if most < CRASHES_TO_QUARANTINE {
             return BTreeSet::new();
         }
         let foremost: BTreeSet<Fingerprint> =
@@ -90,7 +90,7 @@
 
 impl Quarantine {
     /// What follows from all reports.
-    pub fn judge<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Self {
+    pub fn from_reports<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Self {
         let mut evidence = Evidence::gather(reports);
         let mut crashes: BTreeMap<Fingerprint, BTreeSet<String>> = BTreeMap::new();
         for (replica, suspects) in &evidence.suspects {
@@ -110,7 +110,7 @@
     }
 
     /// Whether a request must reach no replica.
-    pub fn holds(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.held.contains(fingerprint)
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// The requests that are held back.
-    pub const fn held(&self) -> &BTreeSet<Fingerprint> {
+    pub const fn requests(&self) -> &BTreeSet<Fingerprint> {
         &self.held
     }
 
--- a/crates/core/src/quarantine/watch.rs
+++ b/crates/core/src/quarantine/watch.rs
@@ -3,8 +3,8 @@
 //!
 //! Inputs: how each run ended, the list of replicas, the reports of all nodes, the time. A run that broke off
 //! counts as a crash once its replica is known to have ended. Owns the broken runs, the crashes and the
-//! clearings of this node, all bounded. Relies on its caller to call [`CrashWatch::expire`] and to send what
-//! [`CrashWatch::due_reports`] returns.
+//! clearings of this node, all bounded. Relies on its caller to call [`CrashMonitor::expire`] and to send what
+//! [`CrashMonitor::due_reports`] returns.
 //!
 //! A run that breaks off says nothing: connections are reset, answers are lost. It counts once its replica is
 //! known to have ended, and counts no more once the request ran to an end anywhere, or the replica answered
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use super::recent_requests::RecentRequests;
-use super::{CRASHES_TO_HOLD, CrashReport, Fingerprint, Quarantine, REPORTED_REQUESTS, Suspect};
+use super::{CRASHES_TO_QUARANTINE, CrashReport, Fingerprint, MAX_REPORTED_REQUESTS, Quarantine, Suspect};
 use crate::ingress::replicas::ReplicaTable;
 use crate::time::Timestamp;
 
@@ -119,7 +119,7 @@
 
 /// This node's part in the quarantine.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
+pub struct CrashMonitor {
     broken: VecDeque<BrokenRun>,
     crashes: BTreeMap<(Fingerprint, String), Crash>,
     /// The reports of all nodes, this one included.
@@ -131,7 +131,7 @@
     clearings: BTreeMap<(Fingerprint, String), Clearing>,
 }
 
-impl CrashWatch {
+impl CrashMonitor {
     /// Whether a replica ended, or seems to have, while the request ran there.
     pub fn is_suspected(&self, fingerprint: &Fingerprint) -> bool {
         self.broken.iter().any(|broken| broken.run.fingerprint == *fingerprint)
@@ -148,7 +148,7 @@
     /// A run gave no whole answer at a replica that is still listed or not. Returns whether anything follows
     /// at once: one that is gone from the list has ended, and a request that lacks one crash to be held is
     /// not sent on until it is known whether it did.
-    pub fn run_broke(&mut self, run: SentRun, cause: BreakCause, is_listed: bool, now: Timestamp) -> bool {
+    pub fn run_broken(&mut self, run: SentRun, cause: BreakCause, is_listed: bool, now: Timestamp) -> bool {
         self.expire(now);
         if self.answered.contains(&run.fingerprint) {
             return false;
@@ -282,7 +282,7 @@
     }
 
     /// What follows from what this node knows.
-    pub fn judge(&self) -> Quarantine {
+    pub fn quarantine(&self) -> Quarantine {
         let own = self.crashes.iter().map(|((fingerprint, replica), crash)| {
             let suspect = Suspect { fingerprint: *fingerprint, is_repeated: crash.is_repeated };
             CrashReport { replica: replica.clone(), suspects: vec![suspect], cleared: Vec::new() }
@@ -293,9 +293,9 @@
             cleared: vec![*fingerprint],
         });
         let mut own: Vec<CrashReport> = own.chain(clearings).collect();
-        let known = Quarantine::judge(self.reported.reports.iter().chain(&own));
+        let known = Quarantine::from_reports(self.reported.reports.iter().chain(&own));
         own.extend(self.last_crashes(&known));
-        Quarantine::judge(self.reported.reports.iter().chain(&own))
+        Quarantine::from_reports(self.reported.reports.iter().chain(&own))
     }
 
     /// Of requests that lack one crash to be held, runs that broke off and are likely it.
@@ -304,7 +304,7 @@
         let runs = closed.map(|broken| &broken.run);
         let is_last = |run: &&SentRun| {
             let others = known.crashes(&run.fingerprint).filter(|replica| *replica != run.replica);
-            others.count() + 1 >= CRASHES_TO_HOLD
+            others.count() + 1 >= CRASHES_TO_QUARANTINE
         };
         let report = |run: &SentRun| {
             let suspect = Suspect { fingerprint: run.fingerprint, is_repeated: run.is_repeated };
@@ -336,7 +336,7 @@
                 continue;
             }
             let due_report = due.entry(replica.clone()).or_insert_with(|| report(replica));
-            if due_report.suspects.len() < REPORTED_REQUESTS {
+            if due_report.suspects.len() < MAX_REPORTED_REQUESTS {
                 crash.is_reported = true;
                 due_report
                     .suspects
--- a/crates/core/src/request/execution/ending.rs
+++ b/crates/core/src/request/execution/ending.rs
@@ -14,7 +14,7 @@
         let release_cause =
             if state == State::Complete { ReleaseCause::Complete } else { ReleaseCause::Abandoned };
         self.release_replica(now, pool, release_cause);
-        pool.completed(now);
+        pool.record_completion(now);
         let retry_after = Some(pool.retry_after(now));
         let ledger = std::mem::replace(&mut self.ledger, Ledger::Unclaimed);
         let assembly = std::mem::replace(&mut self.assembly, Assembly::new(0));
--- a/crates/core/src/request/execution/events.rs
+++ b/crates/core/src/request/execution/events.rs
@@ -177,6 +177,6 @@
             current.has_started = true;
         }
         let took = now.saturating_since(current.dispatched_at);
-        pool.started(&current.replica, self.spec.priority, took, now);
+        pool.record_first_token(&current.replica, self.spec.priority, took, now);
     }
 }
--- a/crates/core/src/request/execution/mod.rs
+++ b/crates/core/src/request/execution/mod.rs
@@ -197,15 +197,15 @@
             ReleaseCause::Complete => {}
             ReleaseCause::Abandoned => self.cancellations.push((current.replica, current.attempt)),
             ReleaseCause::Overloaded => {
-                pool.overloaded(&current.replica, now);
+                pool.record_overload(&current.replica, now);
                 self.refused_by.push(current.replica);
             }
             ReleaseCause::NotServing => {
-                pool.failed(&current.replica, now);
+                pool.record_failure(&current.replica, now);
                 self.refused_by.push(current.replica);
             }
             ReleaseCause::Failed => {
-                pool.failed(&current.replica, now);
+                pool.record_failure(&current.replica, now);
                 self.failed_at.push(current.replica.clone());
                 self.cancellations.push((current.replica, current.attempt));
             }
--- a/crates/core/src/retry/attempt_timeout.rs
+++ b/crates/core/src/retry/attempt_timeout.rs
@@ -28,14 +28,14 @@
 const MAX_REPEATED_SCORE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The time after which a plain request that has `remaining` left may move to another replica.
-pub fn of_request(remaining: Duration) -> Duration {
+pub fn for_request(remaining: Duration) -> Duration {
     remaining.mul_f64(REMAINING_SHARE).max(MIN_TIMEOUT).min(remaining)
 }
 
 /// The time for one replica of a score request, whose route aims at an answer within `target` and may set a
 /// limit of its own. Doubled with each time that the request was cut off at the same replica: where no other
 /// can be had, a scorer that is slower than its route aims at would never answer.
-pub(crate) fn of_score_request(
+pub(crate) fn for_score_request(
     target: Duration,
     route_timeout: Option<Duration>,
     times_cut_off: u32,
--- a/crates/core/src/retry/drain_rate.rs
+++ b/crates/core/src/retry/drain_rate.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes one completion.
-    pub fn completed(&mut self, now: Timestamp) {
+    pub fn record_completion(&mut self, now: Timestamp) {
         let idle = now.saturating_since(self.updated_at) > AVERAGING_TIME;
         if idle || self.completions == 0.0 {
             *self = Self::new(now);
--- a/crates/core/src/retry/retry_after.rs
+++ b/crates/core/src/retry/retry_after.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::quarantine::TRIAL_AFTER;
+use crate::quarantine::TRIAL_DELAY;
 use crate::time::whole_millis;
 
 /// After no replica could take the request: another gateway, or a replica that has just answered, may have
@@ -46,7 +46,7 @@
     /// The node lacks something that it needs to serve the request.
     NodeShortage,
     /// The gateway refused before it asked any replica.
-    RefusedAtOnce,
+    RefusedBeforeDispatch,
     /// No node answered for the shard.
     NoShardOwner,
     /// The shard's log could not be used.
@@ -61,9 +61,9 @@
         match self {
             Self::NoReplica => AFTER_NO_REPLICA,
             Self::Warming(left) => left.clamp(AFTER_NO_REPLICA, MAX_WARMING),
-            Self::Quarantined => TRIAL_AFTER,
+            Self::Quarantined => TRIAL_DELAY,
             Self::NodeShortage => AFTER_NODE_SHORTAGE,
-            Self::RefusedAtOnce => AFTER_REFUSAL_AT_ONCE,
+            Self::RefusedBeforeDispatch => AFTER_REFUSAL_AT_ONCE,
             Self::NoShardOwner => AFTER_NO_SHARD_OWNER,
             Self::LogUnusable => AFTER_LOG_UNUSABLE,
             Self::PlatformUnavailable => AFTER_PLATFORM_UNAVAILABLE,
--- a/crates/core/src/routing/concurrency.rs
+++ b/crates/core/src/routing/concurrency.rs
@@ -30,10 +30,10 @@
     /// A first token that takes longer than this many times the best observed is congestion.
     pub congestion_ratio: f64,
     /// A first token within this time is never congestion.
-    pub tolerated_start: Duration,
+    pub tolerated_ttft: Duration,
 }
 
-/// Chosen, not measured, but for `tolerated_start`: see the head of the module.
+/// Chosen, not measured, but for `tolerated_ttft`: see the head of the module.
 impl Default for ConcurrencyConfig {
     fn default() -> Self {
         Self {
@@ -42,7 +42,7 @@
             maximum: 512,
             live_reserve_percent: 20,
             congestion_ratio: 4.0,
-            tolerated_start: Duration::from_millis(250),
+            tolerated_ttft: Duration::from_millis(250),
         }
     }
 }
@@ -111,13 +111,13 @@
     }
 
     /// Notes how long a request took to its first token while `in_flight` ran.
-    pub fn started(&mut self, priority: Priority, took: Duration, in_flight: u32, now: Timestamp) {
+    pub fn record_first_token(&mut self, priority: Priority, took: Duration, in_flight: u32, now: Timestamp) {
         let best = match priority {
             Priority::Live => &mut self.best_start,
             Priority::Rollout => &mut self.best_rollout_start,
         };
         let best = *best.insert(best.map_or(took, |best| best.min(took)));
-        let tolerated = best.mul_f64(self.config.congestion_ratio).max(self.config.tolerated_start);
+        let tolerated = best.mul_f64(self.config.congestion_ratio).max(self.config.tolerated_ttft);
         if took > tolerated {
             self.congested(priority, now);
         } else if in_flight * 2 >= self.limit_for(priority) {
@@ -126,7 +126,7 @@
     }
 
     /// Notes that the replica refused for load, or failed.
-    pub fn refused(&mut self, now: Timestamp) {
+    pub fn record_overload(&mut self, now: Timestamp) {
         if self.may_decrease(now) {
             self.limit = self.decreased(self.limit);
             self.rollout_limit = self.decreased(self.rollout_limit);
--- a/crates/core/src/routing/eligibility.rs
+++ b/crates/core/src/routing/eligibility.rs
@@ -11,7 +11,7 @@
 
 /// How long a confirmation holds. Chosen, not measured: longer sends work to engines that have gone, shorter
 /// stops work when a few probes are lost.
-pub const DEFAULT_CONFIRMATION_HOLDS: Duration = Duration::from_secs(3);
+pub const DEFAULT_CONFIRMATION_VALIDITY: Duration = Duration::from_secs(3);
 
 /// Whether a replica takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,12 +63,12 @@
     }
 
     /// Notes that the replica could not be reached or answered nothing usable: it has to confirm anew.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.confirmed_at = None;
     }
 
     /// Notes what the machine list says.
-    pub fn listed(&mut self, leaving: bool) {
+    pub fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Whether the replica should be asked for its role: it is not confirmed, or will soon not be.
-    pub(crate) fn wants_probe(&self, now: Timestamp, holds: Duration) -> bool {
+    pub(crate) fn needs_probe(&self, now: Timestamp, holds: Duration) -> bool {
         let refresh_after = holds * 2 / 3;
         self.confirmed_at.is_none_or(|confirmed_at| now >= confirmed_at + refresh_after)
     }
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -76,13 +76,13 @@
     }
 
     /// Notes a request sent to the replica.
-    pub fn sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.in_flight += 1;
         remember(&mut self.sent, now);
     }
 
     /// Notes that a request sent to the replica is over.
-    pub fn finished(&mut self, now: Timestamp) {
+    pub fn record_finished(&mut self, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
         remember(&mut self.finished, now);
     }
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -16,7 +16,7 @@
 use crate::retry::drain_rate::DrainRate;
 use crate::routing::balancer::{self, BalancerConfig, Choice};
 use crate::routing::concurrency::ConcurrencyConfig;
-use crate::routing::eligibility::{DEFAULT_CONFIRMATION_HOLDS, Eligibility};
+use crate::routing::eligibility::{DEFAULT_CONFIRMATION_VALIDITY, Eligibility};
 use crate::routing::load::LoadReport;
 use crate::routing::replica::Replica;
 use crate::routing::subset;
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolConfig {
     /// How long a replica's confirmation that it takes work holds.
-    pub confirmation_holds: Duration,
+    pub confirmation_validity: Duration,
     /// Replicas that one node uses at most; see [`crate::routing::subset`].
     pub subset_size: usize,
     /// How replicas are weighed.
@@ -54,7 +54,7 @@
 impl Default for PoolConfig {
     fn default() -> Self {
         Self {
-            confirmation_holds: DEFAULT_CONFIRMATION_HOLDS,
+            confirmation_validity: DEFAULT_CONFIRMATION_VALIDITY,
             subset_size: DEFAULT_SUBSET_SIZE,
             balancer: BalancerConfig::default(),
             concurrency: ConcurrencyConfig::default(),
@@ -153,7 +153,7 @@
     }
 
     /// Takes the machine list as it stands.
-    pub fn list(&mut self, listed: impl IntoIterator<Item = ListedReplica>) {
+    pub fn set_listed_replicas(&mut self, listed: impl IntoIterator<Item = ListedReplica>) {
         for replica in self.replicas.values_mut() {
             replica.listed = false;
         }
@@ -162,7 +162,7 @@
             let replica =
                 self.replicas.entry(entry.replica).or_insert_with(|| Replica::new(entry.zone, concurrency));
             replica.listed = true;
-            replica.confirmation.listed(entry.leaving);
+            replica.confirmation.set_listed_leaving(entry.leaving);
         }
         self.replicas.retain(|_, replica| replica.listed || replica.load.in_flight() > 0);
         self.choose_subset();
@@ -208,7 +208,7 @@
         let choice = balancer::choose(&self.config.balancer, candidates, query.prefix_group, random);
         let choice = choice.ok_or(RouteRefusal::AtLimit)?;
         if let Some(replica) = self.replicas.get_mut(&choice.replica) {
-            replica.load.sent(now);
+            replica.load.record_sent(now);
             replica.prefixes.insert(query.prefix_group);
         }
         Ok(choice)
@@ -217,7 +217,7 @@
     /// Ends what [`Pool::reserve`] began.
     pub fn release(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            replica.load.finished(now);
+            replica.load.record_finished(now);
         }
     }
 
@@ -230,38 +230,38 @@
     }
 
     /// Notes the time to the first token of a request.
-    pub fn started(&mut self, id: &ReplicaId, priority: Priority, took: Duration, now: Timestamp) {
+    pub fn record_first_token(&mut self, id: &ReplicaId, priority: Priority, took: Duration, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             let in_flight = replica.load.in_flight();
-            replica.concurrency.started(priority, took, in_flight, now);
+            replica.concurrency.record_first_token(priority, took, in_flight, now);
         }
     }
 
     /// Notes that a request came to its end.
-    pub fn completed(&mut self, now: Timestamp) {
-        self.drain_rate.completed(now);
+    pub fn record_completion(&mut self, now: Timestamp) {
+        self.drain_rate.record_completion(now);
     }
 
     /// Notes that a replica refused for load.
-    pub fn overloaded(&mut self, id: &ReplicaId, now: Timestamp) {
+    pub fn record_overload(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            replica.concurrency.refused(now);
+            replica.concurrency.record_overload(now);
         }
     }
 
     /// Notes that a replica could not be reached or broke off: it has to confirm anew.
-    pub fn failed(&mut self, id: &ReplicaId, now: Timestamp) {
+    pub fn record_failure(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            replica.concurrency.refused(now);
-            replica.confirmation.failed();
+            replica.concurrency.record_overload(now);
+            replica.confirmation.record_failure();
         }
         self.probe_answered(id);
     }
 
     /// Notes that a replica did not answer a probe.
-    pub fn probe_failed(&mut self, id: &ReplicaId) {
+    pub fn record_probe_failure(&mut self, id: &ReplicaId) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            replica.confirmation.failed();
+            replica.confirmation.record_failure();
         }
         self.probe_answered(id);
     }
@@ -274,9 +274,9 @@
 
     /// Replicas whose confirmation runs out soon, each at most once in a while.
     pub fn due_probes(&mut self, now: Timestamp, most: usize) -> Vec<ReplicaId> {
-        let holds = self.config.confirmation_holds;
+        let holds = self.config.confirmation_validity;
         let used = self.replicas.iter().filter(|(_, replica)| replica.in_subset);
-        let wanting = used.filter(|(_, replica)| replica.confirmation.wants_probe(now, holds));
+        let wanting = used.filter(|(_, replica)| replica.confirmation.needs_probe(now, holds));
         let due = wanting
             .filter(|(id, _)| self.probes.get(*id).is_none_or(|probe| now >= probe.asked_at + PROBE_PAUSE));
         let due: Vec<ReplicaId> = due.map(|(id, _)| id.clone()).take(most).collect();
@@ -298,7 +298,7 @@
     }
 
     fn eligible(&self, query: &RouteQuery<'_>, now: Timestamp) -> Vec<(&ReplicaId, &Replica)> {
-        let holds = self.config.confirmation_holds;
+        let holds = self.config.confirmation_validity;
         let eligible = self.replicas.iter().filter(|(_, replica)| {
             replica.in_subset
                 && replica.confirmation.eligibility(now, holds) == Eligibility::Eligible
--- a/crates/core/tests/cold_replicas.rs
+++ b/crates/core/tests/cold_replicas.rs
@@ -14,7 +14,7 @@
 use lichenpulley_core::ingress::replicas::ReplicaRecord;
 use lichenpulley_core::ingress::routes::{ColdBounds, Route, RouteKind, RouteTable, WeightedService};
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
-use lichenpulley_core::ingress::warmups::{ColdCause, Warmups};
+use lichenpulley_core::ingress::warmups::{ColdCause, WarmupTracker};
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -31,7 +31,7 @@
 /// Routes whose engines are cold for a while, with a route of this kind to them beside the batch jobs.
 fn cold_routes(per_second: f64, callers: bool, batch: bool) -> RouteTable {
     let mut table = RouteTable::clone(&routes(false));
-    let bounds = ColdBounds { per_second, lasts: LASTS };
+    let bounds = ColdBounds { per_second, duration: LASTS };
     table.services.get_mut("engines").expect("the service").cold = Some(bounds);
     let scorers = table.services["engines"].clone();
     table.services.insert("scorers".to_owned(), scorers);
@@ -89,12 +89,12 @@
 
     fn gateway(&self, gateway: usize, from_ms: u64) -> Sender {
         let order = GatewayOrder::new(node(gateway), at(from_ms));
-        let gate = AdmissionGate::new(Warmups::of_gateway(order, at(from_ms)));
+        let gate = AdmissionGate::new(WarmupTracker::of_gateway(order, at(from_ms)));
         Sender { gate, until_ms: u64::MAX }
     }
 
     fn owner(from_ms: u64, until_ms: u64) -> Sender {
-        Sender { gate: AdmissionGate::new(Warmups::of_owner(at(from_ms))), until_ms }
+        Sender { gate: AdmissionGate::new(WarmupTracker::of_owner(at(from_ms))), until_ms }
     }
 
     /// When requests to the replica left while it was cold. Each sender sends as soon as its gate is open.
@@ -128,8 +128,8 @@
                 if now_ms % 200 == 0 {
                     sender.look(&table, &record, &self.view(number.min(self.gateways - 1)), at(now_ms));
                 }
-                if is_cold && sender.gate.judge(&record, at(now_ms)).is_open() {
-                    sender.gate.sent(&record, at(now_ms));
+                if is_cold && sender.gate.admission(&record, at(now_ms)).is_open() {
+                    sender.gate.record_sent(&record, at(now_ms));
                     left.push(now_ms + waits.next().expect("some"));
                 }
             }
@@ -223,14 +223,14 @@
     let (table, record) = (cold_routes(3.0, true, false), cold("r", LASTS));
     let opens = |is_joined: bool| {
         let order = GatewayOrder::new(node(0), at(0));
-        let mut gate = AdmissionGate::new(Warmups::of_gateway(order, at(0)));
+        let mut gate = AdmissionGate::new(WarmupTracker::of_gateway(order, at(0)));
         gate.warmups_mut().set_routes(&table);
         let mut opened = None;
         for now_ms in (0..5_000).step_by(100) {
             let order = gate.warmups_mut().order_mut().expect("a gateway");
             order.observe([node(0)].iter(), is_joined, at(now_ms));
             gate.warmups_mut().set_replicas(std::iter::once(&record), at(now_ms));
-            if opened.is_none() && gate.judge(&record, at(now_ms)).is_open() {
+            if opened.is_none() && gate.admission(&record, at(now_ms)).is_open() {
                 opened = Some(now_ms);
             }
         }
@@ -241,7 +241,7 @@
 }
 
 fn owner_gate(records: &[ReplicaRecord]) -> AdmissionGate {
-    let mut gate = AdmissionGate::new(Warmups::of_owner(at(0)));
+    let mut gate = AdmissionGate::new(WarmupTracker::of_owner(at(0)));
     gate.warmups_mut().set_routes(&cold_routes(2.0, false, true));
     gate.warmups_mut().set_replicas(records.iter(), at(5_000));
     gate
@@ -254,10 +254,13 @@
     assert!(!gate.is_cold("a", at(5_000)));
     let zones = BTreeSet::from([records[0].zone.clone()]);
     gate.set_evacuated(Arc::new(EvacuatedZones { zones }), at(6_000));
-    assert_eq!(gate.judge(&records[0], at(6_000)), Admission::Evacuated);
+    assert_eq!(gate.admission(&records[0], at(6_000)), Admission::Evacuated);
     gate.set_evacuated(Arc::default(), at(10_000));
     assert!(gate.is_cold("a", at(10_000)) && gate.is_cold("b", at(10_000)));
-    assert_eq!(gate.warmups().spell("a", at(10_000)).map(|spell| spell.cause), Some(ColdCause::ZoneReturned));
+    assert_eq!(
+        gate.warmups().cold_period("a", at(10_000)).map(|spell| spell.cause),
+        Some(ColdCause::ZoneReturned)
+    );
     // A record that may have been written before proves nothing, a later one does.
     let written = |version: u64| [replica("a", version), replica("b", 1)];
     gate.warmups_mut().set_replicas(written(2).iter(), at(10_500));
@@ -271,7 +274,7 @@
 #[test]
 fn a_record_that_says_nothing_counts_as_that_of_a_replica_just_started() {
     let gate = owner_gate(&[cold("a", ReplicaRecord::COLD_UNKNOWN), cold("b", Duration::ZERO)]);
-    let spell = gate.warmups().spell("a", at(5_000)).expect("cold");
+    let spell = gate.warmups().cold_period("a", at(5_000)).expect("cold");
     assert_eq!((spell.cause, spell.until), (ColdCause::Unknown, at(11_000)));
     assert!(!gate.is_cold("b", at(5_000)));
 }
@@ -279,8 +282,8 @@
 #[test]
 fn a_replica_that_turns_cold_between_two_looks_is_closed_at_once() {
     let gate = owner_gate(&[replica("a", 1)]);
-    assert_eq!(gate.judge(&cold("a", LASTS), at(5_100)), Admission::Warming(at(11_100)));
-    assert_eq!(gate.judge(&cold("new", LASTS), at(5_100)), Admission::Warming(at(11_100)));
+    assert_eq!(gate.admission(&cold("a", LASTS), at(5_100)), Admission::Warming(at(11_100)));
+    assert_eq!(gate.admission(&cold("new", LASTS), at(5_100)), Admission::Warming(at(11_100)));
 }
 
 #[test]
@@ -289,7 +292,7 @@
     let mut take = |left_ms: u64, now_ms: u64| {
         let record = cold("a", Duration::from_millis(left_ms));
         gate.warmups_mut().set_replicas(std::iter::once(&record), at(now_ms));
-        gate.warmups().spell("a", at(now_ms)).map(|spell| spell.until)
+        gate.warmups().cold_period("a", at(now_ms)).map(|spell| spell.until)
     };
     assert_eq!(take(4_000, 7_500), Some(at(11_000)), "the same cold time, from an older record");
     assert_eq!(take(3_000, 7_600), Some(at(10_600)));
--- a/crates/core/tests/drain_rate.rs
+++ b/crates/core/tests/drain_rate.rs
@@ -11,7 +11,7 @@
     let mut now = begin;
     for _ in 0..per_second * seconds {
         now = now + gap;
-        rate.completed(now);
+        rate.record_completion(now);
     }
     now
 }
@@ -36,7 +36,7 @@
     let mut now = Timestamp::from_millis(60_000);
     // The first of a batch complete every five milliseconds, with 64 more ahead.
     for completion in 1..=50 {
-        rate.completed(now);
+        rate.record_completion(now);
         let wait = rate.retry_after(now, 64);
         assert!(wait < Duration::from_secs(3), "{wait:?} after {completion}");
         now = now + Duration::from_millis(5);
--- a/crates/core/tests/evacuations.rs
+++ b/crates/core/tests/evacuations.rs
@@ -17,7 +17,7 @@
 use lichenpulley_core::ingress::admission::{Admission, AdmissionGate, EvacuatedZones};
 use lichenpulley_core::ingress::replicas::ReplicaRecord;
 use lichenpulley_core::ingress::routes::{RouteTable, ScalingBounds};
-use lichenpulley_core::ingress::warmups::Warmups;
+use lichenpulley_core::ingress::warmups::WarmupTracker;
 use lichenpulley_core::scaling::ScalingPolicy;
 use lichenpulley_core::usage::window::WallTime;
 use proptest::prelude::*;
@@ -82,7 +82,7 @@
     fn new() -> Self {
         let owner = OwnerHarness::new(Ledger::default(), false, &replicas());
         let (sender, truth, told) =
-            (AdmissionGate::new(Warmups::of_owner(at(0))), BTreeSet::new(), BTreeSet::new());
+            (AdmissionGate::new(WarmupTracker::of_owner(at(0))), BTreeSet::new(), BTreeSet::new());
         let (ended, scored) = (BTreeSet::new(), BTreeSet::new());
         Self { owner, sender, truth, told, now_ms: 0, jobs: 0, ended, scored }
     }
@@ -170,8 +170,8 @@
         for step in &steps {
             world.take(step);
             for record in replicas() {
-                let judged = world.sender.judge(&record, at(world.now_ms));
-                let is_closed = world.sender.evacuated().closes(&record);
+                let judged = world.sender.admission(&record, at(world.now_ms));
+                let is_closed = world.sender.evacuated().is_evacuated(&record);
                 prop_assert_eq!(judged == Admission::Evacuated, is_closed);
             }
         }
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
+use lichenpulley_core::ingress::attempts::{Attempts, NextStep, SendOutcome};
 use lichenpulley_core::ingress::chooser::{ReplicaChooser, ReplicaFeedback};
 use lichenpulley_core::ingress::places::AllowedRegions;
 use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
@@ -85,11 +85,11 @@
             ));
             prop_assert!(sends <= max_sends);
             prop_assert!(is_repeatable || may_have_run <= 1);
-            match attempts.after(outcome, LONG) {
-                Next::TryAnother => continue,
-                Next::GiveUpNotRun => prop_assert_eq!(may_have_run, 0),
-                Next::GiveUpUnknown => prop_assert!(may_have_run > 0),
-                Next::Answer => prop_assert_eq!(outcome, SendOutcome::Failed),
+            match attempts.next_step(outcome, LONG) {
+                NextStep::TryAnother => continue,
+                NextStep::GiveUpNotRun => prop_assert_eq!(may_have_run, 0),
+                NextStep::GiveUpUnknown => prop_assert!(may_have_run > 0),
+                NextStep::Answer => prop_assert_eq!(outcome, SendOutcome::Failed),
             }
             break;
         }
@@ -103,14 +103,14 @@
     assert!(!Attempts::new(true, 1).may_move(LONG));
     assert!(!Attempts::new(true, 2).may_move(Duration::from_millis(1)));
     let mut attempts = Attempts::new(true, 2);
-    attempts.after(SendOutcome::TimedOut, LONG);
+    attempts.next_step(SendOutcome::TimedOut, LONG);
     assert!(!attempts.may_move(LONG));
 }
 
 #[test]
 fn nothing_is_tried_again_without_time() {
     let mut attempts = Attempts::new(true, 3);
-    assert_eq!(attempts.after(SendOutcome::Rejected, Duration::from_millis(1)), Next::GiveUpNotRun);
+    assert_eq!(attempts.next_step(SendOutcome::Rejected, Duration::from_millis(1)), NextStep::GiveUpNotRun);
 }
 
 fn replica(id: &str) -> ReplicaRecord {
@@ -155,8 +155,8 @@
         ("slow", ReplicaFeedback::Answered(Duration::from_millis(200))),
         ("good", ReplicaFeedback::Answered(Duration::from_millis(20))),
     ] {
-        chooser.sent(id);
-        chooser.ended(id, feedback, now);
+        chooser.record_sent(id);
+        chooser.record_end(id, feedback, now);
     }
     for random in 0..16 {
         let chosen = choose(&chooser, &table, &[], now, random).expect("a replica");
@@ -175,7 +175,7 @@
     let table = replicas(vec![replica("full"), replica("free")]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
-    chooser.reported("full", 12, now);
+    chooser.record_reported_load("full", 12, now);
     for random in 0..8 {
         assert_eq!(choose(&chooser, &table, &[], now, random).expect("a replica").id, "free");
     }
@@ -186,11 +186,11 @@
     let table = replicas(vec![replica("cold"), replica("other")]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
-    chooser.ended("other", ReplicaFeedback::Answered(Duration::from_millis(30)), now);
-    chooser.ended("cold", ReplicaFeedback::Silent, now);
+    chooser.record_end("other", ReplicaFeedback::Answered(Duration::from_millis(30)), now);
+    chooser.record_end("cold", ReplicaFeedback::Silent, now);
     let chosen =
         |chooser: &ReplicaChooser| choose(chooser, &table, &[], now, 0).map(|record| record.id.clone());
     assert_eq!(chosen(&chooser).as_deref(), Some("other"));
-    chooser.ended("cold", ReplicaFeedback::AnsweredCold, now);
+    chooser.record_end("cold", ReplicaFeedback::AnsweredCold, now);
     assert_eq!(chosen(&chooser).as_deref(), Some("cold"), "as one that was never measured");
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,7 +6,8 @@
 
 use lichenpulley_core::ingress::replicas::{ReplicaRecord, ReplicaTable};
 use lichenpulley_core::quarantine::{
-    BreakCause, CrashReport, CrashWatch, Fingerprint, Quarantine, RequestContent, RunSender, SentRun, Suspect,
+    BreakCause, CrashMonitor, CrashReport, Fingerprint, Quarantine, RequestContent, RunSender, SentRun,
+    Suspect,
 };
 use lichenpulley_core::time::Timestamp;
 use proptest::prelude::*;
@@ -38,11 +39,11 @@
 }
 
 fn held(reports: &[CrashReport]) -> Vec<usize> {
-    let verdict = Quarantine::judge(reports.iter());
-    (0..100).filter(|number| verdict.holds(&request(*number))).collect()
+    let verdict = Quarantine::from_reports(reports.iter());
+    (0..100).filter(|number| verdict.contains(&request(*number))).collect()
 }
 
-fn sent(number: usize, at_replica: usize, sender: RunSender, watch: &CrashWatch, at: Timestamp) -> SentRun {
+fn sent(number: usize, at_replica: usize, sender: RunSender, watch: &CrashMonitor, at: Timestamp) -> SentRun {
     SentRun {
         fingerprint: request(number),
         replica: replica(at_replica),
@@ -59,9 +60,9 @@
 }
 
 /// A run that breaks off at a replica that ends then.
-fn ends_under(watch: &mut CrashWatch, number: usize, at_replica: usize, now: Timestamp) {
+fn ends_under(watch: &mut CrashMonitor, number: usize, at_replica: usize, now: Timestamp) {
     let run = sent(number, at_replica, RunSender::Gateway, watch, now);
-    watch.run_broke(run, BreakCause::Closed, true, now);
+    watch.run_broken(run, BreakCause::Closed, true, now);
     watch.replica_ended(&replica(at_replica), now);
 }
 
@@ -128,12 +129,12 @@
     let cleared = CrashReport { replica: replica(1), suspects: Vec::new(), cleared: vec![request(7)] };
     crashes.push(cleared);
     assert_eq!(held(&crashes), [0; 0]);
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     watch.set_reports(crashes, at(0));
     ends_under(&mut watch, 7, 3, at(0));
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.quarantine().contains(&request(7)));
     assert!(watch.release(&request(7), at(10)));
-    assert!(watch.judge().is_empty());
+    assert!(watch.quarantine().is_empty());
     // All others are told of it.
     let told = watch.due_reports(at(20));
     assert_eq!(told.iter().map(|report| report.cleared.len()).sum::<usize>(), 2);
@@ -142,30 +143,30 @@
 
 #[test]
 fn a_request_that_is_answered_often_is_not_held_however_many_replicas_end_while_it_runs() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     let answered = sent(7, 0, RunSender::Gateway, &watch, at(0));
     watch.run_ended(&answered, at(10));
     for number in 0..5 {
         ends_under(&mut watch, 7, number, at(100));
     }
-    assert!(watch.judge().is_empty() && watch.due_reports(at(2_000)).is_empty());
+    assert!(watch.quarantine().is_empty() && watch.due_reports(at(2_000)).is_empty());
     // Other nodes did not see it answered, and told of it: this one takes it back.
     watch.set_reports((0..5).map(|number| crash(number, &[7])).collect(), at(3_000));
-    assert!(watch.judge().is_empty());
+    assert!(watch.quarantine().is_empty());
     assert_eq!(watch.due_reports(at(3_100)).iter().map(|report| report.cleared.len()).sum::<usize>(), 5);
     // It is not answered any more, and ends replicas: half a minute later it is held.
     for number in 5..8 {
         ends_under(&mut watch, 7, number, at(31_000));
     }
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.quarantine().contains(&request(7)));
 }
 
 #[test]
 fn a_run_that_breaks_off_counts_only_where_its_replica_ended() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     for number in 0..5 {
         let run = sent(7, number, RunSender::Gateway, &watch, at(0));
-        watch.run_broke(run, BreakCause::Closed, true, at(0));
+        watch.run_broken(run, BreakCause::Closed, true, at(0));
     }
     assert!(watch.is_suspected(&request(7)));
     let record = |number: usize, id: usize| ReplicaRecord {
@@ -184,33 +185,33 @@
     };
     // They are all there.
     watch.set_replicas(&table((0..5).map(|number| record(number, number)).collect()), at(100));
-    assert!(watch.judge().is_empty());
+    assert!(watch.quarantine().is_empty());
     // One that is not listed when the run breaks off there has ended.
-    let mut late = CrashWatch::default();
+    let mut late = CrashMonitor::default();
     for number in 0..3 {
         let run = sent(8, number, RunSender::Gateway, &late, at(0));
-        assert!(late.run_broke(run, BreakCause::GivenUp, false, at(0)));
+        assert!(late.run_broken(run, BreakCause::GivenUp, false, at(0)));
     }
-    assert!(late.judge().holds(&request(8)));
+    assert!(late.quarantine().contains(&request(8)));
     // One is gone, two have their addresses taken by new lives beside the old entries: that is three.
     let mut records: Vec<ReplicaRecord> = (1..5).map(|number| record(number, number)).collect();
     records.extend([record(1, 11), record(2, 12)]);
     assert!(watch.set_replicas(&table(records), at(200)));
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.quarantine().contains(&request(7)));
 }
 
 #[test]
 fn a_request_that_lacks_one_crash_is_held_as_soon_as_a_connection_closes_until_it_is_known_why() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     for number in 0..2 {
         ends_under(&mut watch, 7, number, at(0));
     }
     let given_up = sent(7, 2, RunSender::Gateway, &watch, at(100));
-    assert!(!watch.run_broke(given_up, BreakCause::GivenUp, true, at(200)));
-    assert!(watch.judge().is_empty());
+    assert!(!watch.run_broken(given_up, BreakCause::GivenUp, true, at(200)));
+    assert!(watch.quarantine().is_empty());
     let closed = sent(7, 3, RunSender::Gateway, &watch, at(300));
-    assert!(watch.run_broke(closed, BreakCause::Closed, true, at(400)));
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.run_broken(closed, BreakCause::Closed, true, at(400)));
+    assert!(watch.quarantine().contains(&request(7)));
     // Nothing is told of what is not known.
     let told = watch.due_reports(at(500));
     assert_eq!(
@@ -219,15 +220,15 @@
     );
     // The replica is still there after ten seconds: it did not end.
     assert!(watch.expire(at(10_500)));
-    assert!(watch.judge().is_empty());
+    assert!(watch.quarantine().is_empty());
     // Of one that met no crash yet a closed connection says nothing.
     let first = sent(8, 3, RunSender::Gateway, &watch, at(300));
-    assert!(!watch.run_broke(first, BreakCause::Closed, true, at(400)));
+    assert!(!watch.run_broken(first, BreakCause::Closed, true, at(400)));
 }
 
 #[test]
 fn what_was_answered_elsewhere_is_not_told_and_a_replica_that_answers_did_not_end() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     for (number, request) in [(0, 7), (1, 8)] {
         ends_under(&mut watch, request, number, at(0));
     }
@@ -235,7 +236,7 @@
     assert!(watch.run_ended(&answered, at(10)));
     // An answer that was on its way before says nothing of the replica.
     let earlier = SentRun { sent_at: at(0), ..sent(9, 1, RunSender::Gateway, &watch, at(0)) };
-    let told_to = |watch: &mut CrashWatch| {
+    let told_to = |watch: &mut CrashMonitor| {
         let told = watch.due_reports(at(2_000));
         told.iter().flat_map(|report| report.suspects.clone()).map(|suspect| suspect.fingerprint).collect()
     };
@@ -248,44 +249,44 @@
 
 #[test]
 fn items_that_ran_at_one_crash_are_not_told_and_a_groups_runs_count_once() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     // Three runs of one request were under way together when three replicas ended.
     let runs: Vec<SentRun> = (0..3).map(|number| sent(7, number, RunSender::Owner, &watch, at(0))).collect();
     for (number, run) in runs.into_iter().enumerate() {
-        watch.run_broke(run, BreakCause::Closed, true, at(50));
+        watch.run_broken(run, BreakCause::Closed, true, at(50));
         watch.replica_ended(&replica(number), at(50));
     }
     assert!(watch.due_reports(at(2_000)).is_empty());
     for number in 3..5 {
         let now = at(3_000 + number as u64);
         let run = sent(7, number, RunSender::Owner, &watch, now);
-        watch.run_broke(run, BreakCause::Closed, true, now);
+        watch.run_broken(run, BreakCause::Closed, true, now);
         watch.replica_ended(&replica(number), now);
     }
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.quarantine().contains(&request(7)));
     assert_eq!(watch.due_reports(at(5_000)).len(), 3);
 }
 
 #[test]
 fn runs_that_follow_each_other_count_though_it_is_known_late_that_their_replicas_ended() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     for number in 0..3 {
         let run = sent(7, number, RunSender::Owner, &watch, at(100 * number as u64));
-        watch.run_broke(run, BreakCause::Closed, true, at(100 * number as u64 + 50));
+        watch.run_broken(run, BreakCause::Closed, true, at(100 * number as u64 + 50));
     }
     // That the first ended is known last, and after all runs were sent.
     for number in (0..3).rev() {
         assert!(watch.replica_ended(&replica(number), at(5_000)));
     }
-    assert!(watch.judge().holds(&request(7)));
+    assert!(watch.quarantine().contains(&request(7)));
 }
 
 #[test]
 fn what_a_node_keeps_is_bounded_and_ends() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashMonitor::default();
     for number in 0..5_000 {
         let run = SentRun { replica: replica(number), ..sent(number, 0, RunSender::Gateway, &watch, at(0)) };
-        watch.run_broke(run, BreakCause::Closed, true, at(0));
+        watch.run_broken(run, BreakCause::Closed, true, at(0));
     }
     let kept = (0..5_000).filter(|number| watch.is_suspected(&request(*number))).count();
     assert_eq!(kept, 1_024);
@@ -336,13 +337,13 @@
 #[test]
 fn an_answer_of_the_next_life_of_a_replica_does_not_clear_what_ended_the_one_before() {
     let crashes_after_answer_at = |milliseconds: u64| {
-        let mut watch = CrashWatch::default();
+        let mut watch = CrashMonitor::default();
         let run = SentRun { may_restart: true, ..sent(7, 1, RunSender::Gateway, &watch, at(0)) };
-        watch.run_broke(run, BreakCause::Closed, true, at(10));
+        watch.run_broken(run, BreakCause::Closed, true, at(10));
         watch.replica_ended(&replica(1), at(20));
         let later = SentRun { may_restart: true, ..sent(8, 1, RunSender::Gateway, &watch, at(milliseconds)) };
         watch.run_ended(&later, at(milliseconds + 5));
-        watch.judge().crashes(&request(7)).count()
+        watch.quarantine().crashes(&request(7)).count()
     };
     assert_eq!(crashes_after_answer_at(500), 1);
     assert_eq!(crashes_after_answer_at(12_000), 0);
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -43,7 +43,7 @@
         route.regions = if is_batch { batch.clone() } else { scorers.clone() };
     }
     let held = Tenant::new(TenantName::new("anna"), ["key"], None).expect("a tenant");
-    table.tenants = Some(TenantDirectory::new(vec![held.within(tenant.clone())]).expect("a directory"));
+    table.tenants = Some(TenantDirectory::new(vec![held.with_regions(tenant.clone())]).expect("a directory"));
     table
 }
 
@@ -59,8 +59,8 @@
         prop_assert_eq!(&both, &right.intersect(&left));
         prop_assert_eq!(both.intersect(&other), left.intersect(&right.intersect(&other)));
         prop_assert!(left.includes(&both) && right.includes(&both));
-        let is_nowhere = !both.is_all() && REGIONS.iter().all(|name| !both.allows(Some(&RegionName::new(*name))));
-        prop_assert_eq!(both.is_nowhere(), is_nowhere);
+        let allows_none = !both.is_all() && REGIONS.iter().all(|name| !both.allows(Some(&RegionName::new(*name))));
+        prop_assert_eq!(both.allows_none(), allows_none);
     }
 
     /// Names that are told apart are kept apart, and a shard's name alone tells where it may be.
--- a/crates/core/tests/request_retry.rs
+++ b/crates/core/tests/request_retry.rs
@@ -51,7 +51,7 @@
     let mut now = Timestamp::ORIGIN;
     for _ in 0..1_000 {
         now = now + Duration::from_millis(100);
-        rate.completed(now);
+        rate.record_completion(now);
     }
     let soon = rate.retry_after(now, 9);
     assert!(soon > Duration::from_millis(800) && soon < Duration::from_millis(1_200), "{soon:?}");
@@ -72,7 +72,7 @@
     let after_ms = |cause: RetryCause| cause.retry_after().as_millis();
     assert_eq!(after_ms(RetryCause::NoReplica), 100);
     assert_eq!(after_ms(RetryCause::NodeShortage), 400);
-    assert_eq!(after_ms(RetryCause::RefusedAtOnce), 1_000);
+    assert_eq!(after_ms(RetryCause::RefusedBeforeDispatch), 1_000);
     assert_eq!(after_ms(RetryCause::Quarantined), 300_000);
     assert_eq!(after_ms(RetryCause::NoShardOwner), 1_000);
     assert_eq!(after_ms(RetryCause::LogUnusable), 1_000);
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -29,7 +29,7 @@
     let mut pool = Pool::new("node".into(), PoolConfig::default(), now);
     let ids: Vec<ReplicaId> =
         (0..replicas).map(|number| ReplicaId::new(format!("replica-{number}"))).collect();
-    pool.list(ids.iter().map(|replica| ListedReplica {
+    pool.set_listed_replicas(ids.iter().map(|replica| ListedReplica {
         replica: replica.clone(),
         zone: "zone".into(),
         leaving: false,
@@ -69,10 +69,10 @@
 #[test]
 fn the_machine_list_can_only_take_eligibility_away() {
     let mut confirmation = Confirmation::default();
-    confirmation.listed(false);
+    confirmation.set_listed_leaving(false);
     assert_eq!(confirmation.eligibility(at(0), HOLDS), Eligibility::Unconfirmed);
     confirmation.observe(at(10), Duration::ZERO, EngineRole::Serving, at(11));
-    confirmation.listed(true);
+    confirmation.set_listed_leaving(true);
     assert_eq!(confirmation.eligibility(at(12), HOLDS), Eligibility::Leaving);
 }
 
@@ -95,13 +95,13 @@
 #[test]
 fn own_requests_correct_a_lagging_report() {
     let mut load = LoadEstimate::default();
-    load.sent(at(100));
+    load.record_sent(at(100));
     load.observe(at(500), report(5));
     assert_eq!(load.streams(), 5, "the report counts what was sent before it");
-    load.sent(at(600));
-    load.sent(at(700));
+    load.record_sent(at(600));
+    load.record_sent(at(700));
     assert_eq!(load.streams(), 7);
-    load.finished(at(800));
+    load.record_finished(at(800));
     assert_eq!(load.streams(), 6);
     load.observe(at(650), report(4));
     assert_eq!(load.streams(), 4, "one sent and one finished since the report");
@@ -129,9 +129,9 @@
 fn congestion_sheds_rollouts_before_live_requests_and_the_limits_climb_back() {
     let mut limit = ConcurrencyLimit::new(ConcurrencyConfig::default());
     let before = limit.limit();
-    limit.started(Priority::Live, SOON, before, at(0));
+    limit.record_first_token(Priority::Live, SOON, before, at(0));
     for millisecond in 0..10 {
-        limit.started(Priority::Live, LATE, before, at(100 + millisecond));
+        limit.record_first_token(Priority::Live, LATE, before, at(100 + millisecond));
     }
     let fallen = limit.limit_for(Priority::Rollout);
     assert!(
@@ -140,14 +140,14 @@
     );
     assert_eq!(limit.limit(), before);
     for second in 1..60 {
-        limit.started(Priority::Live, LATE, before, at(1_000 * second));
+        limit.record_first_token(Priority::Live, LATE, before, at(1_000 * second));
     }
     assert_eq!(limit.limit_for(Priority::Rollout), 1);
     let shed = limit.limit();
     assert!(shed < before, "then live requests are held back too");
     for millisecond in 0..1_000 {
-        limit.started(Priority::Live, SOON, shed, at(100_000 + millisecond));
-        limit.started(Priority::Rollout, SOON, shed, at(100_000 + millisecond));
+        limit.record_first_token(Priority::Live, SOON, shed, at(100_000 + millisecond));
+        limit.record_first_token(Priority::Rollout, SOON, shed, at(100_000 + millisecond));
     }
     assert!(limit.limit() > shed);
     assert!(limit.limit_for(Priority::Rollout) > 1);
@@ -157,9 +157,9 @@
 fn rollouts_that_wait_behind_live_requests_don_t_hold_those_back() {
     let mut limit = ConcurrencyLimit::new(ConcurrencyConfig::default());
     let before = limit.limit();
-    limit.started(Priority::Rollout, SOON, before, at(0));
+    limit.record_first_token(Priority::Rollout, SOON, before, at(0));
     for second in 1..60 {
-        limit.started(Priority::Rollout, LATE, before, at(1_000 * second));
+        limit.record_first_token(Priority::Rollout, LATE, before, at(1_000 * second));
     }
     assert_eq!(limit.limit(), before);
 }
@@ -203,12 +203,12 @@
     };
     let config = PoolConfig { subset_size: 8, ..PoolConfig::default() };
     let mut pool = Pool::new("node".into(), config, at(0));
-    pool.list(listed(100, usize::MAX));
+    pool.set_listed_replicas(listed(100, usize::MAX));
     let before = subset(&pool);
     assert_eq!(before.len(), 8);
     let gone = before.iter().next().expect("a replica");
     let number = gone.as_str().trim_start_matches("replica-").parse().expect("its number");
-    pool.list(listed(100, number));
+    pool.set_listed_replicas(listed(100, number));
     let after = subset(&pool);
     assert_eq!(after.len(), 8);
     assert_eq!(before.intersection(&after).count(), 7, "only the one that leaves is replaced");
--- a/crates/core/tests/selection.rs
+++ b/crates/core/tests/selection.rs
@@ -14,7 +14,7 @@
     NoCandidate, ReplicaSelector, SelectedReplica, SelectionQuery, StayReason,
 };
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
-use lichenpulley_core::ingress::warmups::Warmups;
+use lichenpulley_core::ingress::warmups::WarmupTracker;
 use lichenpulley_core::time::Timestamp;
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
@@ -61,13 +61,13 @@
         memory_tokens: None,
         models: Vec::new(),
         scaling: None,
-        cold: Some(ColdBounds { per_second: 10.0, lasts: COLD }),
+        cold: Some(ColdBounds { per_second: 10.0, duration: COLD }),
     };
     let limits = Limits { header_bytes: 1, body_bytes: 1, header_timeout: COLD, idle_timeout: COLD };
     let services = BTreeMap::from([("a".to_owned(), service)]);
     let routes = RouteTable { version: 1, routes: Vec::new(), services, limits, tenants: None };
     let order = GatewayOrder::new(NodeId::new("gateway"), Timestamp::ORIGIN);
-    let mut warmups = Warmups::of_gateway(order, Timestamp::ORIGIN);
+    let mut warmups = WarmupTracker::of_gateway(order, Timestamp::ORIGIN);
     warmups.set_routes(&routes);
     ReplicaSelector::new(warmups)
 }
@@ -176,7 +176,7 @@
     let first = select(&mut selector, &table, &[]).expect("a replica").record.id;
     let second = select(&mut selector, &table, &[]).expect("a replica").record.id;
     assert_ne!(first, second, "the idle one is expected to answer sooner");
-    selector.ended(&first, ReplicaFeedback::Abandoned, NOW);
+    selector.record_end(&first, ReplicaFeedback::Abandoned, NOW);
     assert_eq!(id(&select(&mut selector, &table, &[])), Some(first.as_str()));
 }
 
@@ -212,7 +212,7 @@
         tried: &tried,
         is_quarantined: false,
     };
-    selector.select_instead(&query, left.is_cold, table, evacuated(zones_evacuated), NOW, 0)
+    selector.select_alternative(&query, left.is_cold, table, evacuated(zones_evacuated), NOW, 0)
 }
 
 #[test]
@@ -254,7 +254,7 @@
     for feedback in [ReplicaFeedback::Silent, ReplicaFeedback::Full] {
         let mut selector = selector();
         let other = select(&mut selector, &table, &[]).expect("a replica");
-        selector.ended(&other.record.id, feedback, NOW);
+        selector.record_end(&other.record.id, feedback, NOW);
         let first = select(&mut selector, &table, &[]).expect("the other one");
         assert_ne!(first.record.id, other.record.id);
         let selected = select_instead_of(&mut selector, &table, &first, &[]);
@@ -289,9 +289,9 @@
     let mut selector = selector();
     let other = select(&mut selector, &table, &[]).expect("a replica").record.id;
     let dark = select(&mut selector, &table, &[]).expect("the other one").record.id;
-    selector.ended(&other, ReplicaFeedback::Answered(Duration::from_millis(90)), NOW);
-    selector.late(&dark, NOW);
+    selector.record_end(&other, ReplicaFeedback::Answered(Duration::from_millis(90)), NOW);
+    selector.mark_late(&dark, NOW);
     assert_eq!(id(&select(&mut selector, &table, &[])), Some(other.as_str()), "though it is slower");
-    selector.ended(&dark, ReplicaFeedback::Answered(Duration::from_millis(5)), NOW);
+    selector.record_end(&dark, ReplicaFeedback::Answered(Duration::from_millis(5)), NOW);
     assert_eq!(id(&select(&mut selector, &table, &[])), Some(dark.as_str()));
 }
--- a/crates/core/tests/tenants.rs
+++ b/crates/core/tests/tenants.rs
@@ -2,7 +2,7 @@
 
 use lichenpulley_core::identity::TenantName;
 use lichenpulley_core::ingress::tenants::{
-    KEY_LIMIT_BYTES, KeyDigest, KeyError, Tenant, TenantDirectory, TenantError,
+    KeyDigest, KeyError, MAX_KEY_BYTES, Tenant, TenantDirectory, TenantError,
 };
 use proptest::prelude::*;
 
@@ -14,11 +14,11 @@
 fn a_key_finds_its_holder_and_no_other() {
     let directory = TenantDirectory::new(vec![tenant("one", &["a", "b"]), tenant("two", &["c"])]);
     let directory = directory.expect("a directory");
-    let holder = |key| directory.holder(key).map(|tenant| tenant.name.as_str().to_owned());
+    let holder = |key| directory.find_by_key(key).map(|tenant| tenant.name.as_str().to_owned());
     assert_eq!(holder("a").as_deref(), Some("one"));
     assert_eq!(holder("b").as_deref(), Some("one"));
     assert_eq!(holder("c").as_deref(), Some("two"));
-    for unknown in ["", "A", "a ", "d", &"a".repeat(KEY_LIMIT_BYTES + 1)] {
+    for unknown in ["", "A", "a ", "d", &"a".repeat(MAX_KEY_BYTES + 1)] {
         assert_eq!(holder(unknown), None, "{unknown}");
     }
 }
@@ -28,10 +28,10 @@
     let name = TenantName::new("one");
     let refused = |key: &str| Tenant::new(name.clone(), [key], None).expect_err("a bad key").to_string();
     assert!(refused("").contains("one") && refused("").contains("empty"));
-    let long = "k".repeat(KEY_LIMIT_BYTES + 1);
+    let long = "k".repeat(MAX_KEY_BYTES + 1);
     assert!(refused(&long).contains("longer") && !refused(&long).contains("kkk"));
     let doubled = TenantDirectory::new(vec![tenant("one", &["a"]), tenant("one", &["b"])]);
-    assert_eq!(doubled.expect_err("one name"), TenantError::DoubledName(name.clone()));
+    assert_eq!(doubled.expect_err("one name"), TenantError::DuplicateName(name.clone()));
     let shared = TenantDirectory::new(vec![tenant("one", &["secret"]), tenant("two", &["secret"])]);
     let shared = shared.expect_err("one key");
     assert_eq!(shared, TenantError::SharedKey { first: name, second: TenantName::new("two") });
@@ -54,8 +54,8 @@
 #[test]
 fn a_key_has_to_have_a_length() {
     assert_eq!(KeyDigest::of(""), Err(KeyError::Empty));
-    assert!(KeyDigest::of(&"k".repeat(KEY_LIMIT_BYTES)).is_ok());
-    assert_eq!(KeyDigest::of(&"k".repeat(KEY_LIMIT_BYTES + 1)), Err(KeyError::TooLong));
+    assert!(KeyDigest::of(&"k".repeat(MAX_KEY_BYTES)).is_ok());
+    assert_eq!(KeyDigest::of(&"k".repeat(MAX_KEY_BYTES + 1)), Err(KeyError::TooLong));
 }
 
 proptest! {
@@ -65,7 +65,7 @@
         let tenants = keys.iter().enumerate().map(|(number, key)| tenant(&number.to_string(), &[key]));
         let directory = TenantDirectory::new(tenants.collect()).expect("a directory");
         for (number, key) in keys.iter().enumerate() {
-            let holder = directory.holder(key).expect("a holder");
+            let holder = directory.find_by_key(key).expect("a holder");
             prop_assert_eq!(holder.name.as_str(), number.to_string());
         }
     }
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -200,7 +200,7 @@
             }
         };
         // What a later incarnation reports says nothing of this one: its orders are counted anew.
-        replica.is_maker(report.born_ms()).then_some(report)
+        replica.is_author(report.started_at_ms()).then_some(report)
     }
 
     /// Gives the order.
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -152,7 +152,7 @@
     pub(super) fn refuse(&self, generation: &Generation, reason: RefusalReason) -> RequestOutcome {
         let decision = Decision::new(Component::Request, "refused", reason.as_str(), &generation.request);
         self.shared.context.decisions.record(decision.with("pool", &generation.pool));
-        let retry_after = reason.is_retryable().then(|| RetryCause::RefusedAtOnce.retry_after());
+        let retry_after = reason.is_retryable().then(|| RetryCause::RefusedBeforeDispatch.retry_after());
         refuse_at_once(generation.repetition.is_repeatable(), reason, retry_after)
     }
 }
@@ -175,7 +175,7 @@
         let now = self.clock.now();
         pool.with(|pool| match answer {
             Some(report) => pool.observe(&replica, asked_at, report, now),
-            None => pool.probe_failed(&replica),
+            None => pool.record_probe_failure(&replica),
         });
         pool.probed.notify_waiters();
     }
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -43,7 +43,7 @@
     fn take(&mut self, entries: &[ReplicaEntry], config: PoolConfig) {
         self.pool.reconfigure(config);
         self.addresses.extend(entries.iter().map(|entry| (entry.replica.clone(), entry.address)));
-        self.pool.list(entries.iter().map(|entry| ListedReplica {
+        self.pool.set_listed_replicas(entries.iter().map(|entry| ListedReplica {
             replica: entry.replica.clone(),
             zone: entry.zone.clone(),
             leaving: entry.leaving,
@@ -118,7 +118,7 @@
         }
         for (name, pool) in &state.pools {
             if !directory.pools.contains_key(name) {
-                pool.lock().pool.list([]);
+                pool.lock().pool.set_listed_replicas([]);
             }
         }
         state.follows = Some((directory, configuration));
@@ -158,7 +158,7 @@
     let retry_percent = configuration.for_pool(pool, &RETRY_BUDGET_PERCENT);
     let live_percent = configuration.for_pool(pool, &LIVE_RESERVED_PERCENT);
     PoolConfig {
-        confirmation_holds: context.settings.gateway.eligibility,
+        confirmation_validity: context.settings.gateway.eligibility,
         budget: BudgetConfig { deposit_ratio: retry_percent as f64 / 100.0, ..defaults.budget },
         concurrency: ConcurrencyConfig {
             live_reserve_percent: u8::try_from(live_percent).unwrap_or(u8::MAX).min(MAX_RESERVED_PERCENT),
@@ -178,7 +178,7 @@
 }
 
 fn replicas(pool: &Pool, now: Timestamp) -> Vec<ReplicaStatus> {
-    let holds = pool.config().confirmation_holds;
+    let holds = pool.config().confirmation_validity;
     let listed = pool.replicas().iter().map(|(id, replica)| {
         let eligibility: Eligibility = replica.confirmation.eligibility(now, holds);
         ReplicaStatus {
--- a/crates/daemon/src/ingress/attempt_loop.rs
+++ b/crates/daemon/src/ingress/attempt_loop.rs
@@ -10,7 +10,7 @@
 //! Invariant: a send is cut short only once a place at another replica is reserved for its request.
 
 use hyper::Response;
-use lichenpulley_core::ingress::attempts::{Attempts, Next, SendOutcome};
+use lichenpulley_core::ingress::attempts::{Attempts, NextStep, SendOutcome};
 use lichenpulley_core::ingress::routes::Route;
 use lichenpulley_core::ingress::selection::{NoCandidate, StayReason};
 use lichenpulley_core::retry::attempt_timeout;
@@ -37,7 +37,7 @@
     ) -> impl Future<Output = (SendOutcome, Option<Self::Answer>)> + Send;
 
     /// The refusal of a request that is given up.
-    fn refusal(&self, request: &CallerRequest, next: Next) -> Refusal;
+    fn refusal(&self, request: &CallerRequest, next: NextStep) -> Refusal;
 }
 
 /// A send that has ended or, as a stream, begun.
@@ -100,8 +100,8 @@
             };
             let SentAttempt { in_flight, outcome, answer } = sent;
             match (self.after(request, outcome), answer) {
-                (Next::Answer, Some(answer)) => return Ok((in_flight, answer)),
-                (Next::TryAnother, _) => {
+                (NextStep::Answer, Some(answer)) => return Ok((in_flight, answer)),
+                (NextStep::TryAnother, _) => {
                     request.record(ingress, &in_flight, "tried_another", outcome.as_str(), self.sends());
                 }
                 (next, _) => {
@@ -145,7 +145,7 @@
     /// another one is reserved; never, where there is none. A request without a better place goes on waiting:
     /// its answer may still come, and without it the caller would only learn that it may have run.
     async fn reserve_when_late(&mut self, ingress: &Ingress, request: &CallerRequest, waits_at_cold: bool) {
-        tokio::time::sleep(attempt_timeout::of_request(request.remaining())).await;
+        tokio::time::sleep(attempt_timeout::for_request(request.remaining())).await;
         while !self.reserve(ingress, request, waits_at_cold) {
             tokio::time::sleep(attempt_timeout::MOVE_RETRY_INTERVAL).await;
         }
@@ -162,7 +162,7 @@
         if !self.attempts.may_move(request.remaining()) {
             return false;
         }
-        match ingress.select_instead(request, &self.tried, waits_at_cold) {
+        match ingress.select_alternative(request, &self.tried, waits_at_cold) {
             Ok(reserved) => self.reserved = Some(reserved),
             Err(reason) => self.note_stay(ingress, request, reason),
         }
@@ -178,14 +178,14 @@
     }
 
     /// What to do after a send.
-    pub(super) fn after(&mut self, request: &CallerRequest, outcome: SendOutcome) -> Next {
-        self.attempts.after(outcome, request.remaining())
+    pub(super) fn after(&mut self, request: &CallerRequest, outcome: SendOutcome) -> NextStep {
+        self.attempts.next_step(outcome, request.remaining())
     }
 
     /// Whether a missing candidate is the whole reason for a refusal: the request was not sent at all, or it
     /// is quarantined and has not run.
     fn is_whole_reason(&self, reason: NoCandidate) -> bool {
         let is_quarantined = reason == NoCandidate::Quarantined;
-        self.tried.is_empty() || (is_quarantined && self.attempts.give_up() == Next::GiveUpNotRun)
+        self.tried.is_empty() || (is_quarantined && self.attempts.give_up() == NextStep::GiveUpNotRun)
     }
 }
--- a/crates/daemon/src/ingress/caller_request.rs
+++ b/crates/daemon/src/ingress/caller_request.rs
@@ -97,7 +97,7 @@
     }
 
     /// How many replicas it may be sent to: as many as the route allows; one where it is quarantined, which
-    /// lets it through once after [`lichenpulley_core::quarantine::TRIAL_AFTER`].
+    /// lets it through once after [`lichenpulley_core::quarantine::TRIAL_DELAY`].
     pub(super) async fn sends_allowed(&mut self, ingress: &Ingress, route: &Route) -> u32 {
         let quarantine = &ingress.context.quarantine;
         if !quarantine.holds(&self.fingerprint) {
--- a/crates/daemon/src/ingress/callers.rs
+++ b/crates/daemon/src/ingress/callers.rs
@@ -38,7 +38,7 @@
         is_public: bool,
     ) -> Result<Self, UnknownKey> {
         let Some(directory) = &table.tenants else { return Ok(Self::Anyone) };
-        let holder = key(fields).and_then(|key| directory.holder(key));
+        let holder = key(fields).and_then(|key| directory.find_by_key(key));
         match holder {
             Some(tenant) => Ok(Self::Tenant(tenant.name.clone())),
             None if is_public => Ok(Self::Unnamed),
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response, StatusCode};
-use lichenpulley_core::ingress::attempts::{Next, SendOutcome};
+use lichenpulley_core::ingress::attempts::{NextStep, SendOutcome};
 use lichenpulley_core::ingress::routes::{Route, RouteTable};
 use tokio::time::Instant;
 
@@ -87,9 +87,9 @@
         (outcome, answer)
     }
 
-    fn refusal(&self, request: &CallerRequest, next: Next) -> Refusal {
+    fn refusal(&self, request: &CallerRequest, next: NextStep) -> Refusal {
         match next {
-            Next::GiveUpNotRun => Refusal::NotRun,
+            NextStep::GiveUpNotRun => Refusal::NotRun,
             _ if request.remaining().is_zero() => Refusal::TimedOut,
             _ => Refusal::Unknown,
         }
--- a/crates/daemon/src/ingress/in_flight.rs
+++ b/crates/daemon/src/ingress/in_flight.rs
@@ -119,6 +119,6 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.ingress.selection().selector.ended(&self.replica.id, self.feedback, self.ingress.now());
+        self.ingress.selection().selector.record_end(&self.replica.id, self.feedback, self.ingress.now());
     }
 }
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -35,7 +35,7 @@
 use lichenpulley_core::ingress::routes::{Limits, RouteKind, RouteTable};
 use lichenpulley_core::ingress::selection::{NoCandidate, ReplicaSelector, SelectionQuery, StayReason};
 use lichenpulley_core::ingress::warming_share::GatewayOrder;
-use lichenpulley_core::ingress::warmups::Warmups;
+use lichenpulley_core::ingress::warmups::WarmupTracker;
 use lichenpulley_core::time::Timestamp;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
@@ -62,7 +62,7 @@
 impl SelectionState {
     fn new(node: &NodeId) -> Self {
         let order = GatewayOrder::new(node.clone(), Timestamp::ORIGIN);
-        let selector = ReplicaSelector::new(Warmups::of_gateway(order, Timestamp::ORIGIN));
+        let selector = ReplicaSelector::new(WarmupTracker::of_gateway(order, Timestamp::ORIGIN));
         Self { selector, routes: None, replicas: Arc::default() }
     }
 }
@@ -160,14 +160,14 @@
 
     /// Selects a replica for a request that waits at the last of `tried`, which was cold where
     /// `waits_at_cold`, and counts it there as well.
-    fn select_instead(
+    fn select_alternative(
         &self,
         request: &CallerRequest,
         tried: &[String],
         waits_at_cold: bool,
     ) -> Result<InFlightRequest, StayReason> {
         let selected = self.select_by(request, tried, |selector, query, table, evacuated, now| {
-            selector.select_instead(query, waits_at_cold, table, evacuated, now, rand::random())
+            selector.select_alternative(query, waits_at_cold, table, evacuated, now, rand::random())
         })?;
         Ok(InFlightRequest::begin(self, request, selected))
     }
@@ -202,11 +202,11 @@
 
     /// A request stays at a replica that has had its share of the time.
     fn late(&self, replica: &str) {
-        self.selection().selector.late(replica, self.now());
+        self.selection().selector.mark_late(replica, self.now());
     }
 
     fn reported(&self, replica: &str, busy: u32) {
-        self.selection().selector.reported(replica, busy, self.now());
+        self.selection().selector.record_reported_load(replica, busy, self.now());
     }
 
     fn selection(&self) -> MutexGuard<'_, SelectionState> {
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Collected, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
 use hyper::{Request, Response};
-use lichenpulley_core::ingress::attempts::{Next, SendOutcome};
+use lichenpulley_core::ingress::attempts::{NextStep, SendOutcome};
 use lichenpulley_core::ingress::routes::{Route, RouteTable};
 use lichenpulley_core::retry::attempt_timeout;
 use lichenpulley_platform::headers as names;
@@ -143,9 +143,9 @@
         (outcome, Some(exchange))
     }
 
-    fn refusal(&self, _request: &CallerRequest, next: Next) -> Refusal {
+    fn refusal(&self, _request: &CallerRequest, next: NextStep) -> Refusal {
         match next {
-            Next::GiveUpNotRun => Refusal::NotRun,
+            NextStep::GiveUpNotRun => Refusal::NotRun,
             _ => Refusal::Unknown,
         }
     }
@@ -319,7 +319,7 @@
     let mut outcome = SendOutcome::Broken;
     loop {
         let next = stream.attempts.after(&stream.request, outcome);
-        if next != Next::TryAnother || pieces.is_closed() {
+        if next != NextStep::TryAnother || pieces.is_closed() {
             return None;
         }
         let sent = stream.attempts.send_next(ingress, &stream.request, &attempt).await.ok()?;
--- a/crates/daemon/src/ingress/warming.rs
+++ b/crates/daemon/src/ingress/warming.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::ingress::replicas::ReplicaRecord;
-use lichenpulley_core::ingress::warmups::ColdSpell;
+use lichenpulley_core::ingress::warmups::ColdPeriod;
 use lichenpulley_core::time::{Timestamp, whole_millis};
 use lichenpulley_protocol::operator::{ColdStatus, ReplicaSendState, ReplicaSendStatus};
 use tokio::time::MissedTickBehavior;
@@ -84,7 +84,7 @@
 
     fn status(&self, record: &ReplicaRecord, now: Timestamp) -> ReplicaSendStatus {
         let gate = self.selector.gate();
-        let spell = gate.warmups().spell(&record.id, now);
+        let spell = gate.warmups().cold_period(&record.id, now);
         let state = if gate.is_evacuated(record) {
             ReplicaSendState::Evacuated
         } else if record.is_draining {
@@ -104,7 +104,7 @@
     }
 }
 
-fn cold_status(spell: &ColdSpell, now: Timestamp) -> ColdStatus {
+fn cold_status(spell: &ColdPeriod, now: Timestamp) -> ColdStatus {
     ColdStatus {
         cause: spell.cause.as_str().to_owned(),
         since_ms: whole_millis(now.saturating_since(spell.since)),
--- a/crates/daemon/src/metadata/handle.rs
+++ b/crates/daemon/src/metadata/handle.rs
@@ -91,7 +91,7 @@
 
     /// Whether a replica must be sent nothing now. A request asks once more by this just before its first byte.
     pub(crate) fn is_closed(&self, replica: &ReplicaRecord) -> bool {
-        self.evacuated.load().closes(replica)
+        self.evacuated.load().is_evacuated(replica)
     }
 
     /// How long ago the platform last confirmed what this node holds of a kind; [`Duration::MAX`] where it never did.
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use lichenpulley_core::identity::NodeId;
-use lichenpulley_core::ingress::lapse::LapseKeeper;
+use lichenpulley_core::ingress::lapse::LapsedEntries;
 use lichenpulley_core::relay::ReadSource;
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_platform::objects::{self, Events, Object};
@@ -68,7 +68,7 @@
 pub(super) async fn run(context: Context, client: MetadataClient, kind: MetadataKind, reach: Reachability) {
     let stopped = context.stopped.clone();
     let follower = Follower::new(Arc::clone(&context), kind);
-    let lapses = LapseKeeper::new(context.settings.configuration.lapse_grace);
+    let lapses = LapsedEntries::new(context.settings.configuration.lapse_grace);
     let rereads = context.metadata.rereads[kind_index(kind)].subscribe();
     let mut watcher = Watcher {
         lapses,
@@ -102,7 +102,7 @@
     revision: Option<u64>,
     failures: u32,
     /// Entries of replicas that vanished while the store was away.
-    lapses: LapseKeeper,
+    lapses: LapsedEntries,
     origin: Instant,
 }
 
@@ -248,7 +248,7 @@
             if event.is_removed {
                 self.remove(&name);
             } else {
-                self.lapses.is_there(&name);
+                self.lapses.mark_listed(&name);
                 self.objects.insert(name, event.object.spec.to_string());
             }
         }
@@ -270,7 +270,7 @@
         let listed = by_name(list.items);
         let missing: Vec<String> =
             self.objects.keys().filter(|name| !listed.contains_key(*name)).cloned().collect();
-        listed.keys().for_each(|name| self.lapses.is_there(name));
+        listed.keys().for_each(|name| self.lapses.mark_listed(name));
         missing.iter().for_each(|name| self.remove(name));
         self.objects.extend(listed);
         self.revision = Some(list.at);
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -41,7 +41,7 @@
 
     fn note_silence(&mut self) {
         let now = self.now();
-        self.lapses.failed(now);
+        self.lapses.store_failed(now);
         // The copy's age grows until the platform or a peer confirms it.
         self.context.metadata.freshness.set_reading(self.kind, Reading::Failing);
     }
@@ -58,7 +58,7 @@
     /// Takes what a peer gave. A copy that the platform confirmed to the peer after it fell silent for this
     /// node shows that it serves others: what vanished there is gone.
     pub(super) fn take_peer_copy(&mut self, copy: PeerCopy) {
-        if self.lapses.served_others(self.now(), copy.age) {
+        if self.lapses.record_peer_confirmation(self.now(), copy.age) {
             self.context.metadata.freshness.confirm(self.kind, copy.age);
         }
         if let Some(update) = copy.update {
--- a/crates/daemon/src/metadata/watcher/lapsed.rs
+++ b/crates/daemon/src/metadata/watcher/lapsed.rs
@@ -11,16 +11,16 @@
     pub(super) fn store_answered(&mut self) {
         if self.kind == MetadataKind::Replicas {
             let was_away = self.failures > 0 || self.context.metadata.freshness.is_away();
-            self.lapses.answered(self.now(), was_away);
+            self.lapses.store_answered(self.now(), was_away);
         }
     }
 
     /// An object is gone, unless it lapsed while the store was away.
     pub(super) fn remove(&mut self, name: &str) {
-        if self.lapses.keeps(name) {
+        if self.lapses.retains(name) {
             return;
         }
-        if self.objects.contains_key(name) && self.lapses.vanished(name) {
+        if self.objects.contains_key(name) && self.lapses.entry_removed(name) {
             log::info!(target: "metadata", "The entry of {name} vanished while the store was away: it is kept for now.");
             return;
         }
--- a/crates/daemon/src/metrics/ingress.rs
+++ b/crates/daemon/src/metrics/ingress.rs
@@ -48,8 +48,8 @@
         let set = |share: &str, count: usize| {
             self.cold_replicas.with_label_values(&[share]).set(to_gauge(count));
         };
-        set("own", count.own);
-        set("none", count.cold - count.own);
+        set("own", count.sendable);
+        set("none", count.cold - count.sendable);
     }
 
     pub(super) fn set_evacuated_zones(&self, zones: usize) {
--- a/crates/daemon/src/quarantine/handle.rs
+++ b/crates/daemon/src/quarantine/handle.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 
 use arc_swap::ArcSwap;
-use lichenpulley_core::quarantine::{CrashWatch, Fingerprint, Quarantine, TRIAL_AFTER};
+use lichenpulley_core::quarantine::{CrashMonitor, Fingerprint, Quarantine, TRIAL_DELAY};
 use lichenpulley_core::time::{Timestamp, whole_millis};
 use lichenpulley_protocol::internal::{KeepReport, KeepResponse};
 use lichenpulley_protocol::operator::QuarantinedRequest;
@@ -25,7 +25,7 @@
 /// What this node knows of requests under which replicas end.
 #[derive(Debug)]
 pub struct QuarantineHandle {
-    pub(super) watch: Mutex<CrashWatch>,
+    pub(super) watch: Mutex<CrashMonitor>,
     pub(super) verdict: ArcSwap<Quarantine>,
     /// When this node came to quarantine each request, by `clock`.
     pub(super) held_since: Mutex<BTreeMap<Fingerprint, BootInstant>>,
@@ -59,7 +59,7 @@
 
     /// Whether a request must reach no replica.
     pub fn holds(&self, fingerprint: &Fingerprint) -> bool {
-        self.verdict.load().holds(fingerprint)
+        self.verdict.load().contains(fingerprint)
     }
 
     /// What follows from all that this node knows.
@@ -97,7 +97,7 @@
 
     /// Whether a request was quarantined long enough to be let through once.
     pub(crate) fn is_trial_due(&self, fingerprint: &Fingerprint) -> bool {
-        lock(&self.held_since).get(fingerprint).is_some_and(|since| self.clock.since(*since) >= TRIAL_AFTER)
+        lock(&self.held_since).get(fingerprint).is_some_and(|since| self.clock.since(*since) >= TRIAL_DELAY)
     }
 
     /// The probe of a replica that is under way, or a new one.
@@ -127,7 +127,7 @@
                 .get(fingerprint)
                 .map_or(0, |since| whole_millis(self.clock.since(*since))),
         };
-        verdict.held().iter().map(status).collect()
+        verdict.requests().iter().map(status).collect()
     }
 }
 
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use lichenpulley_core::decision::{Component, Decision};
-use lichenpulley_core::quarantine::{CrashWatch, Fingerprint, Quarantine};
+use lichenpulley_core::quarantine::{CrashMonitor, Fingerprint, Quarantine};
 use lichenpulley_core::time::Timestamp;
 use lichenpulley_protocol::operator::QuarantineReleased;
 
@@ -25,17 +25,17 @@
 
 impl QuarantineHandle {
     /// Changes the watch by `take`, and puts the verdict that follows into force.
-    fn update(&self, context: &Context, take: impl FnOnce(&mut CrashWatch, Timestamp) -> bool) {
+    fn update(&self, context: &Context, take: impl FnOnce(&mut CrashMonitor, Timestamp) -> bool) {
         let now = self.now();
         let mut watch = lock(&self.watch);
         if !take(&mut watch, now) {
             return;
         }
         // All under the lock, so that a later verdict is never replaced by an earlier one.
-        let after = watch.judge();
+        let after = watch.quarantine();
         let before = self.verdict.swap(Arc::new(after.clone()));
         self.changed.notify_one();
-        if before.held() != after.held() {
+        if before.requests() != after.requests() {
             self.show(context, &before, &after);
             // The owner of batch jobs may have an item to hold.
             context.metadata.notify();
@@ -44,20 +44,20 @@
 
     fn show(&self, context: &Context, before: &Quarantine, after: &Quarantine) {
         let mut held_since = lock(&self.held_since);
-        held_since.retain(|fingerprint, _| after.holds(fingerprint));
-        for fingerprint in after.held() {
+        held_since.retain(|fingerprint, _| after.contains(fingerprint));
+        for fingerprint in after.requests() {
             held_since.entry(*fingerprint).or_insert_with(|| self.clock.now());
         }
         drop(held_since);
-        context.metrics.set_quarantined_requests(after.held().len());
-        for fingerprint in after.held().difference(before.held()) {
+        context.metrics.set_quarantined_requests(after.requests().len());
+        for fingerprint in after.requests().difference(before.requests()) {
             let replicas: Vec<&str> = after.crashes(fingerprint).collect();
             let decision = Decision::new(Component::Request, "quarantined", "replicas_ended", fingerprint)
                 .with("crashes", replicas.len())
                 .with("replicas", replicas.join(","));
             context.decisions.record(decision);
         }
-        for fingerprint in before.held().difference(after.held()) {
+        for fingerprint in before.requests().difference(after.requests()) {
             let decision =
                 Decision::new(Component::Request, "quarantine_ended", "cleared_or_over", fingerprint);
             context.decisions.record(decision);
--- a/crates/daemon/src/quarantine/traced_run.rs
+++ b/crates/daemon/src/quarantine/traced_run.rs
@@ -96,7 +96,7 @@
         let is_listed = self.context.metadata.replicas.load().records.contains_key(&run.replica);
         self.context
             .quarantine
-            .update(&self.context, |watch, now| watch.run_broke(run, cause, is_listed, now));
+            .update(&self.context, |watch, now| watch.run_broken(run, cause, is_listed, now));
     }
 }
 
--- a/crates/lab/src/platform_replica/answers.rs
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -34,7 +34,7 @@
         num_running: 0,
         kv_used: 0,
         kv_total: 100_000,
-        born: Some(state.born_ms),
+        born: Some(state.started_at_ms),
     };
     http::json(StatusCode::OK, &report)
 }
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -79,7 +79,7 @@
     seen: Vec<SeenRequest>,
     orders: Vec<LoadOrder>,
     /// When it started, in milliseconds since the Unix epoch.
-    born_ms: u64,
+    started_at_ms: u64,
     /// Streams whose reader left before their end.
     abandoned: u64,
     cold: Option<ColdStretch>,
@@ -113,7 +113,7 @@
         behaviour,
         seen: Vec::new(),
         orders: Vec::new(),
-        born_ms: unix_milliseconds(),
+        started_at_ms: unix_milliseconds(),
         abandoned: 0,
         cold: None,
         server: None,
@@ -152,7 +152,7 @@
     /// The id of this incarnation as nodes know it.
     pub fn incarnation(&self) -> String {
         let state = lock(&self.state);
-        ReplicaIncarnation { name: &state.plan.id, born_ms: Some(state.born_ms) }.to_string()
+        ReplicaIncarnation { name: &state.plan.id, started_at_ms: Some(state.started_at_ms) }.to_string()
     }
 
     /// Events of each stream.
@@ -193,7 +193,7 @@
         serde_json::json!({
             "service": service, "address": self.address.to_string(), "zone": zone, "version": "v1", "slots": 4,
             "state": "ready", "cold_left_ms": cold_left_ms, "stage": "both", "models": models(&state.plan), "seq": 1,
-            "born": state.born_ms,
+            "born": state.started_at_ms,
         })
     }
 }
--- a/crates/lab/src/simulations/requests/checks.rs
+++ b/crates/lab/src/simulations/requests/checks.rs
@@ -7,7 +7,7 @@
 use lichenpulley_core::identity::ReplicaId;
 use lichenpulley_core::request::answer::Answer;
 use lichenpulley_core::request::outcome::RequestOutcome;
-use lichenpulley_core::routing::eligibility::DEFAULT_CONFIRMATION_HOLDS;
+use lichenpulley_core::routing::eligibility::DEFAULT_CONFIRMATION_VALIDITY;
 use lichenpulley_core::time::Timestamp;
 
 use super::engine::Admission;
@@ -189,7 +189,7 @@
 }
 
 /// How long new work may still be sent to a replica after it ceased to take it.
-const NEW_WORK_CEASES: Duration = DEFAULT_CONFIRMATION_HOLDS;
+const NEW_WORK_CEASES: Duration = DEFAULT_CONFIRMATION_VALIDITY;
 
 /// When a replica took no new work: from, and until, if that has ended.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/simulations/requests/gateway/mod.rs
+++ b/crates/lab/src/simulations/requests/gateway/mod.rs
@@ -86,7 +86,7 @@
         seed: u64,
     ) -> Self {
         let mut pool = Pool::new(NodeId::new(&name), mechanisms.pool_config(), Timestamp::ORIGIN);
-        pool.list(engines.keys().map(|replica| ListedReplica {
+        pool.set_listed_replicas(engines.keys().map(|replica| ListedReplica {
             replica: replica.clone(),
             zone: "zone".into(),
             leaving: false,
--- a/crates/lab/src/simulations/requests/mechanisms.rs
+++ b/crates/lab/src/simulations/requests/mechanisms.rs
@@ -25,7 +25,7 @@
     pub(super) fn pool_config(&self) -> PoolConfig {
         let mut config = PoolConfig::default();
         if !self.expiring_confirmations {
-            config.confirmation_holds = Duration::from_secs(1_000_000);
+            config.confirmation_validity = Duration::from_secs(1_000_000);
         }
         config
     }
