--- a/crates/core/src/routing/balancer.rs
+++ b/crates/core/src/routing/balancer.rs
@@ -1,13 +1,12 @@
-//! The choice among eligible replicas: a few candidates, then the lowest cost.
+//! Chooses among eligible replicas by drawing a few candidates and taking the one with the lowest cost.
 //!
-//! Candidates are the first replicas by rendezvous hash of the prompt's prefix group, so that prompts which
-//! share a prefix meet it in the same caches, and some at random, so that a hot group spills over and load
-//! reports that lag don't send every node to the same replica (Mitzenmacher, "How Useful Is Old
-//! Information?", 2000).
+//! Some candidates are the first replicas by rendezvous hash of the prompt's prefix group, so that prompts
+//! which share a prefix are served from the same caches. Others are drawn at random, so that load from a
+//! popular group spreads and stale load reports don't send every node to the same replica (Mitzenmacher,
+//! "How Useful Is Old Information?", 2000).
 //!
-//! Inputs: the eligible replicas with their loads, the prompt's prefix group, a source of random numbers.
-//! Unit of cost: shares of a replica's capacity. Measured against round robin and least reported load:
-//! docs/decisions/routing.md.
+//! Costs are expressed as shares of a replica's capacity. docs/decisions/routing.md compares this policy with
+//! round robin and least reported load.
 
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -15,42 +14,42 @@
 use crate::identity::ReplicaId;
 use crate::routing::replica::Replica;
 
-/// How replicas are weighed.
+/// Configures the choice among replicas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalancerConfig {
-    /// Candidates by the prefix group.
+    /// Number of candidates by rendezvous hash of the prefix group.
     pub affinity_candidates: usize,
-    /// Candidates at random.
+    /// Number of candidates drawn at random.
     pub random_candidates: usize,
-    /// The cost of a prefix that is probably not cached, in shares of a replica's capacity.
+    /// Cost of a prefix that is probably not cached, in shares of a replica's capacity.
     pub missing_prefix_cost: f64,
 }
 
-/// Measured as a whole against other policies (docs/decisions/routing.md); the single figures are chosen.
 impl Default for BalancerConfig {
     fn default() -> Self {
         Self { affinity_candidates: 2, random_candidates: 2, missing_prefix_cost: 0.25 }
     }
 }
 
-/// A replica that was chosen, and from what.
+/// A chosen replica and how it was chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The replica.
+    /// The chosen replica.
     pub replica: ReplicaId,
-    /// Its cost: streams there by its capacity, and the prefix it lacks.
+    /// Its cost: occupied share of its capacity, plus the cost of a missing prefix.
     pub cost: f64,
-    /// Whether it probably has the prefix.
+    /// Whether the replica probably has the prefix cached.
     pub prefix_cached: bool,
-    /// How many candidates were weighed.
+    /// Number of candidates that were compared.
     pub candidates: usize,
 }
 
-/// Capacity assumed for a replica that has reported none, in streams. Chosen, not measured: too large floods
-/// a new replica.
+/// Capacity, in streams, assumed for a replica that has reported none; low enough not to overload a new
+/// replica.
 const ASSUMED_CAPACITY: u32 = 8;
 
-/// Picks among `replicas`, all of them eligible and with room.
+/// Chooses one of `replicas`, which must all be eligible and below their concurrency limits. Returns `None`
+/// if `replicas` is empty.
 pub fn choose<R: Rng>(
     config: &BalancerConfig,
     replicas: &[(&ReplicaId, &Replica)],
@@ -67,32 +66,33 @@
     Some(Choice { replica: replica.clone(), cost, prefix_cached, candidates: candidates.len() })
 }
 
-/// The cost of sending a request to a replica.
+/// Returns the cost of sending a request to a replica.
 fn cost(config: &BalancerConfig, replica: &Replica, prefix_cached: bool) -> f64 {
     let capacity = replica.load.capacity().unwrap_or(ASSUMED_CAPACITY);
     let occupied = f64::from(replica.load.streams()) / f64::from(capacity);
     if prefix_cached { occupied } else { occupied + config.missing_prefix_cost }
 }
 
+/// Returns the indexes of the replicas to compare.
 fn candidates<R: Rng>(
     config: &BalancerConfig,
     replicas: &[(&ReplicaId, &Replica)],
     prefix_group: u64,
     random: &mut R,
 ) -> Vec<usize> {
-    let mut chosen = nearest(replicas, prefix_group, config.affinity_candidates);
-    let wanted = replicas.len().min(chosen.len() + config.random_candidates);
-    while chosen.len() < wanted {
+    let mut indexes = highest_ranked(replicas, prefix_group, config.affinity_candidates);
+    let target_count = replicas.len().min(indexes.len() + config.random_candidates);
+    while indexes.len() < target_count {
         let index = random.random_range(0..replicas.len());
-        if !chosen.contains(&index) {
-            chosen.push(index);
+        if !indexes.contains(&index) {
+            indexes.push(index);
         }
     }
-    chosen
+    indexes
 }
 
-/// The first `count` replicas by rendezvous hash of the group.
-fn nearest(replicas: &[(&ReplicaId, &Replica)], prefix_group: u64, count: usize) -> Vec<usize> {
+/// Returns the first `count` replicas by rendezvous hash of the group.
+fn highest_ranked(replicas: &[(&ReplicaId, &Replica)], prefix_group: u64, count: usize) -> Vec<usize> {
     let mut weights: Vec<(u64, usize)> = replicas
         .iter()
         .enumerate()
--- a/crates/core/src/routing/concurrency.rs
+++ b/crates/core/src/routing/concurrency.rs
@@ -1,39 +1,34 @@
-//! How many requests one node keeps at one replica: additive increase while the replica answers in good time,
-//! multiplicative decrease when it is slow to start or refuses (Chiu and Jain 1989).
+//! Limits the concurrent requests of one node at one replica: additive increase while the time to first token
+//! (TTFT) is good, multiplicative decrease when it is high or the replica refuses (Chiu and Jain 1989).
 //!
-//! Inputs: how long requests took to their first token, refusals, the priority of a request and the time.
-//! Unit: requests at once. One limit for live requests and rollouts was tried: it gave 25,764 waits at the
-//! limit against 6,243 with two, in a pool of three replicas (docs/decisions/routing.md). With a tolerated
-//! start of 250 ms the limits bind in pools of three replicas that are 85 % busy: first tokens take 1.8 times
-//! as long at p99 as by least reported load; with 1 s they took 828 in place of 1,699 ms (docs/measures.md).
+//! Live requests and rollouts have separate limits, so that a pool sheds rollouts first. See
+//! docs/decisions/routing.md and docs/measures.md for measurements.
 
 use std::time::Duration;
 
 use crate::request::answer::Priority;
 use crate::time::Timestamp;
 
-/// The largest share of a limit that live requests may keep to themselves, in percent: rollouts must not
-/// starve. Chosen, not measured.
+/// Upper bound of [`ConcurrencyConfig::live_reserve_percent`]; prevents starvation of rollouts.
 pub const MAX_RESERVED_PERCENT: u8 = 90;
 
-/// Bounds and pace of a concurrency limit.
+/// Configures a concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyConfig {
-    /// Requests allowed before anything is known.
+    /// Limit before the first measurement.
     pub initial: u32,
-    /// The limit never goes below this.
+    /// Lower bound of the limit.
     pub minimum: u32,
-    /// The limit never goes above this.
+    /// Upper bound of the limit.
     pub maximum: u32,
-    /// Share of the limit, in percent, that only live requests may use.
+    /// Share of the limit, in percent, reserved for live requests.
     pub live_reserve_percent: u8,
-    /// A first token that takes longer than this many times the best observed is congestion.
+    /// A TTFT above this multiple of the best observed one counts as congestion.
     pub congestion_ratio: f64,
-    /// A first token within this time is never congestion.
+    /// A TTFT up to this never counts as congestion.
     pub tolerated_ttft: Duration,
 }
 
-/// Chosen, not measured, but for `tolerated_ttft`: see the head of the module.
 impl Default for ConcurrencyConfig {
     fn default() -> Self {
         Self {
@@ -47,42 +42,41 @@
     }
 }
 
-/// Share of the limit that is kept at a decrease. Chosen, not measured: smaller empties replicas after one
-/// slow start.
-const DECREASE: f64 = 0.8;
-/// At most one decrease in this time: one congestion shows in many requests. Chosen, not measured.
-const DECREASE_PAUSE: Duration = Duration::from_millis(500);
+/// Factor by which a decrease multiplies the limit.
+const DECREASE_FACTOR: f64 = 0.8;
+/// Minimum time between two decreases, since one congestion event delays many requests.
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The limit for one replica: one for all requests, and a lower one for rollouts.
+/// Concurrency limits for one replica: one for all requests, and one for rollouts.
 ///
-/// Rollouts are shed first. Congestion lowers their limit, whoever meets it; the limit for all falls only
-/// when live requests meet congestion while rollouts are at the minimum already. Rollouts that wait long
-/// behind live requests are as the engine's priorities mean it, and say nothing about live requests.
+/// Rollouts are shed first. Congestion of any request lowers the rollout limit. The overall limit decreases
+/// only if live requests are congested while the rollout limit is already at the minimum. A high TTFT of
+/// rollouts never lowers the overall limit, because engines serve live requests first.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     config: ConcurrencyConfig,
     limit: f64,
     rollout_limit: f64,
-    best_start: Option<Duration>,
-    best_rollout_start: Option<Duration>,
+    best_ttft: Option<Duration>,
+    best_rollout_ttft: Option<Duration>,
     decreased_at: Option<Timestamp>,
 }
 
 impl ConcurrencyLimit {
-    /// A limit about which nothing is known.
+    /// Creates a limit with the initial values.
     pub fn new(config: ConcurrencyConfig) -> Self {
         let limit = f64::from(config.initial);
         Self {
             config,
             limit,
             rollout_limit: limit,
-            best_start: None,
-            best_rollout_start: None,
+            best_ttft: None,
+            best_rollout_ttft: None,
             decreased_at: None,
         }
     }
 
-    /// Changes the bounds; the limits stay where they are within them.
+    /// Replaces the configuration and clamps the current limits to the new bounds.
     pub fn reconfigure(&mut self, config: ConcurrencyConfig) {
         self.config = config;
         let (minimum, maximum) = (f64::from(config.minimum), f64::from(config.maximum));
@@ -90,14 +84,14 @@
         self.rollout_limit = self.rollout_limit.clamp(minimum, maximum);
     }
 
-    /// Requests allowed at once.
+    /// Returns the overall limit in concurrent requests.
     pub fn limit(&self) -> u32 {
-        // The limit lies between two `u32` bounds, so the cast only cuts the fraction off.
+        // The limit lies between two `u32` bounds, so the cast only truncates the fraction.
         self.limit as u32
     }
 
-    /// Requests of this priority allowed at once, counting all that run. Live requests go before rollouts: a
-    /// share of the limit is theirs alone.
+    /// Returns the limit on all concurrent requests up to which a request of this priority is admitted. For
+    /// rollouts it excludes the share reserved for live requests.
     pub fn limit_for(&self, priority: Priority) -> u32 {
         let limit = self.limit();
         match priority {
@@ -110,36 +104,38 @@
         }
     }
 
-    /// Notes how long a request took to its first token while `in_flight` ran.
-    pub fn record_first_token(&mut self, priority: Priority, took: Duration, in_flight: u32, now: Timestamp) {
+    /// Adjusts the limits to a request's time to first token. `in_flight` is the number of concurrent
+    /// requests.
+    pub fn record_first_token(&mut self, priority: Priority, ttft: Duration, in_flight: u32, now: Timestamp) {
         let best = match priority {
-            Priority::Live => &mut self.best_start,
-            Priority::Rollout => &mut self.best_rollout_start,
+            Priority::Live => &mut self.best_ttft,
+            Priority::Rollout => &mut self.best_rollout_ttft,
         };
-        let best = *best.insert(best.map_or(took, |best| best.min(took)));
+        let best = *best.insert(best.map_or(ttft, |best| best.min(ttft)));
         let tolerated = best.mul_f64(self.config.congestion_ratio).max(self.config.tolerated_ttft);
-        if took > tolerated {
-            self.congested(priority, now);
+        if ttft > tolerated {
+            self.decrease_for_congestion(priority, now);
         } else if in_flight * 2 >= self.limit_for(priority) {
             self.increase(priority);
         }
     }
 
-    /// Notes that the replica refused for load, or failed.
+    /// Decreases both limits after the replica refused a request for load, or failed.
     pub fn record_overload(&mut self, now: Timestamp) {
-        if self.may_decrease(now) {
+        if self.try_start_decrease(now) {
             self.limit = self.decreased(self.limit);
             self.rollout_limit = self.decreased(self.rollout_limit);
         }
     }
 
-    fn congested(&mut self, priority: Priority, now: Timestamp) {
-        if !self.may_decrease(now) {
+    /// Decreases the limits after a TTFT above the tolerated one.
+    fn decrease_for_congestion(&mut self, priority: Priority, now: Timestamp) {
+        if !self.try_start_decrease(now) {
             return;
         }
-        let rollouts_are_shed = self.rollout_limit <= f64::from(self.config.minimum);
+        let is_rollout_limit_minimal = self.rollout_limit <= f64::from(self.config.minimum);
         self.rollout_limit = self.decreased(self.rollout_limit);
-        if priority == Priority::Live && rollouts_are_shed {
+        if priority == Priority::Live && is_rollout_limit_minimal {
             self.limit = self.decreased(self.limit);
         }
     }
@@ -150,7 +146,7 @@
             Priority::Live => self.limit = (self.limit + 1.0 / self.limit).min(maximum),
             Priority::Rollout => {
                 self.rollout_limit = (self.rollout_limit + 1.0 / self.rollout_limit).min(maximum);
-                // Rollouts alone can show that the replica can take more.
+                // Without this, the overall limit could not grow under a load of rollouts alone.
                 if self.limit_for(Priority::Rollout) < self.rollout_limit as u32 {
                     self.limit = (self.limit + 1.0 / self.limit).min(maximum);
                 }
@@ -159,11 +155,12 @@
     }
 
     fn decreased(&self, limit: f64) -> f64 {
-        (limit * DECREASE).max(f64::from(self.config.minimum))
+        (limit * DECREASE_FACTOR).max(f64::from(self.config.minimum))
     }
 
-    fn may_decrease(&mut self, now: Timestamp) -> bool {
-        if self.decreased_at.is_some_and(|at| now < at + DECREASE_PAUSE) {
+    /// Returns whether a decrease is due, and starts the pause until the next one.
+    fn try_start_decrease(&mut self, now: Timestamp) -> bool {
+        if self.decreased_at.is_some_and(|at| now < at + MIN_DECREASE_INTERVAL) {
             return false;
         }
         self.decreased_at = Some(now);
--- a/crates/core/src/routing/eligibility.rs
+++ b/crates/core/src/routing/eligibility.rs
@@ -1,31 +1,30 @@
-//! Whether a replica may be sent new work (brief point 7).
+//! Decides whether a replica may be sent new work.
 //!
-//! A replica is eligible only while it has itself confirmed, within a short time, that it takes new work. The
-//! machine list can only take eligibility away. So a node that hears nothing, because its peers, the platform
-//! or the replica are cut off, stops sending by itself.
+//! A replica is eligible only while its own confirmation that it accepts new work is recent. The machine list
+//! can only revoke eligibility. A node that is cut off from its peers, the platform or the replica therefore
+//! stops sending without being told.
 
 use std::time::Duration;
 
 use crate::routing::load::{EngineRole, earlier};
 use crate::time::Timestamp;
 
-/// How long a confirmation holds. Chosen, not measured: longer sends work to engines that have gone, shorter
-/// stops work when a few probes are lost.
+/// Default validity of a confirmation.
 pub const DEFAULT_CONFIRMATION_VALIDITY: Duration = Duration::from_secs(3);
 
-/// Whether a replica takes new work.
+/// Whether a replica may be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It confirmed so lately enough.
+    /// Its confirmation is still valid.
     Eligible,
-    /// It has not confirmed lately; ask it.
+    /// It has no valid confirmation and must be probed.
     Unconfirmed,
-    /// It said that it is draining, or the machine list says that it leaves.
+    /// It reported that it is draining, or the machine list marks it as leaving.
     Leaving,
 }
 
 impl Eligibility {
-    /// The word used in decisions and in the operators' list.
+    /// Returns the name used in decisions and in the operators' list.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Eligible => "eligible",
@@ -35,7 +34,7 @@
     }
 }
 
-/// What a replica said about taking work, and when it can at the earliest have said so.
+/// A replica's last statement on whether it accepts work, with the earliest time at which it can have made it.
 #[derive(Clone, Debug, Default)]
 pub struct Confirmation {
     confirmed_at: Option<Timestamp>,
@@ -44,53 +43,53 @@
 }
 
 impl Confirmation {
-    /// Notes the role in an answer to a question that was sent at `asked_at`.
+    /// Records the role in the response to a probe that was sent at `asked_at`.
     ///
-    /// Invariant: `confirmed_at` is never later than the moment at which the replica took work. An answer may
-    /// have been under way for long, so it stands for the time of its question, less the age of its figures,
-    /// and not for its arrival. A role of draining counts at once, and only an answer to a later question
-    /// ends it.
+    /// Invariant: `confirmed_at` is never later than a time at which the replica accepted work. A response may
+    /// be delayed in transit, so it is dated to the time of its probe, less the age of its report, rather than
+    /// to its arrival. [`EngineRole::Draining`] takes effect at once and is cleared only by the response to a
+    /// later probe.
     pub fn observe(&mut self, asked_at: Timestamp, age: Duration, role: EngineRole, now: Timestamp) {
-        let stands_for = earlier(asked_at, age);
+        let reported_at = earlier(asked_at, age);
         match role {
             EngineRole::Draining => self.draining_since = Some(now),
-            EngineRole::Serving if self.draining_since.is_some_and(|since| stands_for <= since) => {}
+            EngineRole::Serving if self.draining_since.is_some_and(|since| reported_at <= since) => {}
             EngineRole::Serving => {
                 self.draining_since = None;
-                self.confirmed_at = self.confirmed_at.max(Some(stands_for));
+                self.confirmed_at = self.confirmed_at.max(Some(reported_at));
             }
         }
     }
 
-    /// Notes that the replica could not be reached or answered nothing usable: it has to confirm anew.
+    /// Invalidates the confirmation after the replica was unreachable or gave no usable response.
     pub fn record_failure(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// Notes what the machine list says.
+    /// Sets whether the machine list marks the replica as leaving.
     pub fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
-    /// Whether the machine list says that it leaves.
+    /// Whether the machine list marks the replica as leaving.
     pub(crate) const fn is_listed_leaving(&self) -> bool {
         self.listed_leaving
     }
 
-    /// Whether new work may be sent now.
-    pub fn eligibility(&self, now: Timestamp, holds: Duration) -> Eligibility {
+    /// Returns whether new work may be sent now, given the validity of a confirmation.
+    pub fn eligibility(&self, now: Timestamp, validity: Duration) -> Eligibility {
         if self.listed_leaving || self.draining_since.is_some() {
             return Eligibility::Leaving;
         }
         match self.confirmed_at {
-            Some(confirmed_at) if now < confirmed_at + holds => Eligibility::Eligible,
+            Some(confirmed_at) if now < confirmed_at + validity => Eligibility::Eligible,
             _ => Eligibility::Unconfirmed,
         }
     }
 
-    /// Whether the replica should be asked for its role: it is not confirmed, or will soon not be.
-    pub(crate) fn needs_probe(&self, now: Timestamp, holds: Duration) -> bool {
-        let refresh_after = holds * 2 / 3;
+    /// Whether the replica should be probed: its confirmation has expired or is about to.
+    pub(crate) fn needs_probe(&self, now: Timestamp, validity: Duration) -> bool {
+        let refresh_after = validity * 2 / 3;
         self.confirmed_at.is_none_or(|confirmed_at| now >= confirmed_at + refresh_after)
     }
 }
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,7 +1,7 @@
-//! What an engine reports about itself, and what of it still holds some time later.
+//! Load reports of engines, and the estimate of the current load from the last report.
 //!
-//! Owns the last report of one replica and the sends and ends of this node since the report's figures were
-//! taken. Other nodes' requests show only in the next report.
+//! [`LoadEstimate`] corrects the last report of a replica by the requests that this node has sent and finished
+//! since. Requests of other nodes appear only in the next report.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,51 +11,50 @@
 use crate::identity::WeightVersion;
 use crate::time::Timestamp;
 
-/// What an engine does.
+/// Whether an engine accepts new streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Takes new streams.
+    /// Accepts new streams.
     #[default]
     Serving,
-    /// Finishes what runs and takes nothing new.
+    /// Finishes running streams and accepts no new ones.
     Draining,
 }
 
-/// An engine's load, some time ago.
+/// An engine's report of its load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// What the engine does.
+    /// Whether the engine accepts new streams.
     pub role: EngineRole,
-    /// Streams generating now.
+    /// Number of running streams.
     pub running: u32,
-    /// Streams waiting.
+    /// Number of queued streams.
     pub queued: u32,
-    /// Streams that it can run at once.
+    /// Maximum number of concurrent streams.
     pub capacity: u32,
     /// Tokens generated in the last second.
     pub tokens_per_second: u32,
-    /// The loaded weights; `None` while a swap runs or after one failed partway.
+    /// Version of the loaded weights; `None` during a swap, or after one failed partway.
     pub weight_version: Option<WeightVersion>,
-    /// Goes up each time the engine starts; streams of an earlier incarnation are gone.
+    /// Incremented at each start of the engine; streams of earlier incarnations are lost.
     pub incarnation: u64,
-    /// Age of the figures, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
 impl LoadReport {
-    /// Age of the figures when they were sent.
+    /// Returns the age of the report when it was sent.
     pub const fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms)
     }
 }
 
-/// The most events of this node that are remembered against a lagging report; beyond it the oldest count as
-/// reported. Chosen, not measured: bounds the memory, and is more than one node sends to a replica between
-/// two reports.
-const OWN_EVENTS: usize = 256;
+/// Maximum number of this node's events kept since the last report; older ones count as included in it. Exceeds
+/// what one node sends to a replica between two reports.
+const MAX_OWN_EVENTS: usize = 256;
 
-/// The last report of a replica, corrected by what this node itself has sent and finished since.
+/// The last report of a replica, corrected by the requests this node has sent and finished since.
 #[derive(Clone, Debug, Default)]
 pub struct LoadEstimate {
     report: Option<(Timestamp, LoadReport)>,
@@ -65,7 +64,7 @@
 }
 
 impl LoadEstimate {
-    /// Takes a report whose figures stood at `taken_at`; an older one than the last is dropped.
+    /// Records a report made at `taken_at`; one older than the last is ignored.
     pub fn observe(&mut self, taken_at: Timestamp, report: LoadReport) {
         if self.report.as_ref().is_some_and(|(last, _)| *last > taken_at) {
             return;
@@ -75,29 +74,29 @@
         self.report = Some((taken_at, report));
     }
 
-    /// Notes a request sent to the replica.
+    /// Records a request sent to the replica.
     pub fn record_sent(&mut self, now: Timestamp) {
         self.in_flight += 1;
-        remember(&mut self.sent, now);
+        push_bounded(&mut self.sent, now);
     }
 
-    /// Notes that a request sent to the replica is over.
+    /// Records the end of a request at the replica.
     pub fn record_finished(&mut self, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        remember(&mut self.finished, now);
+        push_bounded(&mut self.finished, now);
     }
 
-    /// Requests of this node at the replica.
+    /// Returns the number of this node's requests in flight at the replica.
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The last report.
+    /// Returns the last report.
     pub fn report(&self) -> Option<&LoadReport> {
         self.report.as_ref().map(|(_, report)| report)
     }
 
-    /// Streams at the replica, running or waiting, as far as this node can tell.
+    /// Returns the estimated number of running and queued streams at the replica.
     pub fn streams(&self) -> u32 {
         let Some(report) = self.report() else { return self.in_flight };
         let reported = report.running.saturating_add(report.queued);
@@ -106,20 +105,21 @@
         reported.saturating_add(sent).saturating_sub(finished).max(self.in_flight)
     }
 
-    /// Streams that the replica can run at once; `None` before the first report.
+    /// Returns the maximum number of concurrent streams; `None` before the first report.
     pub fn capacity(&self) -> Option<u32> {
         self.report().map(|report| report.capacity.max(1))
     }
 }
 
-/// The time `by` before a timestamp, at the earliest the origin.
+/// Returns the time `by` before a timestamp, saturating at the origin.
 pub(super) fn earlier(timestamp: Timestamp, by: Duration) -> Timestamp {
     let micros = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
     Timestamp::from_micros(timestamp.as_micros().saturating_sub(micros))
 }
 
-fn remember(events: &mut VecDeque<Timestamp>, now: Timestamp) {
-    if events.len() == OWN_EVENTS {
+/// Appends an event and drops the oldest one when the queue is full.
+fn push_bounded(events: &mut VecDeque<Timestamp>, now: Timestamp) {
+    if events.len() == MAX_OWN_EVENTS {
         events.pop_front();
     }
     events.push_back(now);
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,10 +1,11 @@
-//! Which engine of a pool serves a request: eligibility, load, prefix affinity and concurrency limits.
+//! Selects the engine of a pool that serves a request, by eligibility, load, prefix affinity and concurrency
+//! limits.
 //!
-//! Start at [`pool`], which joins the parts: [`eligibility`] decides who may be sent work, [`concurrency`]
-//! how much, [`balancer`] which of them is cheapest, [`subset`] which ones a node uses at all. Rules only,
-//! without I/O; the daemon's `gateway` sends, and reports what came of it. The replicas of the platform's
-//! services are chosen in [`crate::ingress::chooser`], whose head gives the reason for two rules.
-//! Measurements: docs/decisions/routing.md.
+//! [`pool`] is the entry point. It combines [`subset`] (the replicas that a node uses), [`eligibility`] (the
+//! replicas that may be sent work), [`concurrency`] (how many requests each may be sent) and [`balancer`] (the
+//! replica with the lowest cost). The module performs no I/O: the daemon's `gateway` sends requests and reports
+//! their results. Replicas of the platform's services are chosen by [`crate::ingress::chooser`], whose
+//! documentation explains why the policies differ. For measurements, see docs/decisions/routing.md.
 
 pub mod balancer;
 pub mod concurrency;
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -1,8 +1,7 @@
-//! The replicas of one pool as one node knows them, with the pool's retry budget and drain rate.
+//! One node's view of the replicas of a pool, with the pool's retry budget and drain rate.
 //!
-//! Inputs: the machine list, load reports, how requests went, the time and a source of random numbers. Owns
-//! what the node knows of each replica and which were probed. Relies on its caller to send probes and
-//! requests and to report their ends.
+//! [`Pool`] holds the state of each replica and of its probes. The caller sends the probes and requests, and
+//! reports their results.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,32 +21,32 @@
 use crate::routing::subset;
 use crate::time::Timestamp;
 
-/// Replicas asked for their role at once when none is confirmed. More than one, as it may be dead.
-const PROBES_AT_ONCE: usize = 4;
-/// An unanswered probe is not repeated sooner than this: the time-out of a probe.
-const PROBE_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum number of replicas probed for one request when none is confirmed; more than one, since some may be
+/// down.
+const MAX_PROBES_PER_REQUEST: usize = 4;
+/// Minimum time between two probes of a replica; equals the timeout of a probe.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Replicas that one node uses; docs/decisions/routing.md holds the measurement.
+/// Default number of replicas that one node uses; see docs/decisions/routing.md.
 pub const DEFAULT_SUBSET_SIZE: usize = 32;
 
-/// The pause before a retry, with full jitter. A first retry comes at once for the caller, and even the tenth
-/// waits no longer than a second.
+/// Backoff between retries, with full jitter.
 const ENGINE_RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(10), Duration::from_secs(1));
 
-/// How a pool is routed.
+/// Configures the routing of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolConfig {
-    /// How long a replica's confirmation that it takes work holds.
+    /// How long a replica's confirmation that it accepts work is valid.
     pub confirmation_validity: Duration,
-    /// Replicas that one node uses at most; see [`crate::routing::subset`].
+    /// Maximum number of replicas that one node uses; see [`crate::routing::subset`].
     pub subset_size: usize,
-    /// How replicas are weighed.
+    /// Configures the choice among replicas.
     pub balancer: BalancerConfig,
-    /// How many requests are kept at a replica.
+    /// Limits the concurrent requests at each replica.
     pub concurrency: ConcurrencyConfig,
-    /// How many retries are made.
+    /// Limits the retries of the pool.
     pub budget: BudgetConfig,
-    /// How long to wait before a retry.
+    /// Delays between retries.
     pub backoff: Backoff,
 }
 
@@ -67,53 +66,53 @@
 /// A replica as the machine list gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedReplica {
-    /// The replica.
+    /// The replica's id.
     pub replica: ReplicaId,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: ZoneName,
-    /// Whether the list says that it leaves.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// What to route.
+/// The properties of a request that determine its route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
     /// The prompt's prefix group.
     pub prefix_group: u64,
-    /// Who waits.
+    /// The request's priority.
     pub priority: Priority,
-    /// Replicas that are passed over: they have refused this request.
+    /// Replicas that have refused this request; they are excluded.
     pub refused_by: &'a [ReplicaId],
-    /// Replicas that are passed over while there is another: they have failed this request.
+    /// Replicas that have failed this request; they are used only if no other one is available.
     pub failed_at: &'a [ReplicaId],
-    /// Replicas that report older weights are passed over.
+    /// Minimum version of the weights; replicas that report an older one are excluded.
     pub minimum_version: Option<WeightVersion>,
 }
 
 /// Why no replica was chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteRefusal {
-    /// None has confirmed lately; these are to be asked, or have been and not answered yet where it is empty.
+    /// No replica has a valid confirmation.
     Unconfirmed {
-        /// The replicas to probe.
+        /// The replicas to probe now; empty while earlier probes are unanswered.
         probe: Vec<ReplicaId>,
     },
-    /// None takes work.
+    /// No replica accepts work.
     NoneEligible,
-    /// Each that takes work has refused this request.
+    /// Every eligible replica has refused this request.
     AllRefused,
-    /// Each that takes work is at its limit.
+    /// Every eligible replica is at its concurrency limit.
     AtLimit,
 }
 
-/// The last question for a replica's role.
+/// The last probe of a replica.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     asked_at: Timestamp,
     answered: bool,
 }
 
-/// The replicas of one pool.
+/// One node's view of the replicas of a pool.
 #[derive(Clone, Debug)]
 pub struct Pool {
     node: NodeId,
@@ -125,7 +124,7 @@
 }
 
 impl Pool {
-    /// A pool without replicas, as `node` uses it.
+    /// Creates an empty pool for `node`.
     pub fn new(node: NodeId, config: PoolConfig, now: Timestamp) -> Self {
         Self {
             node,
@@ -137,22 +136,23 @@
         }
     }
 
-    /// How the pool is routed.
+    /// Returns the configuration.
     pub const fn config(&self) -> &PoolConfig {
         &self.config
     }
 
-    /// The replicas.
+    /// Returns the replicas.
     pub const fn replicas(&self) -> &BTreeMap<ReplicaId, Replica> {
         &self.replicas
     }
 
-    /// The retries left.
+    /// Returns the retry budget.
     pub const fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
 
-    /// Takes the machine list as it stands.
+    /// Replaces the replicas by those of the machine list. Replicas that are no longer listed are kept while
+    /// they have requests in flight.
     pub fn set_listed_replicas(&mut self, listed: impl IntoIterator<Item = ListedReplica>) {
         for replica in self.replicas.values_mut() {
             replica.listed = false;
@@ -169,7 +169,7 @@
         self.probes.retain(|id, _| self.replicas.contains_key(id));
     }
 
-    /// Changes how the pool is routed. Limits and budgets keep where they stand.
+    /// Replaces the configuration; current limits and balances are kept within the new bounds.
     pub fn reconfigure(&mut self, config: PoolConfig) {
         if config == self.config {
             return;
@@ -182,10 +182,10 @@
         self.choose_subset();
     }
 
-    /// Chooses a replica and counts the request there until [`Pool::release`].
+    /// Chooses a replica and counts the request as in flight there until [`Pool::release`].
     ///
     /// # Errors
-    /// When no replica may take the request now.
+    /// Returns the reason if no replica can take the request now.
     pub fn reserve<R: Rng>(
         &mut self,
         query: &RouteQuery<'_>,
@@ -196,15 +196,16 @@
         if eligible.is_empty() {
             return Err(self.none_eligible(now));
         }
-        let willing: Vec<_> = eligible.into_iter().filter(|(id, _)| !query.refused_by.contains(id)).collect();
-        if willing.is_empty() {
+        let not_refused: Vec<_> =
+            eligible.into_iter().filter(|(id, _)| !query.refused_by.contains(id)).collect();
+        if not_refused.is_empty() {
             return Err(RouteRefusal::AllRefused);
         }
         let with_room: Vec<_> =
-            willing.into_iter().filter(|(_, replica)| replica.has_room(query.priority)).collect();
-        let fresh: Vec<_> =
+            not_refused.into_iter().filter(|(_, replica)| replica.has_room(query.priority)).collect();
+        let not_failed: Vec<_> =
             with_room.iter().filter(|(id, _)| !query.failed_at.contains(id)).copied().collect();
-        let candidates = if fresh.is_empty() { &with_room } else { &fresh };
+        let candidates = if not_failed.is_empty() { &with_room } else { &not_failed };
         let choice = balancer::choose(&self.config.balancer, candidates, query.prefix_group, random);
         let choice = choice.ok_or(RouteRefusal::AtLimit)?;
         if let Some(replica) = self.replicas.get_mut(&choice.replica) {
@@ -214,14 +215,14 @@
         Ok(choice)
     }
 
-    /// Ends what [`Pool::reserve`] began.
+    /// Releases a place taken by [`Pool::reserve`].
     pub fn release(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.load.record_finished(now);
         }
     }
 
-    /// Takes a load report that came in the answer to a question sent at `asked_at`.
+    /// Records a load report received in the response to a message sent at `asked_at`.
     pub fn observe(&mut self, id: &ReplicaId, asked_at: Timestamp, report: LoadReport, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.observe(asked_at, report, now);
@@ -229,7 +230,7 @@
         self.probe_answered(id);
     }
 
-    /// Notes the time to the first token of a request.
+    /// Records a request's time to first token.
     pub fn record_first_token(&mut self, id: &ReplicaId, priority: Priority, took: Duration, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             let in_flight = replica.load.in_flight();
@@ -237,19 +238,19 @@
         }
     }
 
-    /// Notes that a request came to its end.
+    /// Records the completion of a request.
     pub fn record_completion(&mut self, now: Timestamp) {
         self.drain_rate.record_completion(now);
     }
 
-    /// Notes that a replica refused for load.
+    /// Records that a replica refused a request for load.
     pub fn record_overload(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.concurrency.record_overload(now);
         }
     }
 
-    /// Notes that a replica could not be reached or broke off: it has to confirm anew.
+    /// Records that a replica was unreachable or broke off a stream; it must confirm again before it is used.
     pub fn record_failure(&mut self, id: &ReplicaId, now: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.concurrency.record_overload(now);
@@ -258,7 +259,7 @@
         self.probe_answered(id);
     }
 
-    /// Notes that a replica did not answer a probe.
+    /// Records that a replica did not answer a probe.
     pub fn record_probe_failure(&mut self, id: &ReplicaId) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.confirmation.record_failure();
@@ -266,30 +267,32 @@
         self.probe_answered(id);
     }
 
-    /// When a refused caller should come back, from the rate at which requests drain.
+    /// Returns the time after which a refused caller should retry, estimated from the drain rate.
     pub fn retry_after(&self, now: Timestamp) -> Duration {
         let ahead = self.replicas.values().map(|replica| replica.load.in_flight()).sum();
         self.drain_rate.retry_after(now, ahead)
     }
 
-    /// Replicas whose confirmation runs out soon, each at most once in a while.
-    pub fn due_probes(&mut self, now: Timestamp, most: usize) -> Vec<ReplicaId> {
-        let holds = self.config.confirmation_validity;
+    /// Returns up to `max` replicas to probe because their confirmation has expired or is about to, and marks
+    /// them as probed.
+    pub fn due_probes(&mut self, now: Timestamp, max: usize) -> Vec<ReplicaId> {
+        let validity = self.config.confirmation_validity;
         let used = self.replicas.iter().filter(|(_, replica)| replica.in_subset);
-        let wanting = used.filter(|(_, replica)| replica.confirmation.needs_probe(now, holds));
-        let due = wanting
-            .filter(|(id, _)| self.probes.get(*id).is_none_or(|probe| now >= probe.asked_at + PROBE_PAUSE));
-        let due: Vec<ReplicaId> = due.map(|(id, _)| id.clone()).take(most).collect();
+        let unconfirmed = used.filter(|(_, replica)| replica.confirmation.needs_probe(now, validity));
+        let due = unconfirmed.filter(|(id, _)| {
+            self.probes.get(*id).is_none_or(|probe| now >= probe.asked_at + MIN_PROBE_INTERVAL)
+        });
+        let due: Vec<ReplicaId> = due.map(|(id, _)| id.clone()).take(max).collect();
         for id in &due {
             self.probes.insert(id.clone(), Probe { asked_at: now, answered: false });
         }
         due
     }
 
-    /// Draws the subset anew among the replicas that are listed and not listed as leaving.
+    /// Recomputes the subset over the replicas that are listed and not marked as leaving.
     fn choose_subset(&mut self) {
-        let staying = self.replicas.iter().filter(|(_, replica)| replica.may_be_used());
-        let ids = staying.map(|(id, _)| id);
+        let usable = self.replicas.iter().filter(|(_, replica)| replica.may_be_used());
+        let ids = usable.map(|(id, _)| id);
         let chosen: BTreeSet<ReplicaId> =
             subset::choose(&self.node, ids, self.config.subset_size).into_iter().cloned().collect();
         for (id, replica) in &mut self.replicas {
@@ -297,20 +300,22 @@
         }
     }
 
+    /// Returns the replicas that may be sent the request, regardless of their limits.
     fn eligible(&self, query: &RouteQuery<'_>, now: Timestamp) -> Vec<(&ReplicaId, &Replica)> {
-        let holds = self.config.confirmation_validity;
+        let validity = self.config.confirmation_validity;
         let eligible = self.replicas.iter().filter(|(_, replica)| {
             replica.in_subset
-                && replica.confirmation.eligibility(now, holds) == Eligibility::Eligible
+                && replica.confirmation.eligibility(now, validity) == Eligibility::Eligible
                 && !replica.is_older_than(query.minimum_version)
         });
         eligible.collect()
     }
 
+    /// Returns the reason why no replica is eligible, with the replicas to probe.
     fn none_eligible(&mut self, now: Timestamp) -> RouteRefusal {
-        let probe = self.due_probes(now, PROBES_AT_ONCE);
+        let probe = self.due_probes(now, MAX_PROBES_PER_REQUEST);
         let unanswered =
-            self.probes.values().any(|probe| !probe.answered && now < probe.asked_at + PROBE_PAUSE);
+            self.probes.values().any(|probe| !probe.answered && now < probe.asked_at + MIN_PROBE_INTERVAL);
         if probe.is_empty() && !unanswered {
             return RouteRefusal::NoneEligible;
         }
--- a/crates/core/src/routing/replica.rs
+++ b/crates/core/src/routing/replica.rs
@@ -1,5 +1,5 @@
-//! One replica as one node knows it: whether it takes work, its load, its limit and its cached prefixes.
-//! Joins the parts for [`super::pool`], which owns it.
+//! One node's view of a replica: eligibility, load, concurrency limit and cached prefixes. Owned by
+//! [`super::pool`].
 
 use crate::identity::{WeightVersion, ZoneName};
 use crate::request::answer::Priority;
@@ -9,27 +9,27 @@
 use crate::routing::prefix::PrefixHints;
 use crate::time::Timestamp;
 
-/// What a node knows about a replica.
+/// One node's view of a replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: ZoneName,
-    /// Whether it takes new work.
+    /// Its confirmation that it accepts new work.
     pub confirmation: Confirmation,
-    /// Its load.
+    /// Its estimated load.
     pub load: LoadEstimate,
-    /// How many requests this node keeps there.
+    /// The limit on this node's concurrent requests there.
     pub concurrency: ConcurrencyLimit,
-    /// What it probably has in its cache.
+    /// The prefixes it probably has cached.
     pub prefixes: PrefixHints,
-    /// Whether it is in the machine list; kept after that while requests run there.
+    /// Whether it is in the machine list. An unlisted replica is kept while requests run there.
     pub listed: bool,
-    /// Whether this node uses it; see [`crate::routing::subset`].
+    /// Whether it is in this node's subset; see [`crate::routing::subset`].
     pub in_subset: bool,
 }
 
 impl Replica {
-    /// A replica of which nothing is known.
+    /// Creates a listed replica without any reports.
     pub fn new(zone: ZoneName, concurrency: ConcurrencyConfig) -> Self {
         Self {
             zone,
@@ -42,27 +42,28 @@
         }
     }
 
-    /// Takes a report that came in the answer to a question sent at `asked_at`.
+    /// Records a load report received in the response to a message sent at `asked_at`.
     ///
-    /// For eligibility it stands for the time of the question; for the load, which is a hint, for its
-    /// arrival, so that the report at the end of a long stream is of use.
+    /// Eligibility dates the report to the time of that message, the latest time that is safe to assume. The
+    /// load, which is only a hint, dates it to its arrival, so that a report at the end of a long stream is
+    /// still used.
     pub fn observe(&mut self, asked_at: Timestamp, report: LoadReport, now: Timestamp) {
         let age = report.age();
         self.confirmation.observe(asked_at, age, report.role, now);
         self.load.observe(earlier(now, age), report);
     }
 
-    /// Whether it is in the machine list and not listed as leaving.
+    /// Whether the replica is listed and not marked as leaving.
     pub(crate) fn may_be_used(&self) -> bool {
         self.listed && !self.confirmation.is_listed_leaving()
     }
 
-    /// Whether one more request of this priority may run there.
+    /// Whether the limit admits another request of this priority.
     pub fn has_room(&self, priority: Priority) -> bool {
         self.load.in_flight() < self.concurrency.limit_for(priority)
     }
 
-    /// Whether its last report rules out that it generates with `minimum` or later.
+    /// Whether its last report states weights older than `minimum`.
     pub(crate) fn is_older_than(&self, minimum: Option<WeightVersion>) -> bool {
         let Some(minimum) = minimum else { return false };
         let reported = self.load.report().and_then(|report| report.weight_version);
