--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -1,30 +1,25 @@
-//! A token bucket that bounds the retries of a pool by its requests, so that retries can't multiply the load
-//! on engines that are failing already.
+//! A token bucket that limits a pool's retries to a share of its requests, so that retries can't overload
+//! engines that are already failing.
 //!
-//! Inputs: requests, retries and the time. Units: retries, retries a second. Measured: while a pool was ten
-//! times slower, engines got 1.46 attempts for each request with the budget, 4.45 without it and without
-//! concurrency limits (docs/decisions/retries.md, 50 seeds of 40,000 requests).
+//! See docs/decisions/retries.md for measurements.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// How many retries a pool may make.
+/// Configures a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Retries that each request pays in: 0.1 allows one retry for ten requests.
+    /// Retries that each request adds to the budget: 0.1 allows one retry for ten requests.
     pub deposit_ratio: f64,
-    /// Retries a second that are allowed however few requests there are.
+    /// Retries per second that are allowed regardless of the number of requests.
     pub minimum_per_second: f64,
-    /// How long what was paid in can be used.
+    /// Time constant with which the balance above the minimum decays.
     pub window: Duration,
-    /// The most retries that can be saved up.
+    /// Maximum balance, in retries.
     pub max_saved: f64,
 }
 
-/// The tenth of a retry for each request and the one a second were measured (see the head of the module);
-/// `window` and `max_saved` are chosen, not measured: more lets a pool spend the savings of quiet hours at
-/// once.
 impl Default for BudgetConfig {
     fn default() -> Self {
         Self {
@@ -36,9 +31,10 @@
     }
 }
 
-/// The retries that a pool has left.
+/// The retry budget of a pool.
 ///
-/// Invariant: retries over any time `t` are at most `max_saved + deposit_ratio * requests + minimum * t`.
+/// Invariant: the retries within any time `t` are at most
+/// `max_saved + deposit_ratio * requests + minimum_per_second * t`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,16 +45,16 @@
 /// let config = BudgetConfig { deposit_ratio: 0.1, minimum_per_second: 0.0, ..BudgetConfig::default() };
 /// let now = Timestamp::ORIGIN;
 /// let mut budget = RetryBudget::new(config, now);
-/// assert!(!budget.withdraw(now), "nothing was paid in");
+/// assert!(!budget.withdraw(now), "nothing was deposited");
 ///
-/// // Twenty requests pay for two retries, in whatever time they come.
+/// // Twenty requests pay for two retries.
 /// for _ in 0..21 {
 ///     budget.deposit(now);
 /// }
 /// assert!(budget.withdraw(now) && budget.withdraw(now));
 /// assert!(!budget.withdraw(now));
 ///
-/// // What was paid in is lost again with time.
+/// // Deposits decay over time.
 /// for _ in 0..21 {
 ///     budget.deposit(now);
 /// }
@@ -72,25 +68,25 @@
 }
 
 impl RetryBudget {
-    /// A budget with what the minimum gives in one window.
+    /// Creates a budget that holds the minimum of one window.
     pub fn new(config: BudgetConfig, now: Timestamp) -> Self {
         let balance = (config.minimum_per_second * config.window.as_secs_f64()).min(config.max_saved);
         Self { config, balance, refilled_at: now }
     }
 
-    /// Changes what is paid in from now on; what is saved stays, up to the new most.
+    /// Replaces the configuration and limits the balance to the new maximum.
     pub fn reconfigure(&mut self, config: BudgetConfig) {
         self.config = config;
         self.balance = self.balance.min(config.max_saved);
     }
 
-    /// Pays in for one request, not for its retries.
+    /// Adds the deposit for one request. Must not be called for its retries.
     pub fn deposit(&mut self, now: Timestamp) {
         self.refill(now);
         self.balance = (self.balance + self.config.deposit_ratio).min(self.config.max_saved);
     }
 
-    /// Takes out one retry, if there is one.
+    /// Withdraws one retry; returns `false` if the balance is too low.
     pub fn withdraw(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         if self.balance < 1.0 {
@@ -100,12 +96,12 @@
         true
     }
 
-    /// Retries left.
+    /// Returns the balance, in retries.
     pub const fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Adds the minimum for the time that passed, and lets what is older than the window decay.
+    /// Adds the minimum rate for the elapsed time, and decays the balance above it.
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,6 +1,5 @@
-//! When to try again: the time for one attempt, the pause before the next, the budget of retries, and the
-//! time after which a caller may come back. Rules and figures only; senders in the daemon and the batch jobs'
-//! controllers apply them.
+//! Retry policy: the timeout of an attempt, the backoff before the next, the retry budget of a pool, and the
+//! retry time given to a refused caller. The daemon's senders and the controllers of batch jobs apply it.
 
 pub mod attempt_timeout;
 pub mod backoff;
