--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,5 +1,5 @@
-//! What makes two requests the same one: a digest of method, host, path, tenant and body, and not of the
-//! request's id, which is another for each try. Reports carry it in place of the request.
+//! Identifies repetitions of a request by a digest of method, host, path, tenant and body. The request id is
+//! excluded, since it differs between attempts. Crash reports carry the digest instead of the request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,31 +9,32 @@
 
 use crate::identity::TenantName;
 
-/// Bytes of the digest that are kept: two requests of a day share them by chance less than once in 10^30.
+/// Length of the truncated digest, in bytes.
 const LENGTH_BYTES: usize = 16;
 
-/// The digest of a request's method, host, path with query, tenant and body. A request that comes again, with
-/// another id, at another node or as another run, has the same one.
+/// The digest of a request's method, host, path with query, tenant and body. It is the same for each attempt,
+/// at every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Fingerprint([u8; LENGTH_BYTES]);
 
-/// What a fingerprint is of.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host by which its route was found, without a port, in lower case.
+    /// The host that its route matched, in lower case, without a port.
     pub host: &'a str,
-    /// Path and query.
+    /// Path with query.
     pub path: &'a str,
-    /// Who sent it, where callers have keys.
+    /// The caller's tenant, if callers need keys.
     pub tenant: Option<&'a TenantName>,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request. Each part but the body is prefixed by its length, so that no two
+    /// different requests hash the same bytes.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let tenant = content.tenant.map_or("", TenantName::as_str);
         let mut hasher = Sha256::new();
@@ -55,7 +56,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a fingerprint has {} hexadecimal digits; copy it from `lichenpulley quarantine`", LENGTH_BYTES * 2)]
 pub struct FingerprintError;
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -1,30 +1,30 @@
-//! What nodes report to each other of replicas that ended. Stored data: the order of the fields is fixed.
+//! The reports on crashed replicas that nodes exchange. They are stored data: the order of fields is fixed.
 
 use speedy::{Readable, Writable};
 
 use super::Fingerprint;
 
-/// The most requests that one report names: more than one node has running at a replica at a time. Chosen,
-/// not measured: a smaller one could leave out the guilty request.
+/// Maximum number of requests in one report; exceeds what one node runs on a replica at a time, so that the
+/// request that caused the crash is not omitted.
 pub const MAX_REPORTED_REQUESTS: usize = 64;
 
-/// A replica ended: what one node had running there.
+/// The requests that one node had running on a replica when it crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CrashReport {
-    /// The incarnation of the replica that ended.
+    /// The incarnation of the replica that crashed.
     pub replica: String,
-    /// Requests that ran there when it ended and have not run to an end anywhere since.
+    /// Requests that ran there at the crash and have not completed anywhere since.
     pub suspects: Vec<Suspect>,
-    /// Requests that earlier reports name and that ran to an end since, or that an operator released: none of
-    /// them ended it.
+    /// Requests of earlier reports that have completed since or that an operator released: they did not cause
+    /// the crash.
     pub cleared: Vec<Fingerprint>,
 }
 
-/// A request that ran where a replica ended.
+/// A request that ran on a replica when it crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Suspect {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether this run began after the node knew of another replica that had ended under the request.
+    /// Whether the node already knew of a crash under this request when it started this run.
     pub is_repeated: bool,
 }
--- a/crates/core/src/quarantine/verdict.rs
+++ b/crates/core/src/quarantine/verdict.rs
@@ -1,28 +1,28 @@
-//! Which requests are quarantined, from what all nodes reported.
+//! Determines the quarantined requests from the crash reports of all nodes.
 //!
-//! Inputs: the crash reports of all nodes. A replica that ends breaks off everything that ran there, so most
-//! requests in a report are innocent. A request is quarantined only where it accounts for more ended replicas
-//! than any other that ran there; the replicas that it accounts for then count against no other request. The
-//! same reports give the same verdict at each node.
+//! A crash interrupts every request on the replica, so most requests in a report did not cause it. A request is
+//! quarantined only if it explains more crashes than any other request that ran on the same replicas. The
+//! crashes that it explains then no longer count against other requests. The result is a function of the
+//! reports, so all nodes agree.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{CrashReport, Fingerprint};
 
-/// Replicas that end under a request before it is quarantined. See docs/decisions/quarantine.md.
+/// Number of replica crashes under a request at which it is quarantined. See docs/decisions/quarantine.md.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// This many are enough where other requests ran at the same replicas each time: that two requests meet by
-/// chance at four replicas in a row, each just as it ends, is taken to be impossible. Chosen, not measured.
-const CRASHES_BEYOND_CHANCE: usize = CRASHES_TO_QUARANTINE + 1;
+/// Number of crashes at which requests are quarantined even if they ran together on every crashed replica: a
+/// coincidence is then unlikely enough.
+const CRASHES_WITHOUT_DISTINCTION: usize = CRASHES_TO_QUARANTINE + 1;
 
-/// Requests that reach no replica any more, and those under which a replica ended.
+/// The quarantined requests, and the crashes under each request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
     crashes: BTreeMap<Fingerprint, BTreeSet<String>>,
-    held: BTreeSet<Fingerprint>,
+    quarantined: BTreeSet<Fingerprint>,
 }
 
-/// The requests at each replica that ended, and the requests that were sent again knowing of an earlier end.
+/// The suspected requests of each crashed replica, and the requests that were sent again after a known crash.
 #[derive(Default)]
 struct Evidence<'a> {
     suspects: BTreeMap<&'a str, BTreeSet<Fingerprint>>,
@@ -30,7 +30,7 @@
 }
 
 impl<'a> Evidence<'a> {
-    fn gather(reports: impl Iterator<Item = &'a CrashReport>) -> Self {
+    fn collect(reports: impl Iterator<Item = &'a CrashReport>) -> Self {
         let mut evidence = Self::default();
         let mut cleared = BTreeSet::new();
         for report in reports {
@@ -49,7 +49,7 @@
         evidence
     }
 
-    /// How many ended replicas each request may account for.
+    /// Returns the number of crashes that each request may have caused.
     fn counts(&self) -> BTreeMap<Fingerprint, usize> {
         let mut counts = BTreeMap::new();
         for fingerprint in self.suspects.values().flatten() {
@@ -58,73 +58,74 @@
         counts
     }
 
-    /// The requests that account for the most ended replicas, where these are enough to hold them.
-    fn next_held(&self) -> BTreeSet<Fingerprint> {
-        // Replicas that end together, as for want of power, end under every request that runs at all of them.
+    /// Returns the requests that may have caused the most crashes, if these suffice to quarantine them.
+    fn next_quarantined(&self) -> BTreeSet<Fingerprint> {
+        // Replicas that fail together, as in a power outage, fail under every request that runs on all of them.
+        // Only requests that were sent again after a known crash therefore count.
         let mut counts = self.counts();
         counts.retain(|fingerprint, _| self.repeated.contains(fingerprint));
         let most = counts.values().copied().max().unwrap_or(0);
         if most < CRASHES_TO_QUARANTINE {
             return BTreeSet::new();
         }
-        let foremost: BTreeSet<Fingerprint> =
+        let leading: BTreeSet<Fingerprint> =
             counts.iter().filter(|(_, count)| **count == most).map(|(fingerprint, _)| *fingerprint).collect();
-        if most >= CRASHES_BEYOND_CHANCE {
-            return foremost;
+        if most >= CRASHES_WITHOUT_DISTINCTION {
+            return leading;
         }
-        // One that ran nowhere without another of the same count can't be distinguished from it yet.
+        // A request that always ran beside another one with the same count can't be distinguished from it yet.
         let is_alone = |fingerprint: &Fingerprint, suspects: &BTreeSet<Fingerprint>| {
-            suspects.contains(fingerprint) && suspects.intersection(&foremost).count() == 1
+            suspects.contains(fingerprint) && suspects.intersection(&leading).count() == 1
         };
-        let stands_out = |fingerprint: &&Fingerprint| {
+        let is_distinguishable = |fingerprint: &&Fingerprint| {
             self.suspects.values().any(|suspects| is_alone(fingerprint, suspects))
         };
-        foremost.iter().filter(stands_out).copied().collect()
+        leading.iter().filter(is_distinguishable).copied().collect()
     }
 
-    /// The replicas that these requests account for count against no other request.
-    fn explain(&mut self, held: &BTreeSet<Fingerprint>) {
-        self.suspects.retain(|_, suspects| suspects.is_disjoint(held));
+    /// Removes the crashes that these requests explain, so that they count against no other request.
+    fn remove_explained(&mut self, quarantined: &BTreeSet<Fingerprint>) {
+        self.suspects.retain(|_, suspects| suspects.is_disjoint(quarantined));
     }
 }
 
 impl Quarantine {
-    /// What follows from all reports.
+    /// Derives the quarantine from the reports of all nodes.
     pub fn from_reports<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Self {
-        let mut evidence = Evidence::gather(reports);
+        let mut evidence = Evidence::collect(reports);
         let mut crashes: BTreeMap<Fingerprint, BTreeSet<String>> = BTreeMap::new();
         for (replica, suspects) in &evidence.suspects {
             for fingerprint in suspects {
                 crashes.entry(*fingerprint).or_default().insert((*replica).to_owned());
             }
         }
-        let mut held = BTreeSet::new();
+        let mut quarantined = BTreeSet::new();
         loop {
-            let next = evidence.next_held();
+            let next = evidence.next_quarantined();
             if next.is_empty() {
-                return Self { crashes, held };
+                return Self { crashes, quarantined };
             }
-            evidence.explain(&next);
-            held.extend(next);
+            evidence.remove_explained(&next);
+            quarantined.extend(next);
         }
     }
 
-    /// Whether a request must reach no replica.
+    /// Whether the request must not be sent to any replica.
     pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
-        self.held.contains(fingerprint)
+        self.quarantined.contains(fingerprint)
     }
 
-    /// Whether no request is held back.
+    /// Whether no request is quarantined.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.quarantined.is_empty()
     }
 
-    /// The requests that are held back.
+    /// Returns the quarantined requests.
     pub const fn requests(&self) -> &BTreeSet<Fingerprint> {
-        &self.held
+        &self.quarantined
     }
 
-    /// The replicas that ended while a request ran there, unless it was cleared of them.
+    /// Returns the replicas that crashed while the request ran there, without those it was cleared of.
     pub fn crashes(&self, fingerprint: &Fingerprint) -> impl Iterator<Item = &str> {
         self.crashes.get(fingerprint).into_iter().flatten().map(String::as_str)
     }
--- a/crates/core/src/quarantine/watch.rs
+++ b/crates/core/src/quarantine/watch.rs
@@ -1,14 +1,11 @@
-//! What one node observed of runs that broke off at replicas, and what it has to report of them to the other
-//! nodes.
+//! Tracks one node's interrupted runs and the crashes that it reports to the other nodes.
 //!
-//! Inputs: how each run ended, the list of replicas, the reports of all nodes, the time. A run that broke off
-//! counts as a crash once its replica is known to have ended. Owns the broken runs, the crashes and the
-//! clearings of this node, all bounded. Relies on its caller to call [`CrashMonitor::expire`] and to send what
-//! [`CrashMonitor::due_reports`] returns.
+//! An interrupted run alone proves nothing, since connections are reset and answers get lost. It counts as a
+//! crash once its replica is known to have ended, and stops counting once the request completes anywhere or the
+//! replica answers anything.
 //!
-//! A run that breaks off says nothing: connections are reset, answers are lost. It counts once its replica is
-//! known to have ended, and counts no more once the request ran to an end anywhere, or the replica answered
-//! anything.
+//! [`CrashMonitor`] holds a bounded number of interrupted runs, crashes and clearings. The caller must call
+//! [`CrashMonitor::expire`] regularly and store the reports returned by [`CrashMonitor::due_reports`].
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,29 +16,25 @@
 use crate::ingress::replicas::ReplicaTable;
 use crate::time::Timestamp;
 
-/// A replica whose entry is still listed this long after a run broke off there did not end then: an entry
-/// lapses after three heartbeats, some seconds at most. A shorter time misses crashes, a longer one keeps
-/// innocent requests waiting. Chosen, not measured.
+/// Time after which a replica that is still listed is taken not to have crashed when a run was interrupted there.
+/// Exceeds the time in which the entry of a crashed replica lapses (three heartbeats).
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// The first crash under a request is reported after this time: a plain request that only ran there has
-/// mostly been answered elsewhere until then. Chosen, not measured: shorter writes reports that are cleared
-/// at once, longer lets a guilty request reach further replicas unreported.
+/// Delay of the report on the first crash under a request; most requests that did not cause the crash are
+/// answered elsewhere within it.
 const FIRST_REPORT_DELAY: Duration = Duration::from_millis(400);
-/// What this node observed of a crash counts here for this time; its report in the store lasts longer.
-/// Chosen, not measured.
+/// Time for which this node keeps its own crashes and clearings; the stored reports are kept longer.
 const CRASH_RETENTION: Duration = Duration::from_secs(120);
-/// The most broken runs, and the most crashes, that are kept. Chosen, not measured: bounds the memory; fewer
-/// forget crashes when many replicas end together.
+/// Maximum number of interrupted runs, and of crashes, that are kept.
 const MAX_KEPT_RUNS: usize = 1_024;
 
-/// Who sent a run.
+/// The sender of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunSender {
-    /// A gateway, for a caller. Others may send the same request.
+    /// A gateway, for a caller. Other gateways may send the same request.
     Gateway,
-    /// The owner of batch jobs, the only one to send it. Many items run at a replica, most of them for
-    /// seconds, and few of them are answered before a crash is reported: only what ran at two crashes is
-    /// reported.
+    /// The owner of batch jobs, the only sender of the request. Many items run on a replica for seconds, and
+    /// few of them complete before a crash would be reported, so an item is reported only from its second
+    /// crash on.
     Owner,
 }
 
@@ -52,57 +45,58 @@
     pub fingerprint: Fingerprint,
     /// The incarnation of the replica.
     pub replica: String,
-    /// Whether the replica may start again under its name: an answer may come from its next incarnation until
-    /// that is listed.
+    /// Whether the replica may restart under its name; an answer may then come from its next incarnation before
+    /// that one is listed.
     pub may_restart: bool,
-    /// Where that answers.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// Who sent it.
+    /// The sender.
     pub sender: RunSender,
-    /// Whether the node knew, when it was sent, of a replica that had ended under the request.
+    /// Whether the node already knew of a crash under the request when it sent the run.
     pub is_repeated: bool,
-    /// When it was sent.
+    /// When the run was sent.
     pub sent_at: Timestamp,
 }
 
-/// A run that broke off at a replica of which it is not known whether it ended.
+/// An interrupted run at a replica that may or may not have crashed.
 #[derive(Clone, Debug)]
-struct BrokenRun {
+struct InterruptedRun {
     run: SentRun,
     at: Timestamp,
     cause: BreakCause,
 }
 
-/// How a run broke off.
+/// Why a run was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakCause {
     /// The connection closed.
     Closed,
-    /// It was given up, for time or because its caller left.
+    /// The sender gave up, after a timeout or because the caller disconnected.
     GivenUp,
 }
 
-/// A replica ended while a run was there.
+/// A replica crashed during a run.
 #[derive(Clone, Debug)]
 struct Crash {
     sender: RunSender,
     is_repeated: bool,
-    /// When the run was sent, and when it broke off.
+    /// When the run was sent.
     sent_at: Timestamp,
-    broke_at: Timestamp,
-    /// When it was known that the replica had ended.
+    /// When the run was interrupted.
+    interrupted_at: Timestamp,
+    /// When the crash became known.
     at: Timestamp,
     is_reported: bool,
 }
 
-/// A request is cleared of a crash.
+/// States that a request did not cause a crash.
 #[derive(Clone, Copy, Debug)]
 struct Clearing {
     at: Timestamp,
     is_reported: bool,
 }
 
-/// The reports of all nodes, with the requests that they name for quick look-ups.
+/// The reports of all nodes, with an index of their suspects.
 #[derive(Debug, Default)]
 struct ReportedCrashes {
     reports: Vec<CrashReport>,
@@ -117,83 +111,86 @@
     }
 }
 
-/// This node's part in the quarantine.
+/// Tracks the crashes observed by one node and derives the quarantine from them and the reports of all nodes.
 #[derive(Debug, Default)]
 pub struct CrashMonitor {
-    broken: VecDeque<BrokenRun>,
+    interrupted: VecDeque<InterruptedRun>,
     crashes: BTreeMap<(Fingerprint, String), Crash>,
     /// The reports of all nodes, this one included.
     reported: ReportedCrashes,
-    /// Requests that a replica answered whole lately: they don't end each replica that runs them, however
-    /// often they are met by an end.
+    /// Requests that recently completed. They are not suspected, however many replicas crash while they run.
     answered: RecentRequests,
-    /// Crashes that were reported and of which a request is cleared.
+    /// Reported crashes of which a request is cleared.
     clearings: BTreeMap<(Fingerprint, String), Clearing>,
 }
 
 impl CrashMonitor {
-    /// Whether a replica ended, or seems to have, while the request ran there.
+    /// Whether a replica crashed, or may have, while the request ran there.
     pub fn is_suspected(&self, fingerprint: &Fingerprint) -> bool {
-        self.broken.iter().any(|broken| broken.run.fingerprint == *fingerprint)
+        self.interrupted.iter().any(|interrupted| interrupted.run.fingerprint == *fingerprint)
             || self.own_crashes(fingerprint).next().is_some()
             || self.reported.requests.contains(fingerprint)
     }
 
+    /// Returns the crashes that this node observed under the request, by replica.
     fn own_crashes(&self, fingerprint: &Fingerprint) -> impl Iterator<Item = (&String, &Crash)> {
-        let from = (*fingerprint, String::new());
-        let own = self.crashes.range(from..).take_while(move |((of, _), _)| of == fingerprint);
+        let own_range = (*fingerprint, String::new());
+        let own = self.crashes.range(own_range..).take_while(move |((of, _), _)| of == fingerprint);
         own.map(|((_, replica), crash)| (replica, crash))
     }
 
-    /// A run gave no whole answer at a replica that is still listed or not. Returns whether anything follows
-    /// at once: one that is gone from the list has ended, and a request that lacks one crash to be held is
-    /// not sent on until it is known whether it did.
+    /// Records a run that got no complete answer. `is_listed` states whether its replica is still listed; one
+    /// that is not has ended. Returns whether the quarantine may have changed: by a crash, or since a request
+    /// that is one crash short of quarantine is held until its replica's state is known.
     pub fn run_broken(&mut self, run: SentRun, cause: BreakCause, is_listed: bool, now: Timestamp) -> bool {
         self.expire(now);
         if self.answered.contains(&run.fingerprint) {
             return false;
         }
         if !is_listed {
-            return self.count(BrokenRun { run, at: now, cause }, now);
+            return self.record_crash(InterruptedRun { run, at: now, cause }, now);
         }
-        if self.broken.len() >= MAX_KEPT_RUNS {
-            self.broken.pop_front();
+        if self.interrupted.len() >= MAX_KEPT_RUNS {
+            self.interrupted.pop_front();
         }
         let counts = cause == BreakCause::Closed && self.is_suspected(&run.fingerprint);
-        self.broken.push_back(BrokenRun { run, at: now, cause });
+        self.interrupted.push_back(InterruptedRun { run, at: now, cause });
         counts
     }
 
-    /// A run ended with a whole answer of its replica, good or not: the request ended no replica, and neither
-    /// did this replica end before the run was sent. Returns whether anything is known otherwise from now on.
+    /// Records a run that got a complete answer, successful or not. This clears the request of all crashes, and
+    /// the replica of crashes known before the run was sent. Returns whether anything changed.
     pub fn run_ended(&mut self, run: &SentRun, now: Timestamp) -> bool {
         self.answered.insert(run.fingerprint, now);
         let is_reported = self.reported.requests.contains(&run.fingerprint);
-        if self.broken.is_empty() && self.crashes.is_empty() && !is_reported {
+        if self.interrupted.is_empty() && self.crashes.is_empty() && !is_reported {
             return false;
         }
-        let next_incarnation_for = if run.may_restart { CONFIRMATION_TIMEOUT } else { Duration::ZERO };
-        let ran_on = |crash: &Crash| crash.at + next_incarnation_for <= run.sent_at;
+        let restart_margin = if run.may_restart { CONFIRMATION_TIMEOUT } else { Duration::ZERO };
+        let is_disproved = |crash: &Crash| crash.at + restart_margin <= run.sent_at;
         self.clear(
             |fingerprint, replica, crash| {
-                *fingerprint == run.fingerprint || (*replica == run.replica && crash.is_some_and(ran_on))
+                *fingerprint == run.fingerprint
+                    || (*replica == run.replica && crash.is_some_and(is_disproved))
             },
             now,
         )
     }
 
-    /// An operator states that a request ended no replica; returns whether any crash counted against it.
+    /// Clears a request of all crashes on behalf of an operator. Returns whether anything changed.
     pub fn release(&mut self, fingerprint: &Fingerprint, now: Timestamp) -> bool {
         self.clear(|of, _, _| of == fingerprint, now)
     }
 
-    /// Clears requests of crashes; of those that only other nodes observed the time is not known here.
+    /// Clears requests of the crashes selected by `is_cleared`. Its last argument is `None` for crashes that
+    /// only other nodes observed, and for runs not known to be crashes.
     fn clear(
         &mut self,
         is_cleared: impl Fn(&Fingerprint, &String, Option<&Crash>) -> bool,
         now: Timestamp,
     ) -> bool {
-        self.broken.retain(|broken| !is_cleared(&broken.run.fingerprint, &broken.run.replica, None));
+        self.interrupted
+            .retain(|interrupted| !is_cleared(&interrupted.run.fingerprint, &interrupted.run.replica, None));
         let before = (self.crashes.len(), self.clearings.len());
         let mut to_clear = BTreeSet::new();
         self.crashes.retain(|(fingerprint, replica), crash| {
@@ -219,44 +216,48 @@
         before != (self.crashes.len(), self.clearings.len())
     }
 
-    /// An incarnation of a replica has ended. Returns whether runs of this node broke off there.
+    /// Records that an incarnation of a replica ended. Returns whether it counts as a crash for any run of this
+    /// node.
     pub fn replica_ended(&mut self, replica: &str, now: Timestamp) -> bool {
-        let (ended, left) =
-            self.broken.drain(..).partition::<VecDeque<_>, _>(|broken| broken.run.replica == replica);
-        self.broken = left;
+        let (ended, remaining) = self
+            .interrupted
+            .drain(..)
+            .partition::<VecDeque<_>, _>(|interrupted| interrupted.run.replica == replica);
+        self.interrupted = remaining;
         let mut counts = false;
-        for broken in ended {
-            counts |= self.count(broken, now);
+        for interrupted in ended {
+            counts |= self.record_crash(interrupted, now);
         }
         counts
     }
 
-    fn count(&mut self, broken: BrokenRun, now: Timestamp) -> bool {
-        let BrokenRun { run, at: broke_at, .. } = broken;
-        // Runs of one request that were under way together, as those of a group's items, count once: replicas
-        // that end together would speak against all that runs at each of them.
-        let overlaps = |crash: &Crash| run.sent_at < crash.broke_at && crash.sent_at < broke_at;
-        let is_beside = self.own_crashes(&run.fingerprint).any(|(_, crash)| overlaps(crash));
-        let is_beside = is_beside && run.sender == RunSender::Owner;
-        if is_beside || self.crashes.len() >= MAX_KEPT_RUNS {
+    /// Counts an interrupted run as a crash; returns whether it was recorded.
+    fn record_crash(&mut self, interrupted: InterruptedRun, now: Timestamp) -> bool {
+        let InterruptedRun { run, at: interrupted_at, .. } = interrupted;
+        // Concurrent runs of one request, as in a group of items, count once. Otherwise replicas that fail together
+        // would count against every request that runs on all of them.
+        let overlaps = |crash: &Crash| run.sent_at < crash.interrupted_at && crash.sent_at < interrupted_at;
+        let is_concurrent = self.own_crashes(&run.fingerprint).any(|(_, crash)| overlaps(crash));
+        let is_concurrent = is_concurrent && run.sender == RunSender::Owner;
+        if is_concurrent || self.crashes.len() >= MAX_KEPT_RUNS {
             return false;
         }
         let SentRun { sender, is_repeated, sent_at, .. } = run;
-        let crash = Crash { sender, is_repeated, sent_at, broke_at, at: now, is_reported: false };
+        let crash = Crash { sender, is_repeated, sent_at, interrupted_at, at: now, is_reported: false };
         self.crashes.entry((run.fingerprint, run.replica)).or_insert(crash);
         true
     }
 
-    /// Takes the list of replicas: one that is gone from it, or whose address another has, ended. Returns
-    /// whether runs of this node broke off there.
+    /// Applies a new list of replicas. A replica that is missing from it, or whose address belongs to another
+    /// one, has ended. Returns whether that counts as a crash for any run of this node.
     pub fn set_replicas(&mut self, table: &ReplicaTable, now: Timestamp) -> bool {
         let has_ended = |run: &SentRun| {
-            let taken = |record: &&str| **record != *run.replica;
+            let is_other = |record: &&str| **record != *run.replica;
             let others = table.records.values().filter(|record| record.address == run.address);
-            let is_taken = others.map(|record| record.id.as_str()).any(|id| taken(&id));
+            let is_taken = others.map(|record| record.id.as_str()).any(|id| is_other(&id));
             is_taken || !table.records.contains_key(&run.replica)
         };
-        let runs = self.broken.iter().map(|broken| &broken.run).filter(|run| has_ended(run));
+        let runs = self.interrupted.iter().map(|interrupted| &interrupted.run).filter(|run| has_ended(run));
         let ended: BTreeSet<String> = runs.map(|run| run.replica.clone()).collect();
         let mut counts = false;
         for replica in ended {
@@ -265,10 +266,10 @@
         counts
     }
 
-    /// Takes the reports of all nodes. Requests that this node knows to be answered lately are cleared.
+    /// Replaces the reports of all nodes, and clears the requests that this node saw complete recently.
     pub fn set_reports(&mut self, reports: Vec<CrashReport>, now: Timestamp) {
         self.reported = ReportedCrashes::new(reports);
-        self.answered.turn(now);
+        self.answered.expire(now);
         let answered: Vec<Fingerprint> = self
             .reported
             .requests
@@ -281,7 +282,7 @@
         }
     }
 
-    /// What follows from what this node knows.
+    /// Derives the quarantine from the reports of all nodes and this node's own observations.
     pub fn quarantine(&self) -> Quarantine {
         let own = self.crashes.iter().map(|((fingerprint, replica), crash)| {
             let suspect = Suspect { fingerprint: *fingerprint, is_repeated: crash.is_repeated };
@@ -298,10 +299,10 @@
         Quarantine::from_reports(self.reported.reports.iter().chain(&own))
     }
 
-    /// Of requests that lack one crash to be held, runs that broke off and are likely it.
+    /// Returns the closed connections that would be the last crash needed to quarantine their requests.
     fn last_crashes(&self, known: &Quarantine) -> Vec<CrashReport> {
-        let closed = self.broken.iter().filter(|broken| broken.cause == BreakCause::Closed);
-        let runs = closed.map(|broken| &broken.run);
+        let closed = self.interrupted.iter().filter(|interrupted| interrupted.cause == BreakCause::Closed);
+        let runs = closed.map(|interrupted| &interrupted.run);
         let is_last = |run: &&SentRun| {
             let others = known.crashes(&run.fingerprint).filter(|replica| *replica != run.replica);
             others.count() + 1 >= CRASHES_TO_QUARANTINE
@@ -313,7 +314,7 @@
         runs.filter(is_last).map(report).collect()
     }
 
-    /// The reports that are due now, one for each replica.
+    /// Returns the reports that are due, one for each replica, and marks their content as reported.
     pub fn due_reports(&mut self, now: Timestamp) -> Vec<CrashReport> {
         self.expire(now);
         let mut counts: BTreeMap<Fingerprint, usize> = BTreeMap::new();
@@ -329,7 +330,7 @@
         for ((fingerprint, replica), crash) in &mut self.crashes {
             let is_second = counts.get(fingerprint) > Some(&1);
             let is_enough = crash.sender == RunSender::Gateway || is_second;
-            // Few innocent requests meet two crashes.
+            // A second crash is unlikely to be a coincidence.
             let is_urgent = is_second || self.reported.requests.contains(fingerprint);
             let is_due = is_urgent || now.saturating_since(crash.at) >= FIRST_REPORT_DELAY;
             if crash.is_reported || !is_enough || !is_due {
@@ -353,20 +354,20 @@
         due.into_values().collect()
     }
 
-    /// Whether nothing is to be reported or forgotten soon.
+    /// Whether nothing is waiting to be reported or to expire as unconfirmed.
     pub fn is_idle(&self) -> bool {
-        self.broken.is_empty()
+        self.interrupted.is_empty()
             && self.clearings.values().all(|clearing| clearing.is_reported)
             && self.crashes.values().all(|crash| crash.is_reported)
     }
 
-    /// Forgets what is over; returns whether it was any run that broke off.
+    /// Drops expired state; returns whether any interrupted run was dropped.
     pub fn expire(&mut self, now: Timestamp) -> bool {
-        self.answered.turn(now);
-        let before = self.broken.len();
-        self.broken.retain(|broken| now.saturating_since(broken.at) < CONFIRMATION_TIMEOUT);
+        self.answered.expire(now);
+        let before = self.interrupted.len();
+        self.interrupted.retain(|interrupted| now.saturating_since(interrupted.at) < CONFIRMATION_TIMEOUT);
         self.crashes.retain(|_, crash| now.saturating_since(crash.at) < CRASH_RETENTION);
         self.clearings.retain(|_, clearing| now.saturating_since(clearing.at) < CRASH_RETENTION);
-        self.broken.len() < before
+        self.interrupted.len() < before
     }
 }
