--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 mod fingerprint;
+mod monitor;
 mod recent_requests;
 mod report;
 mod verdict;
-mod watch;
 
 pub use fingerprint::{Fingerprint, FingerprintError, RequestContent};
+pub use monitor::{BreakCause, CrashMonitor, RunSender, SentRun};
 pub use report::{CrashReport, MAX_REPORTED_REQUESTS, Suspect};
 pub use verdict::{CRASHES_TO_QUARANTINE, Quarantine};
-pub use watch::{BreakCause, CrashMonitor, RunSender, SentRun};
 
 /// Time after which a quarantined request is let through once, at one node, so that a request quarantined by
 /// coincidence is not refused forever.
