--- a/crates/core/src/ingress/warming_share.rs
+++ b/crates/core/src/ingress/warming_share.rs
@@ -156,9 +156,9 @@
         if !self.is_settled {
             return false;
         }
-        let own_node = rank(&self.own_node, replica);
+        let own_rank = rank(&self.own_node, replica);
         let before =
-            self.observed.keys().filter(|node| **node != self.own_node && rank(node, replica) > own_node);
+            self.observed.keys().filter(|node| **node != self.own_node && rank(node, replica) > own_rank);
         before.take(senders).count() < senders
     }
 }
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -325,7 +325,7 @@
             return;
         };
         period.sent += 1;
-        // Without an interval this sender has no share, and `blocked_until` does not ask for `next_at`.
+        // Without an interval this sender has no share, and `blocked_until` does not read `next_at`.
         period.next_at = now + period.interval.unwrap_or_default();
     }
 
