--- a/crates/core/tests/cold_replicas.rs
+++ b/crates/core/tests/cold_replicas.rs
@@ -1,4 +1,4 @@
-//! Cold replicas: what all senders together send to one, whatever they know of each other.
+//! Tests of the limits on cold replicas: the load from all senders together, and the tracking of cold periods.
 
 mod batch_support;
 
@@ -19,19 +19,19 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const LASTS: Duration = Duration::from_secs(6);
-/// When the replica's record says that it is cold.
+const COLD_TIME: Duration = Duration::from_secs(6);
+/// When the replica turns cold.
 const COLD_AT_MS: u64 = 6_000;
 const STEP_MS: u64 = 20;
-/// How long a request may wait for its connection.
+/// Maximum time that a request waits for its connection.
 const MAX_WAIT_MS: u64 = 300;
-/// An owner that lost the batch jobs may start runs for so long.
+/// Time for which a replaced owner may still start runs.
 const OLD_OWNER_MS: u64 = 600;
 
-/// Routes whose engines are cold for a while, with a route of this kind to them beside the batch jobs.
+/// Routes to a service with cold bounds: a plain route if `callers`, and a batch route if `batch`.
 fn cold_routes(per_second: f64, callers: bool, batch: bool) -> RouteTable {
     let mut table = RouteTable::clone(&routes(false));
-    let bounds = ColdBounds { per_second, duration: LASTS };
+    let bounds = ColdBounds { per_second, duration: COLD_TIME };
     table.services.get_mut("engines").expect("the service").cold = Some(bounds);
     let scorers = table.services["engines"].clone();
     table.services.insert("scorers".to_owned(), scorers);
@@ -46,8 +46,8 @@
     table
 }
 
-fn cold(id: &str, left: Duration) -> ReplicaRecord {
-    ReplicaRecord { cold_left: left, ..replica(id, 1) }
+fn cold(id: &str, remaining: Duration) -> ReplicaRecord {
+    ReplicaRecord { cold_left: remaining, ..replica(id, 1) }
 }
 
 fn node(number: usize) -> NodeId {
@@ -59,19 +59,19 @@
     until_ms: u64,
 }
 
-/// What differs from one run to the next.
+/// Parameters of a simulated run.
 #[derive(Clone, Debug)]
 struct Plan {
     per_second: f64,
     callers: bool,
     batch: bool,
     gateways: usize,
-    /// Gateways that each view lacks.
+    /// Gateways missing from each gateway's view.
     unseen: Vec<Vec<usize>>,
-    /// Whether each half knows nothing of the other.
+    /// Whether a network partition separates the gateways into halves.
     is_cut: bool,
     owner_change_ms: u64,
-    /// A gateway that starts anew, and when.
+    /// A gateway that restarts, and when.
     restart: (usize, u64),
     waits_ms: Vec<u64>,
     knows_bounds: bool,
@@ -80,11 +80,11 @@
 impl Plan {
     fn view(&self, gateway: usize) -> Vec<NodeId> {
         let half = self.gateways / 2;
-        let sees = |other: &usize| {
+        let is_visible = |other: &usize| {
             let is_near = !self.is_cut || (*other < half) == (gateway < half);
             *other == gateway || (is_near && (self.is_cut || !self.unseen[gateway].contains(other)))
         };
-        (0..self.gateways).filter(sees).map(node).collect()
+        (0..self.gateways).filter(is_visible).map(node).collect()
     }
 
     fn gateway(&self, gateway: usize, from_ms: u64) -> Sender {
@@ -97,7 +97,8 @@
         Sender { gate: AdmissionGate::new(WarmupTracker::of_owner(at(from_ms))), until_ms }
     }
 
-    /// When requests to the replica left while it was cold. Each sender sends as soon as its gate is open.
+    /// Runs the senders, each of which sends whenever its gate admits it. Returns when requests reached the cold
+    /// replica.
     fn run(&self) -> Vec<u64> {
         let mut table = cold_routes(self.per_second, self.callers, self.batch);
         if !self.knows_bounds {
@@ -105,8 +106,8 @@
         }
         let mut senders: Vec<Sender> = (0..self.gateways).map(|gateway| self.gateway(gateway, 0)).collect();
         senders.push(Self::owner(0, self.owner_change_ms + OLD_OWNER_MS));
-        let end_ms = COLD_AT_MS + u64::try_from(LASTS.as_millis()).expect("short");
-        let (mut left, mut waits) = (Vec::new(), self.waits_ms.iter().cycle());
+        let end_ms = COLD_AT_MS + u64::try_from(COLD_TIME.as_millis()).expect("short");
+        let (mut arrivals, mut waits) = (Vec::new(), self.waits_ms.iter().cycle());
         for now_ms in (0..end_ms).step_by(STEP_MS as usize) {
             if now_ms == self.restart.1 {
                 senders[self.restart.0] = self.gateway(self.restart.0, now_ms);
@@ -114,11 +115,11 @@
             if now_ms == self.owner_change_ms {
                 senders.push(Self::owner(now_ms, u64::MAX));
             }
-            let gone_ms = now_ms.saturating_sub(COLD_AT_MS);
+            let cold_for_ms = now_ms.saturating_sub(COLD_AT_MS);
             let is_cold = now_ms >= COLD_AT_MS;
-            // The record is as old as it may be: each second a new one comes.
-            let left_for = LASTS - Duration::from_millis(gone_ms / 1_000 * 1_000);
-            let record = cold("r", if is_cold { left_for } else { Duration::ZERO });
+            // Records are as old as possible: a new one is written each second.
+            let remaining = COLD_TIME - Duration::from_millis(cold_for_ms / 1_000 * 1_000);
+            let record = cold("r", if is_cold { remaining } else { Duration::ZERO });
             for (number, sender) in senders.iter_mut().enumerate() {
                 let is_owner = number >= self.gateways;
                 let may_send = if is_owner { self.batch } else { self.callers };
@@ -126,25 +127,25 @@
                     continue;
                 }
                 if now_ms % 200 == 0 {
-                    sender.look(&table, &record, &self.view(number.min(self.gateways - 1)), at(now_ms));
+                    sender.update(&table, &record, &self.view(number.min(self.gateways - 1)), at(now_ms));
                 }
                 if is_cold && sender.gate.admission(&record, at(now_ms)).is_open() {
                     sender.gate.record_sent(&record, at(now_ms));
-                    left.push(now_ms + waits.next().expect("some"));
+                    arrivals.push(now_ms + waits.next().expect("some"));
                 }
             }
         }
-        left
+        arrivals
     }
 
-    /// The most requests that the replica stands in a second.
+    /// Returns the maximum number of requests per second that the replica tolerates.
     fn bound(&self) -> usize {
         (self.per_second * 1.5 + 5.0) as usize
     }
 }
 
 impl Sender {
-    fn look(&mut self, table: &RouteTable, record: &ReplicaRecord, view: &[NodeId], now: Timestamp) {
+    fn update(&mut self, table: &RouteTable, record: &ReplicaRecord, view: &[NodeId], now: Timestamp) {
         let warmups = self.gate.warmups_mut();
         warmups.set_routes(table);
         if let Some(order) = warmups.order_mut() {
@@ -154,10 +155,10 @@
     }
 }
 
-fn most_in_a_second(mut left: Vec<u64>) -> usize {
-    left.sort_unstable();
-    let within = |(first, from): (usize, &u64)| left[first..].partition_point(|at| *at < from + 1_000);
-    left.iter().enumerate().map(within).max().unwrap_or(0)
+fn max_per_second(mut arrivals: Vec<u64>) -> usize {
+    arrivals.sort_unstable();
+    let within = |(first, from): (usize, &u64)| arrivals[first..].partition_point(|at| *at < from + 1_000);
+    arrivals.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
 fn plan() -> impl Strategy<Value = Plan> {
@@ -167,18 +168,20 @@
             let unseen = prop::collection::vec(prop::collection::vec(0..gateways, 0..3), gateways);
             let changes = (COLD_AT_MS / 200..60, 0..gateways, 0_u64..60);
             let waits = prop::collection::vec(0..MAX_WAIT_MS, 1..50);
-            (unseen, changes, waits).prop_map(move |(unseen, (change, restarted, restart), waits_ms)| Plan {
-                per_second,
-                callers: kinds.0,
-                batch: kinds.1,
-                gateways,
-                unseen,
-                is_cut,
-                owner_change_ms: change * 200,
-                restart: (restarted, restart * 200),
-                waits_ms,
-                knows_bounds: true,
-            })
+            (unseen, changes, waits).prop_map(
+                move |(unseen, (change, restarted_gateway, restart), waits_ms)| Plan {
+                    per_second,
+                    callers: kinds.0,
+                    batch: kinds.1,
+                    gateways,
+                    unseen,
+                    is_cut,
+                    owner_change_ms: change * 200,
+                    restart: (restarted_gateway, restart * 200),
+                    waits_ms,
+                    knows_bounds: true,
+                },
+            )
         },
     )
 }
@@ -186,15 +189,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// Whatever senders know of each other, a cold replica gets no more in any second than it stands.
+    /// A cold replica gets no more requests in any second than it tolerates, regardless of the senders' views.
     #[test]
-    fn all_senders_together_stay_within_what_a_cold_replica_stands(plan in plan()) {
-        let most = most_in_a_second(plan.run());
-        prop_assert!(most <= plan.bound(), "{most} of {}", plan.bound());
+    fn all_senders_together_stay_within_the_bound_of_a_cold_replica(plan in plan()) {
+        let max_observed = max_per_second(plan.run());
+        prop_assert!(max_observed <= plan.bound(), "{max_observed} of {}", plan.bound());
     }
 }
 
-fn calm(gateways: usize) -> Plan {
+fn steady_plan(gateways: usize) -> Plan {
     Plan {
         per_second: 3.0,
         callers: true,
@@ -210,17 +213,17 @@
 }
 
 #[test]
-fn a_cold_replica_gets_a_good_part_of_what_it_bears_and_far_too_much_without_the_budget() {
-    let sent = calm(12).run().len();
-    let bears = 3 * usize::try_from(LASTS.as_secs()).expect("short");
-    assert!((bears / 2..=bears + 3).contains(&sent), "{sent} of {bears}");
-    let unbound = Plan { knows_bounds: false, ..calm(12) };
-    assert!(most_in_a_second(unbound.run()) > unbound.bound());
+fn a_cold_replica_is_well_used_and_is_overloaded_without_the_budget() {
+    let sent = steady_plan(12).run().len();
+    let capacity = 3 * usize::try_from(COLD_TIME.as_secs()).expect("short");
+    assert!((capacity / 2..=capacity + 3).contains(&sent), "{sent} of {capacity}");
+    let unlimited = Plan { knows_bounds: false, ..steady_plan(12) };
+    assert!(max_per_second(unlimited.run()) > unlimited.bound());
 }
 
 #[test]
-fn a_gateway_that_has_just_started_or_met_nobody_sends_nothing_to_a_cold_replica() {
-    let (table, record) = (cold_routes(3.0, true, false), cold("r", LASTS));
+fn a_gateway_that_just_started_or_has_not_joined_sends_nothing_to_a_cold_replica() {
+    let (table, record) = (cold_routes(3.0, true, false), cold("r", COLD_TIME));
     let opens = |is_joined: bool| {
         let order = GatewayOrder::new(node(0), at(0));
         let mut gate = AdmissionGate::new(WarmupTracker::of_gateway(order, at(0)));
@@ -248,7 +251,7 @@
 }
 
 #[test]
-fn replicas_of_a_zone_that_is_given_back_are_cold_until_a_later_record_says_otherwise() {
+fn replicas_of_a_readmitted_zone_are_cold_until_a_newer_record_states_otherwise() {
     let records = [replica("a", 1), replica("b", 1)];
     let mut gate = owner_gate(&records);
     assert!(!gate.is_cold("a", at(5_000)));
@@ -258,10 +261,10 @@
     gate.set_evacuated(Arc::default(), at(10_000));
     assert!(gate.is_cold("a", at(10_000)) && gate.is_cold("b", at(10_000)));
     assert_eq!(
-        gate.warmups().cold_period("a", at(10_000)).map(|spell| spell.cause),
+        gate.warmups().cold_period("a", at(10_000)).map(|period| period.cause),
         Some(ColdCause::ZoneReturned)
     );
-    // A record that may have been written before proves nothing, a later one does.
+    // A record that may be older than the readmission is ignored.
     let written = |version: u64| [replica("a", version), replica("b", 1)];
     gate.warmups_mut().set_replicas(written(2).iter(), at(10_500));
     assert!(gate.is_cold("a", at(11_900)));
@@ -272,37 +275,37 @@
 }
 
 #[test]
-fn a_record_that_says_nothing_counts_as_that_of_a_replica_just_started() {
+fn a_record_without_a_cold_time_counts_as_that_of_a_new_replica() {
     let gate = owner_gate(&[cold("a", ReplicaRecord::COLD_UNKNOWN), cold("b", Duration::ZERO)]);
-    let spell = gate.warmups().cold_period("a", at(5_000)).expect("cold");
-    assert_eq!((spell.cause, spell.until), (ColdCause::Unknown, at(11_000)));
+    let period = gate.warmups().cold_period("a", at(5_000)).expect("cold");
+    assert_eq!((period.cause, period.until), (ColdCause::Unknown, at(11_000)));
     assert!(!gate.is_cold("b", at(5_000)));
 }
 
 #[test]
-fn a_replica_that_turns_cold_between_two_looks_is_closed_at_once() {
+fn a_replica_that_turns_cold_between_two_updates_is_blocked_at_once() {
     let gate = owner_gate(&[replica("a", 1)]);
-    assert_eq!(gate.admission(&cold("a", LASTS), at(5_100)), Admission::Warming(at(11_100)));
-    assert_eq!(gate.admission(&cold("new", LASTS), at(5_100)), Admission::Warming(at(11_100)));
+    assert_eq!(gate.admission(&cold("a", COLD_TIME), at(5_100)), Admission::Warming(at(11_100)));
+    assert_eq!(gate.admission(&cold("new", COLD_TIME), at(5_100)), Admission::Warming(at(11_100)));
 }
 
 #[test]
-fn a_replica_that_turns_cold_again_is_cold_whatever_its_record_said_before() {
-    let mut gate = owner_gate(&[cold("a", LASTS)]);
+fn a_replica_that_turns_cold_again_starts_a_new_period() {
+    let mut gate = owner_gate(&[cold("a", COLD_TIME)]);
     let mut take = |left_ms: u64, now_ms: u64| {
         let record = cold("a", Duration::from_millis(left_ms));
         gate.warmups_mut().set_replicas(std::iter::once(&record), at(now_ms));
-        gate.warmups().cold_period("a", at(now_ms)).map(|spell| spell.until)
+        gate.warmups().cold_period("a", at(now_ms)).map(|period| period.until)
     };
-    assert_eq!(take(4_000, 7_500), Some(at(11_000)), "the same cold time, from an older record");
+    assert_eq!(take(4_000, 7_500), Some(at(11_000)), "the same period, from an older record");
     assert_eq!(take(3_000, 7_600), Some(at(10_600)));
-    assert_eq!(take(2_900, 10_000), Some(at(12_900)), "anew before it was over");
-    assert_eq!(take(2_800, 20_000), Some(at(22_800)), "anew, and what lay between was not read");
+    assert_eq!(take(2_900, 10_000), Some(at(12_900)), "a new period before the first ended");
+    assert_eq!(take(2_800, 20_000), Some(at(22_800)), "a new period, although no warm record was read");
 }
 
 #[test]
-fn replicas_of_a_zone_that_came_back_together_are_not_opened_in_one_moment() {
-    let records: Vec<ReplicaRecord> = (0..24).map(|number| cold(&format!("r{number}"), LASTS)).collect();
+fn replicas_that_warm_up_together_open_at_different_times() {
+    let records: Vec<ReplicaRecord> = (0..24).map(|number| cold(&format!("r{number}"), COLD_TIME)).collect();
     let gate = owner_gate(&records);
     let cold_at = |ms: u64| records.iter().filter(|record| gate.is_cold(&record.id, at(ms))).count();
     assert_eq!(cold_at(10_999), 24);
@@ -310,72 +313,72 @@
     assert_eq!(cold_at(11_500), 0);
 }
 
-/// An owner that has owned for long, with replicas that turn cold now.
+/// Returns an established owner whose replicas turn cold now.
 fn cold_owner(records: &[ReplicaRecord]) -> OwnerHarness {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &[]);
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &[]);
     let routes = Arc::new(cold_routes(2.0, false, true));
-    bench.controller.update(at(5_000), Some(routes), &table(records), &BTreeMap::new());
-    bench.drain_actions();
-    bench
+    harness.controller.update(at(5_000), Some(routes), &table(records), &BTreeMap::new());
+    harness.drain_actions();
+    harness
 }
 
 #[test]
-fn an_owner_starts_items_on_a_cold_replica_one_by_one_and_a_new_one_waits_first() {
-    let mut bench = cold_owner(&[cold("a", LASTS)]);
-    bench.submit(at(5_000), job("j", 4, 0));
-    assert_eq!(bench.started.len(), 1);
-    bench.controller.tick(at(5_480));
-    bench.drain_actions();
-    assert_eq!(bench.started.len(), 1);
-    bench.controller.tick(at(5_500));
-    bench.drain_actions();
-    assert_eq!(bench.started.len(), 2, "two a second");
-
-    let mut successor = OwnerHarness::new(bench.ledger_of_records(), false, &[]);
+fn an_owner_limits_starts_on_a_cold_replica_and_a_new_owner_waits_first() {
+    let mut harness = cold_owner(&[cold("a", COLD_TIME)]);
+    harness.submit(at(5_000), job("j", 4, 0));
+    assert_eq!(harness.started.len(), 1);
+    harness.controller.tick(at(5_480));
+    harness.drain_actions();
+    assert_eq!(harness.started.len(), 1);
+    harness.controller.tick(at(5_500));
+    harness.drain_actions();
+    assert_eq!(harness.started.len(), 2, "two per second");
+
+    let mut successor = OwnerHarness::new(harness.ledger_of_records(), false, &[]);
     let routes = Arc::new(cold_routes(2.0, false, true));
-    let records = table(&[cold("a", LASTS)]);
+    let records = table(&[cold("a", COLD_TIME)]);
     successor.controller.update(at(10), Some(routes), &records, &BTreeMap::new());
     successor.controller.tick(at(1_200));
     successor.drain_actions();
-    assert!(successor.started.is_empty(), "the last second's budget is spent");
+    assert!(successor.started.is_empty(), "the budget counts as used up by the previous owner");
     successor.controller.tick(at(1_300));
     successor.drain_actions();
     assert_eq!(successor.started.len(), 1);
 }
 
 #[test]
-fn score_requests_that_leave_together_count_one_after_the_other() {
-    let scorer = ReplicaRecord { cold_left: LASTS, ..scorer_replica("s") };
-    let mut bench = cold_owner(&[replica("a", 1), scorer]);
-    bench.submit(at(5_000), scored_job("j", 2));
-    let runs: Vec<_> = bench.started.iter().map(|start| start.run).collect();
+fn concurrent_score_requests_count_against_the_budget() {
+    let scorer = ReplicaRecord { cold_left: COLD_TIME, ..scorer_replica("s") };
+    let mut harness = cold_owner(&[replica("a", 1), scorer]);
+    harness.submit(at(5_000), scored_job("j", 2));
+    let runs: Vec<_> = harness.started.iter().map(|start| start.run).collect();
     assert_eq!(runs.len(), 2);
     for run in runs {
-        bench.event(at(5_010), run, 0, 1);
-        bench.end(at(5_020), run, RunEnd::Complete);
+        harness.event(at(5_010), run, 0, 1);
+        harness.end(at(5_020), run, RunEnd::Complete);
     }
-    bench.commit_appends(at(5_030));
-    assert_eq!(bench.scores.len(), 1);
+    harness.commit_appends(at(5_030));
+    assert_eq!(harness.scores.len(), 1);
 }
 
 #[test]
-fn the_pace_of_a_cold_replica_is_forgotten_once_it_is_warm() {
-    let mut bench = cold_owner(&[cold("a", Duration::from_secs(1)), replica("b", 1)]);
-    let run_at = |bench: &mut OwnerHarness, position: usize, replica: &str, from_ms: u64, gap_ms: u64| {
-        let start = &bench.started[position];
+fn the_pace_measured_on_a_cold_replica_is_discarded_once_it_is_warm() {
+    let mut harness = cold_owner(&[cold("a", Duration::from_secs(1)), replica("b", 1)]);
+    let run_at = |harness: &mut OwnerHarness, position: usize, replica: &str, from_ms: u64, gap_ms: u64| {
+        let start = &harness.started[position];
         assert_eq!(start.replica.id, replica);
         let run = start.run;
-        bench.event(at(from_ms), run, 0, 1);
-        bench.event(at(from_ms + gap_ms), run, 1, 1);
-        bench.end(at(from_ms + gap_ms), run, RunEnd::Complete);
-        bench.commit_appends(at(from_ms + gap_ms));
+        harness.event(at(from_ms), run, 0, 1);
+        harness.event(at(from_ms + gap_ms), run, 1, 1);
+        harness.end(at(from_ms + gap_ms), run, RunEnd::Complete);
+        harness.commit_appends(at(from_ms + gap_ms));
     };
-    bench.submit(at(5_000), job("cold", 1, 0));
-    run_at(&mut bench, 0, "a", 5_010, 200);
-    bench.submit(at(7_000), job("warm", 3, 0));
-    run_at(&mut bench, 3, "a", 7_010, 10);
-    run_at(&mut bench, 1, "b", 7_020, 100);
-    run_at(&mut bench, 2, "b", 7_130, 100);
-    bench.submit(at(7_300), job("last", 1, 0));
-    assert_eq!(bench.started[4].replica.id, "a", "ten milliseconds against a hundred");
+    harness.submit(at(5_000), job("cold", 1, 0));
+    run_at(&mut harness, 0, "a", 5_010, 200);
+    harness.submit(at(7_000), job("warm", 3, 0));
+    run_at(&mut harness, 3, "a", 7_010, 10);
+    run_at(&mut harness, 1, "b", 7_020, 100);
+    run_at(&mut harness, 2, "b", 7_130, 100);
+    harness.submit(at(7_300), job("last", 1, 0));
+    assert_eq!(harness.started[4].replica.id, "a", "ten milliseconds against a hundred");
 }
--- a/crates/core/tests/drain_rate.rs
+++ b/crates/core/tests/drain_rate.rs
@@ -1,11 +1,11 @@
-//! When refused callers are asked back: after what is ahead of them has drained, also when a pool has just begun.
+//! Tests of the drain rate and the retry time derived from it, also for a pool that has just started.
 
 use std::time::Duration;
 
 use lichenpulley_core::retry::drain_rate::DrainRate;
 use lichenpulley_core::time::Timestamp;
 
-/// Completions at a steady rate, from `begin` on.
+/// Records completions at a steady rate from `begin` on; returns the time of the last.
 fn complete(rate: &mut DrainRate, begin: Timestamp, per_second: u64, seconds: u64) -> Timestamp {
     let gap = Duration::from_micros(1_000_000 / per_second);
     let mut now = begin;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_steady_rate_is_found_within_a_second_and_kept() {
+fn a_steady_rate_is_measured_within_a_second_and_stays() {
     let mut rate = DrainRate::new(Timestamp::ORIGIN);
     let begin = Timestamp::from_millis(60_000);
     let now = complete(&mut rate, begin, 100, 1);
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn the_first_completions_of_a_pool_do_not_send_callers_away_for_long() {
+fn the_first_completions_of_a_pool_give_no_long_retry_time() {
     let mut rate = DrainRate::new(Timestamp::ORIGIN);
     let mut now = Timestamp::from_millis(60_000);
-    // The first of a batch complete every five milliseconds, with 64 more ahead.
+    // Completions every five milliseconds, with 64 requests ahead.
     for completion in 1..=50 {
         rate.record_completion(now);
         let wait = rate.retry_after(now, 64);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_pause_is_forgotten_once_work_begins_again() {
+fn the_average_restarts_after_a_pause() {
     let mut rate = DrainRate::new(Timestamp::ORIGIN);
     let now = complete(&mut rate, Timestamp::ORIGIN, 100, 20);
     let after_pause = complete(&mut rate, now + Duration::from_secs(600), 100, 1);
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn a_rate_that_falls_is_followed() {
+fn the_average_follows_a_falling_rate() {
     let mut rate = DrainRate::new(Timestamp::ORIGIN);
     let now = complete(&mut rate, Timestamp::ORIGIN, 100, 60);
     let now = complete(&mut rate, now, 10, 60);
     assert_near(rate.per_second(now), 10.0);
-    assert_eq!(rate.retry_after(now, 10_000), Duration::from_secs(30), "no later than this");
+    assert_eq!(rate.retry_after(now, 10_000), Duration::from_secs(30), "the maximum");
 }
 
 #[test]
-fn where_nothing_was_seen_callers_come_back_after_a_second() {
+fn the_retry_time_is_a_second_while_the_rate_is_unknown() {
     let rate = DrainRate::new(Timestamp::ORIGIN);
     assert_eq!(rate.retry_after(Timestamp::ORIGIN, 500), Duration::from_secs(1));
 }
--- a/crates/core/tests/evacuations.rs
+++ b/crates/core/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones that are evacuated: what an owner starts, loads and orders, and what it shares with a sender of plain requests.
+//! Tests of evacuated zones: runs, loads and scaling orders of an owner, and admission by another sender.
 
 mod batch_support;
 
@@ -32,22 +32,22 @@
     ReplicaRecord { zone: zone.to_owned(), ..record }
 }
 
-/// One replica and one scorer in each zone.
+/// Returns one engine and one scorer in each zone.
 fn replicas() -> Vec<ReplicaRecord> {
     let engines = ZONES.iter().map(|zone| in_zone(zone, replica(&format!("engine-{zone}"), 1)));
     let scorers = ZONES.iter().map(|zone| in_zone(zone, scorer_replica(&format!("scorer-{zone}"))));
     engines.chain(scorers).collect()
 }
 
-/// What happens to an owner and to a sender beside it.
+/// A step of the model.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The operator changes whether a zone is evacuated; nobody knows yet.
-    Flip(usize),
-    /// The owner's copy comes.
-    TellOwner,
-    /// The other sender's copy comes.
-    TellSender,
+    /// The operator evacuates or readmits a zone.
+    ToggleZone(usize),
+    /// The owner receives the evacuated zones.
+    UpdateOwner,
+    /// The other sender receives the evacuated zones.
+    UpdateSender,
     Submit(usize),
     EndRun(usize, bool),
     EndScore(usize, bool),
@@ -56,9 +56,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0_usize..3).prop_map(Step::Flip),
-        Just(Step::TellOwner),
-        Just(Step::TellSender),
+        (0_usize..3).prop_map(Step::ToggleZone),
+        Just(Step::UpdateOwner),
+        Just(Step::UpdateSender),
         (1_usize..4).prop_map(Step::Submit),
         (0_usize..12, any::<bool>()).prop_map(|(position, is_whole)| Step::EndRun(position, is_whole)),
         (0_usize..12, any::<bool>()).prop_map(|(position, is_scored)| Step::EndScore(position, is_scored)),
@@ -66,49 +66,49 @@
     ]
 }
 
-/// An owner and another sender, each with the copy that came last.
-struct World {
+/// An owner and another sender, each with its last copy of the evacuated zones.
+struct Simulation {
     owner: OwnerHarness,
     sender: AdmissionGate,
-    truth: BTreeSet<&'static str>,
-    told: BTreeSet<String>,
+    evacuated: BTreeSet<&'static str>,
+    known_to_owner: BTreeSet<String>,
     now_ms: u64,
     jobs: usize,
     ended: BTreeSet<usize>,
     scored: BTreeSet<usize>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let owner = OwnerHarness::new(Ledger::default(), false, &replicas());
-        let (sender, truth, told) =
+        let (sender, evacuated, known_to_owner) =
             (AdmissionGate::new(WarmupTracker::of_owner(at(0))), BTreeSet::new(), BTreeSet::new());
         let (ended, scored) = (BTreeSet::new(), BTreeSet::new());
-        Self { owner, sender, truth, told, now_ms: 0, jobs: 0, ended, scored }
+        Self { owner, sender, evacuated, known_to_owner, now_ms: 0, jobs: 0, ended, scored }
     }
 
-    fn truth(&self) -> Arc<EvacuatedZones> {
-        zones(&self.truth.iter().copied().collect::<Vec<_>>())
+    fn evacuated(&self) -> Arc<EvacuatedZones> {
+        zones(&self.evacuated.iter().copied().collect::<Vec<_>>())
     }
 
-    fn tell_owner(&mut self) {
-        self.owner.controller.set_evacuated(at(self.now_ms), self.truth());
-        self.told = self.truth().zones.clone();
+    fn update_owner(&mut self) {
+        self.owner.controller.set_evacuated(at(self.now_ms), self.evacuated());
+        self.known_to_owner = self.evacuated().zones.clone();
     }
 
-    /// Does a step, and checks that whatever the owner sends goes to a zone that it holds for open.
-    fn take(&mut self, step: &Step) {
+    /// Applies a step, and checks that the owner sends nothing to a zone that it knows to be evacuated.
+    fn apply(&mut self, step: &Step) {
         self.now_ms += 50;
         let now = at(self.now_ms);
         let (runs, scores) = (self.owner.started.len(), self.owner.scores.len());
         match step {
-            Step::Flip(zone) => {
-                if !self.truth.remove(ZONES[*zone]) {
-                    self.truth.insert(ZONES[*zone]);
+            Step::ToggleZone(zone) => {
+                if !self.evacuated.remove(ZONES[*zone]) {
+                    self.evacuated.insert(ZONES[*zone]);
                 }
             }
-            Step::TellOwner => self.tell_owner(),
-            Step::TellSender => self.sender.set_evacuated(self.truth(), now),
+            Step::UpdateOwner => self.update_owner(),
+            Step::UpdateSender => self.sender.set_evacuated(self.evacuated(), now),
             Step::Submit(items) => {
                 self.jobs += 1;
                 self.owner.submit(now, scored_job(&format!("job-{}", self.jobs), *items));
@@ -119,10 +119,18 @@
         }
         self.owner.commit_appends(now);
         for start in &self.owner.started[runs..] {
-            assert!(!self.told.contains(&start.replica.zone), "a run went to {}", start.replica.zone);
+            assert!(
+                !self.known_to_owner.contains(&start.replica.zone),
+                "a run went to {}",
+                start.replica.zone
+            );
         }
         for start in &self.owner.scores[scores..] {
-            assert!(!self.told.contains(&start.replica.zone), "a score went to {}", start.replica.zone);
+            assert!(
+                !self.known_to_owner.contains(&start.replica.zone),
+                "a score went to {}",
+                start.replica.zone
+            );
         }
     }
 
@@ -146,15 +154,15 @@
         self.owner.score_end(at(self.now_ms), number, end);
     }
 
-    /// All zones are given back and whatever runs ends well: all jobs become whole.
+    /// Readmits all zones and completes all runs, so that all jobs complete.
     fn finish(&mut self) {
-        self.truth.clear();
-        self.tell_owner();
-        // Before whole jobs are dropped for their age.
+        self.evacuated.clear();
+        self.update_owner();
+        // Ends before completed jobs expire.
         for _ in 0..200 {
-            self.take(&Step::EndRun(0, true));
-            self.take(&Step::EndScore(0, true));
-            self.take(&Step::Tick);
+            self.apply(&Step::EndRun(0, true));
+            self.apply(&Step::EndScore(0, true));
+            self.apply(&Step::Tick);
         }
     }
 }
@@ -162,68 +170,68 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Two senders whose copies come late send nothing to a zone that their own copy has evacuated, in whatever order
-    /// evacuations and returns come; and nothing is lost or doubled by it.
+    /// Senders with stale copies send nothing to a zone that is evacuated in their own copy, for any order of
+    /// evacuations and readmissions, and no result is lost or duplicated.
     #[test]
     fn an_owner_sends_nothing_to_a_zone_that_it_knows_to_be_evacuated(steps in prop::collection::vec(step(), 1..60)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.take(step);
+            simulation.apply(step);
             for record in replicas() {
-                let judged = world.sender.admission(&record, at(world.now_ms));
-                let is_closed = world.sender.evacuated().is_evacuated(&record);
-                prop_assert_eq!(judged == Admission::Evacuated, is_closed);
+                let actual = simulation.sender.admission(&record, at(simulation.now_ms));
+                let is_evacuated = simulation.sender.evacuated().is_evacuated(&record);
+                prop_assert_eq!(actual == Admission::Evacuated, is_evacuated);
             }
         }
-        world.finish();
-        for number in 1..=world.jobs {
+        simulation.finish();
+        for number in 1..=simulation.jobs {
             let id = format!("job-{number}");
             let items = steps.iter().filter_map(|step| match step { Step::Submit(items) => Some(*items), _ => None });
-            prop_assert_eq!(world.owner.results(&id), items.clone().nth(number - 1).unwrap_or(0));
+            prop_assert_eq!(simulation.owner.results(&id), items.clone().nth(number - 1).unwrap_or(0));
         }
     }
 }
 
 #[test]
-fn what_runs_in_an_evacuated_zone_goes_on_and_what_breaks_there_goes_on_elsewhere() {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &replicas());
-    bench.controller.set_evacuated(at(0), zones(&ZONES[1..]));
-    bench.submit(at(0), job("job", 1, 0));
-    let run = bench.started[0].run;
-    assert_eq!(bench.started[0].replica.zone, ZONES[0]);
-    bench.event(at(10), run, 0, 1);
-    bench.controller.set_evacuated(at(20), zones(&ZONES[..1]));
-    bench.controller.tick(at(30));
-    bench.commit_appends(at(30));
-    assert_eq!((bench.started.len(), bench.stopped.len()), (1, 0));
-    bench.end(at(40), run, RunEnd::Broken);
-    let resumed = &bench.started[1];
+fn runs_in_an_evacuated_zone_continue_and_broken_ones_resume_elsewhere() {
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &replicas());
+    harness.controller.set_evacuated(at(0), zones(&ZONES[1..]));
+    harness.submit(at(0), job("job", 1, 0));
+    let run = harness.started[0].run;
+    assert_eq!(harness.started[0].replica.zone, ZONES[0]);
+    harness.event(at(10), run, 0, 1);
+    harness.controller.set_evacuated(at(20), zones(&ZONES[..1]));
+    harness.controller.tick(at(30));
+    harness.commit_appends(at(30));
+    assert_eq!((harness.started.len(), harness.stopped.len()), (1, 0));
+    harness.end(at(40), run, RunEnd::Broken);
+    let resumed = &harness.started[1];
     assert_ne!(resumed.replica.zone, ZONES[0]);
-    assert_eq!(resumed.last_event, Some(0), "its progress is handed over");
+    assert_eq!(resumed.last_event, Some(0), "the run resumes after its last event");
 }
 
 #[test]
-fn nothing_is_loaded_in_an_evacuated_zone_until_it_is_given_back() {
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &replicas());
-    bench.controller.set_evacuated(at(0), zones(&ZONES[..1]));
+fn nothing_is_loaded_in_an_evacuated_zone_until_it_is_readmitted() {
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &replicas());
+    harness.controller.set_evacuated(at(0), zones(&ZONES[..1]));
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
-    bench.controller.update(at(0), None, &table(&replicas()), &named);
-    bench.controller.tick(at(400));
-    bench.commit_appends(at(400));
-    let loaded: BTreeSet<&str> = bench.loads.iter().map(|(replica, _)| replica.as_str()).collect();
+    harness.controller.update(at(0), None, &table(&replicas()), &named);
+    harness.controller.tick(at(400));
+    harness.commit_appends(at(400));
+    let loaded: BTreeSet<&str> = harness.loads.iter().map(|(replica, _)| replica.as_str()).collect();
     assert_eq!(loaded, BTreeSet::from(["engine-ampang", "engine-shah-alam"]));
     for zone in &ZONES[1..] {
         let end = LoadEnd { versions: BTreeMap::from([(MODEL.to_owned(), 2)]), time: None };
-        bench.controller.load_ended(at(500), &format!("engine-{zone}"), &end);
+        harness.controller.load_ended(at(500), &format!("engine-{zone}"), &end);
     }
-    bench.commit_appends(at(500));
-    assert_eq!(bench.loads.len(), 2);
-    bench.controller.set_evacuated(at(600), zones(&[]));
-    bench.commit_appends(at(600));
-    assert_eq!(bench.loads[2], ("engine-kajang".to_owned(), 2));
+    harness.commit_appends(at(500));
+    assert_eq!(harness.loads.len(), 2);
+    harness.controller.set_evacuated(at(600), zones(&[]));
+    harness.commit_appends(at(600));
+    assert_eq!(harness.loads[2], ("engine-kajang".to_owned(), 2));
 }
 
-/// Two models whose replicas would all stand in one zone get homes outside it.
+/// Replicas of both models are first placed in one zone, which is evacuated.
 #[test]
 fn each_model_keeps_replicas_of_its_version_outside_an_evacuated_zone() {
     let both = |id: &str, zone: &str| {
@@ -232,20 +240,20 @@
     };
     let records: Vec<ReplicaRecord> =
         (0..8).map(|number| both(&format!("r{number}"), ZONES[usize::from(number >= 4)])).collect();
-    let mut bench = OwnerHarness::new(Ledger::default(), false, &records);
+    let mut harness = OwnerHarness::new(Ledger::default(), false, &records);
     let named = BTreeMap::from([(MODEL.to_owned(), 2), ("ranking".to_owned(), 2)]);
-    bench.controller.set_evacuated(at(0), zones(&ZONES[..1]));
-    bench.controller.update(at(0), None, &table(&records), &named);
+    harness.controller.set_evacuated(at(0), zones(&ZONES[..1]));
+    harness.controller.update(at(0), None, &table(&records), &named);
     for now_ms in (400..4_000).step_by(100) {
-        bench.controller.tick(at(now_ms));
-        bench.commit_appends(at(now_ms));
-        for (id, version) in bench.loads.clone() {
+        harness.controller.tick(at(now_ms));
+        harness.commit_appends(at(now_ms));
+        for (id, version) in harness.loads.clone() {
             let versions = BTreeMap::from([(MODEL.to_owned(), version), ("ranking".to_owned(), version)]);
             let end = LoadEnd { versions, time: None };
-            bench.controller.load_ended(at(now_ms), &id, &end);
+            harness.controller.load_ended(at(now_ms), &id, &end);
         }
     }
-    let loaded: BTreeSet<&str> = bench.loads.iter().map(|(replica, _)| replica.as_str()).collect();
+    let loaded: BTreeSet<&str> = harness.loads.iter().map(|(replica, _)| replica.as_str()).collect();
     assert_eq!(loaded, BTreeSet::from(["r4", "r5", "r6", "r7"]));
 }
 
@@ -264,22 +272,22 @@
     Arc::new(table)
 }
 
-/// What an evacuated zone bore is ordered elsewhere, and nothing is ordered there.
+/// The load of an evacuated zone is replaced by orders in the other zones.
 #[test]
-fn replicas_are_ordered_in_the_other_zones_alone() {
+fn replicas_are_ordered_only_in_zones_that_are_not_evacuated() {
     let duties = DutyConfig { usage: None, scaling: Some(ScalingPolicy::default()) };
     let config = ControllerConfig { duties, ..ControllerConfig::default() };
-    let mut bench =
+    let mut harness =
         OwnerHarness::with_lease(lease_of("node-1"), config, Ledger::default(), false, &replicas());
-    bench.controller.update(at(0), Some(scaled_routes()), &table(&replicas()), &BTreeMap::new());
-    bench.controller.tick_duties(at(0), WallTime(0));
-    bench.submit(at(0), job("job", 6, 0));
-    bench.controller.set_evacuated(at(100), zones(&ZONES[..1]));
+    harness.controller.update(at(0), Some(scaled_routes()), &table(&replicas()), &BTreeMap::new());
+    harness.controller.tick_duties(at(0), WallTime(0));
+    harness.submit(at(0), job("job", 6, 0));
+    harness.controller.set_evacuated(at(100), zones(&ZONES[..1]));
     for now_ms in (12_000..16_000).step_by(250) {
-        bench.controller.tick_duties(at(now_ms), WallTime(now_ms));
-        bench.commit_appends(at(now_ms));
+        harness.controller.tick_duties(at(now_ms), WallTime(now_ms));
+        harness.commit_appends(at(now_ms));
     }
-    let ordered: BTreeMap<&str, u32> = bench
+    let ordered: BTreeMap<&str, u32> = harness
         .calls
         .iter()
         .filter_map(|call| match call {
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Routes, attempts and the choice of a replica for plain requests.
+//! Tests of routes, attempts and the choice of a replica for plain requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn each_service_gets_its_share_by_weight() {
+fn services_are_selected_by_weight() {
     let route = route("r", "h", "/");
     let to_b = (0..1_000).filter(|number| route.service_at(*number) == Some("b")).count();
     assert_eq!(to_b, 100);
@@ -68,9 +68,10 @@
 }
 
 proptest! {
-    /// A request that is not repeatable runs at most once, and "not run" is said only where it is proved.
+    /// A request that is not repeatable may run at most once, and is reported as not run only if no send may have run
+    /// it.
     #[test]
-    fn attempts_keep_their_promises(
+    fn attempts_keep_their_invariant(
         outcomes in prop::collection::vec(outcome(), 1..12),
         is_repeatable: bool,
         max_sends in 1_u32..5,
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn only_a_request_that_may_run_again_and_has_sends_and_time_left_moves() {
+fn a_request_moves_only_if_it_is_repeatable_and_has_sends_and_time_left() {
     assert!(Attempts::new(true, 2).may_move(LONG));
     assert!(!Attempts::new(false, 2).may_move(LONG));
     assert!(!Attempts::new(true, 1).may_move(LONG));
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn nothing_is_tried_again_without_time() {
+fn a_request_without_remaining_time_is_not_retried() {
     let mut attempts = Attempts::new(true, 3);
     assert_eq!(attempts.next_step(SendOutcome::Rejected, Duration::from_millis(1)), NextStep::GiveUpNotRun);
 }
@@ -131,7 +132,7 @@
     ReplicaTable { records: records.into_iter().map(|record| (record.id.clone(), record)).collect() }
 }
 
-/// Chooses among the replicas of service `a` that take new work and are not among `tried`.
+/// Chooses among the ready replicas of service `a` that are not in `tried`.
 fn choose<'a>(
     chooser: &ReplicaChooser,
     table: &'a ReplicaTable,
@@ -144,10 +145,10 @@
 }
 
 #[test]
-fn a_draining_a_silent_or_a_slow_replica_gets_nothing_while_another_can_be_had() {
-    let mut leaving = replica("leaving");
-    leaving.is_draining = true;
-    let table = replicas(vec![replica("silent"), replica("slow"), replica("good"), leaving]);
+fn draining_unresponsive_and_slow_replicas_are_avoided_while_another_is_available() {
+    let mut draining = replica("draining");
+    draining.is_draining = true;
+    let table = replicas(vec![replica("silent"), replica("slow"), replica("good"), draining]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
     for (id, feedback) in [
@@ -164,14 +165,14 @@
     }
     let tried = ["good".to_owned(), "slow".to_owned()];
     let last = choose(&chooser, &table, &tried, now, 0).expect("a replica");
-    assert_eq!(last.id, "silent", "better than none");
+    assert_eq!(last.id, "silent", "used when no other is available");
     let later = now + Duration::from_secs(10);
     let chosen = choose(&chooser, &table, &tried, later, 0);
     assert_eq!(chosen.map(|chosen| chosen.id.as_str()), Some("silent"));
 }
 
 #[test]
-fn a_replica_that_reports_a_queue_is_left_alone() {
+fn a_replica_that_reports_a_queue_is_avoided() {
     let table = replicas(vec![replica("full"), replica("free")]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn the_time_of_an_answer_from_a_cold_replica_is_not_learnt_and_ends_its_suspicion() {
+fn an_answer_of_a_cold_replica_ends_its_suspicion_but_its_latency_is_ignored() {
     let table = replicas(vec![replica("cold"), replica("other")]);
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
@@ -192,5 +193,5 @@
         |chooser: &ReplicaChooser| choose(chooser, &table, &[], now, 0).map(|record| record.id.clone());
     assert_eq!(chosen(&chooser).as_deref(), Some("other"));
     chooser.record_end("cold", ReplicaFeedback::AnsweredCold, now);
-    assert_eq!(chosen(&chooser).as_deref(), Some("cold"), "as one that was never measured");
+    assert_eq!(chosen(&chooser).as_deref(), Some("cold"), "like a replica without samples");
 }
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Where requests may be served and kept: sets of regions, the shards of batch jobs, and what an owner sends where.
+//! Tests of allowed regions: set operations, the shards of batch jobs, and the replicas to which an owner sends.
 
 mod batch_support;
 
@@ -23,7 +23,7 @@
     AllowedRegions::of(names.iter().map(|name| RegionName::new(*name)))
 }
 
-/// Two zones in each region.
+/// Maps two zones to each region.
 fn zones() -> ZoneMap {
     let zones = REGIONS.iter().flat_map(|region| {
         (0..2).map(move |number| (format!("{region}-{number}"), RegionName::new(*region)))
@@ -35,15 +35,20 @@
     prop::sample::subsequence(REGIONS.to_vec(), 0..=REGIONS.len()).prop_map(|names| regions(&names))
 }
 
-/// The same table with these regions of its batch route and its scorers'.
-fn bound(batch: &AllowedRegions, scorers: &AllowedRegions, tenant: &AllowedRegions) -> RouteTable {
+/// Returns the routes with these allowed regions of the batch route, the scorers' route and the tenant.
+fn restricted_routes(
+    batch: &AllowedRegions,
+    scorers: &AllowedRegions,
+    tenant: &AllowedRegions,
+) -> RouteTable {
     let mut table = RouteTable::clone(&routes(false));
     for route in &mut table.routes {
         let is_batch = route.kind == RouteKind::Batch;
         route.regions = if is_batch { batch.clone() } else { scorers.clone() };
     }
-    let held = Tenant::new(TenantName::new("anna"), ["key"], None).expect("a tenant");
-    table.tenants = Some(TenantDirectory::new(vec![held.with_regions(tenant.clone())]).expect("a directory"));
+    let tenant_record = Tenant::new(TenantName::new("anna"), ["key"], None).expect("a tenant");
+    table.tenants =
+        Some(TenantDirectory::new(vec![tenant_record.with_regions(tenant.clone())]).expect("a directory"));
     table
 }
 
@@ -63,7 +68,7 @@
         prop_assert_eq!(both.allows_none(), allows_none);
     }
 
-    /// Names that are told apart are kept apart, and a shard's name alone tells where it may be.
+    /// Shard names are unique per set of regions, and the set can be derived from the name.
     #[test]
     fn each_set_of_regions_has_a_shard_of_its_own(
         left in prop::collection::btree_set("[a-z_/.,-]{1,6}", 1..4),
@@ -80,32 +85,34 @@
 }
 
 #[test]
-fn a_job_is_bound_by_its_route_and_its_tenant() {
-    let table = bound(&regions(&["east", "west"]), &regions(&["north"]), &regions(&["west", "north"]));
+fn a_job_is_restricted_by_its_route_and_its_tenant() {
+    let table =
+        restricted_routes(&regions(&["east", "west"]), &regions(&["north"]), &regions(&["west", "north"]));
     assert_eq!(region_sets(&table).into_iter().collect::<Vec<_>>(), [regions(&["west"])]);
-    let apart = bound(&regions(&["east"]), &AllowedRegions::all(), &regions(&["west"]));
-    assert!(region_sets(&apart).is_empty(), "nothing is kept where nothing is allowed");
-    assert!(region_sets(&routes(false)).is_empty(), "a deployment without limits has one shard");
+    let apart = restricted_routes(&regions(&["east"]), &AllowedRegions::all(), &regions(&["west"]));
+    assert!(region_sets(&apart).is_empty(), "no shard exists for an empty set");
+    assert!(region_sets(&routes(false)).is_empty(), "a deployment without restrictions has one shard");
     assert!(regions_of(&shard_of(&AllowedRegions::all())).is_all());
 }
 
 #[test]
-fn a_region_without_a_zone_is_told() {
-    let table = bound(&regions(&["east", "atlantis"]), &regions(&["west"]), &regions(&["lemuria"]));
+fn regions_without_a_zone_are_reported() {
+    let table =
+        restricted_routes(&regions(&["east", "atlantis"]), &regions(&["west"]), &regions(&["lemuria"]));
     let unknown: Vec<&str> = unknown_regions(&table, &zones()).into_iter().map(RegionName::as_str).collect();
     assert_eq!(unknown, ["atlantis", "lemuria"]);
     assert!(unknown_regions(&routes(false), &zones()).is_empty());
 }
 
-/// What happens to an owner.
+/// An event that affects an owner.
 #[derive(Clone, Debug)]
 enum Event {
-    /// The operator changes where the batch route, its scorers' and the tenant may be served.
-    Bind(AllowedRegions, AllowedRegions, AllowedRegions),
-    /// A replica of the batch route's service, or of the scorers', comes to a zone.
-    Come(bool, usize),
-    /// Replicas of a zone leave.
-    Leave(usize),
+    /// The operator changes the regions of the batch route, the scorers' route and the tenant.
+    Restrict(AllowedRegions, AllowedRegions, AllowedRegions),
+    /// An engine, or a scorer if true, is added to a zone.
+    AddReplica(bool, usize),
+    /// All replicas of a zone are removed.
+    RemoveReplicas(usize),
     Submit(bool),
     EndRun(usize, u8),
     EndScore(usize, bool),
@@ -114,59 +121,61 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        1 => (allowed(), allowed(), allowed()).prop_map(|(batch, scorers, tenant)| Event::Bind(
+        1 => (allowed(), allowed(), allowed()).prop_map(|(batch, scorers, tenant)| Event::Restrict(
             batch, scorers, tenant
         )),
-        3 => (any::<bool>(), 0..6_usize).prop_map(|(is_scorer, zone)| Event::Come(is_scorer, zone)),
-        1 => (0..6_usize).prop_map(Event::Leave),
+        3 => (any::<bool>(), 0..6_usize).prop_map(|(is_scorer, zone)| Event::AddReplica(is_scorer, zone)),
+        1 => (0..6_usize).prop_map(Event::RemoveReplicas),
         3 => any::<bool>().prop_map(Event::Submit),
         4 => (any::<prop::sample::Index>(), 0..4_u8)
             .prop_map(|(run, end)| Event::EndRun(run.index(64), end)),
         2 => (any::<prop::sample::Index>(), any::<bool>())
-            .prop_map(|(score, is_well)| Event::EndScore(score.index(64), is_well)),
+            .prop_map(|(score, is_scored)| Event::EndScore(score.index(64), is_scored)),
         2 => (1..2_500_u64).prop_map(Event::Wait),
     ]
 }
 
-/// The owner of a shard beside a model of what it may do.
-struct Watched {
-    bench: OwnerHarness,
+/// The owner of a shard with the configuration against which its sends are checked.
+struct CheckedOwner {
+    harness: OwnerHarness,
     shard: AllowedRegions,
     table: RouteTable,
     replicas: Vec<ReplicaRecord>,
     now_ms: u64,
     count: usize,
-    /// Starts and score requests that were looked at.
-    seen: (usize, usize),
+    /// Number of runs and of score requests that have been checked.
+    checked: (usize, usize),
 }
 
-impl Watched {
+impl CheckedOwner {
     fn new(shard: AllowedRegions) -> Self {
         let config =
             ControllerConfig { zones: zones(), regions: shard.clone(), ..ControllerConfig::default() };
-        let bench = OwnerHarness::with_config(config, Ledger::default(), false, &[]);
+        let harness = OwnerHarness::with_config(config, Ledger::default(), false, &[]);
         let all = AllowedRegions::all();
-        let table = bound(&all, &all, &all);
-        Self { bench, shard, table, replicas: Vec::new(), now_ms: 0, count: 0, seen: (0, 0) }
+        let table = restricted_routes(&all, &all, &all);
+        Self { harness, shard, table, replicas: Vec::new(), now_ms: 0, count: 0, checked: (0, 0) }
     }
 
     fn update(&mut self) {
         let (routes, versions) = (Arc::new(self.table.clone()), BTreeMap::from([("pricing".to_owned(), 9)]));
         let replicas = table(&self.replicas);
-        self.bench.controller.update(at(self.now_ms), Some(routes), &replicas, &versions);
+        self.harness.controller.update(at(self.now_ms), Some(routes), &replicas, &versions);
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let now = at(self.now_ms);
         match event {
-            Event::Bind(batch, scorers, tenant) => self.table = bound(&batch, &scorers, &tenant),
-            Event::Come(is_scorer, zone) => {
+            Event::Restrict(batch, scorers, tenant) => {
+                self.table = restricted_routes(&batch, &scorers, &tenant)
+            }
+            Event::AddReplica(is_scorer, zone) => {
                 let id = format!("replica-{}", self.count);
                 let record = if is_scorer { scorer_replica(&id) } else { replica(&id, 1) };
                 let zone = format!("{}-{}", REGIONS[zone / 2], zone % 2);
                 self.replicas.push(ReplicaRecord { zone, ..record });
             }
-            Event::Leave(zone) => {
+            Event::RemoveReplicas(zone) => {
                 let zone = format!("{}-{}", REGIONS[zone / 2], zone % 2);
                 self.replicas.retain(|record| record.zone != zone);
             }
@@ -174,32 +183,32 @@
                 let id = format!("job-{}", self.count);
                 let mut job = if is_scored { scored_job(&id, 3) } else { job(&id, 3, 0) };
                 job.tenant = Some(TenantName::new("anna"));
-                self.bench.submit(now, job);
+                self.harness.submit(now, job);
             }
             Event::EndRun(position, end) => {
                 let end = [RunEnd::Broken, RunEnd::Rejected, RunEnd::OtherReplica, RunEnd::Complete]
                     [usize::from(end)];
-                if let Some(start) = self.bench.started.get(position) {
+                if let Some(start) = self.harness.started.get(position) {
                     let run = start.run;
-                    self.bench.event(now, run, 0, 1);
-                    self.bench.end(now, run, end);
+                    self.harness.event(now, run, 0, 1);
+                    self.harness.end(now, run, end);
                 }
             }
-            Event::EndScore(position, is_well) => {
-                let end = if is_well { ScoreEnd::Scored("seal".to_owned()) } else { ScoreEnd::Broken };
-                if position < self.bench.scores.len() {
-                    self.bench.score_end(now, position, end);
+            Event::EndScore(position, is_scored) => {
+                let end = if is_scored { ScoreEnd::Scored("seal".to_owned()) } else { ScoreEnd::Broken };
+                if position < self.harness.scores.len() {
+                    self.harness.score_end(now, position, end);
                 }
             }
             Event::Wait(milliseconds) => self.now_ms += milliseconds,
         }
         self.count += 1;
         self.update();
-        self.bench.controller.tick(at(self.now_ms));
-        self.bench.commit_appends(at(self.now_ms));
+        self.harness.controller.tick(at(self.now_ms));
+        self.harness.commit_appends(at(self.now_ms));
     }
 
-    /// What was sent since the last look went where it may by the configuration then in force.
+    /// Checks that everything sent since the last check went to allowed regions of `table`.
     fn check(&mut self, table: &RouteTable) -> Result<(), TestCaseError> {
         let zones = zones();
         let tenant = TenantName::new("anna");
@@ -207,54 +216,57 @@
             table.find(host, path).map(|route| table.allowed_regions(route, Some(&tenant)))
         };
         let batch = allowed("host", "/r/x").expect("a route").intersect(&self.shard);
-        for start in &self.bench.started[self.seen.0..] {
+        for start in &self.harness.started[self.checked.0..] {
             prop_assert!(batch.allows_zone(&zones, &start.replica.zone), "{} of {batch}", start.replica.zone);
         }
         let scorers = allowed("host", "/score/x").expect("a route");
-        for start in &self.bench.scores[self.seen.1..] {
+        for start in &self.harness.scores[self.checked.1..] {
             prop_assert!(scorers.allows_zone(&zones, &start.replica.zone));
         }
-        self.seen = (self.bench.started.len(), self.bench.scores.len());
-        prop_assert!(self.shard.is_all() || self.bench.loads.is_empty(), "one holder gives orders");
+        self.checked = (self.harness.started.len(), self.harness.scores.len());
+        prop_assert!(
+            self.shard.is_all() || self.harness.loads.is_empty(),
+            "only the owner of the unrestricted shard orders loads"
+        );
         Ok(())
     }
 }
 
 proptest! {
-    /// Under any order of events nothing is sent to a replica outside the regions of the route, the tenant and the shard.
+    /// For any order of events, nothing is sent to a replica outside the regions of the route, the tenant and the shard.
     #[test]
-    fn an_owner_sends_to_replicas_in_allowed_regions_alone(
+    fn an_owner_sends_only_to_replicas_in_allowed_regions(
         shard in allowed(),
         events in prop::collection::vec(event(), 1..80),
     ) {
-        let mut watched = Watched::new(shard);
+        let mut owner = CheckedOwner::new(shard);
         for event in events {
-            let before = watched.table.clone();
-            let is_bind = matches!(event, Event::Bind(..));
-            watched.take(event);
-            // What an end frees is sent before the owner hears of a change that comes with it.
-            let in_force = if is_bind { watched.table.clone() } else { before };
-            watched.check(&in_force)?;
+            let before = owner.table.clone();
+            let is_restriction = matches!(event, Event::Restrict(..));
+            owner.apply(event);
+            // An owner sends to replicas that an event frees before it applies the new configuration.
+            let in_force = if is_restriction { owner.table.clone() } else { before };
+            owner.check(&in_force)?;
         }
     }
 }
 
 #[test]
 fn an_item_waits_for_an_allowed_replica_and_runs_there_at_once() {
-    let mut watched = Watched::new(regions(&["west"]));
-    watched.take(Event::Come(false, 0));
-    watched.take(Event::Submit(false));
-    assert!(watched.bench.started.is_empty());
-    watched.take(Event::Come(false, 2));
-    let zones: Vec<&str> = watched.bench.started.iter().map(|start| start.replica.zone.as_str()).collect();
-    assert_eq!(zones, ["west-0", "west-0"], "as many as it has slots");
+    let mut owner = CheckedOwner::new(regions(&["west"]));
+    owner.apply(Event::AddReplica(false, 0));
+    owner.apply(Event::Submit(false));
+    assert!(owner.harness.started.is_empty());
+    owner.apply(Event::AddReplica(false, 2));
+    let zones: Vec<&str> = owner.harness.started.iter().map(|start| start.replica.zone.as_str()).collect();
+    assert_eq!(zones, ["west-0", "west-0"], "one run per slot");
 }
 
 #[test]
-fn the_owner_of_a_shard_without_limits_gives_orders() {
-    let mut watched = Watched::new(AllowedRegions::all());
-    watched.take(Event::Come(false, 0));
-    watched.take(Event::Wait(4_000));
-    watched.take(Event::Wait(4_000));
-    assert!(!watched.bench.loads.is_empty());
+fn the_owner_of_the_unrestricted_shard_orders_loads() {
+    let mut owner = CheckedOwner::new(AllowedRegions::all());
+    owner.apply(Event::AddReplica(false, 0));
+    owner.apply(Event::Wait(4_000));
+    owner.apply(Event::Wait(4_000));
+    assert!(!owner.harness.loads.is_empty());
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Eligibility, load under lag, concurrency limits, affinity, and the choice of a replica.
+//! Tests of engine routing: eligibility, load estimates, concurrency limits, prefix affinity and subsets.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-const HOLDS: Duration = Duration::from_secs(3);
+const VALIDITY: Duration = Duration::from_secs(3);
 
 fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_millis(milliseconds)
@@ -45,39 +45,39 @@
 }
 
 #[test]
-fn a_confirmation_stands_for_the_time_of_its_question() {
+fn a_confirmation_is_dated_to_its_probe() {
     let mut confirmation = Confirmation::default();
-    assert_eq!(confirmation.eligibility(at(0), HOLDS), Eligibility::Unconfirmed);
-    // Asked at 1 s, answered at 9 s by figures that were 200 ms old.
+    assert_eq!(confirmation.eligibility(at(0), VALIDITY), Eligibility::Unconfirmed);
+    // Probed at 1 s, answered at 9 s with a report that was 200 ms old.
     confirmation.observe(at(1_000), Duration::from_millis(200), EngineRole::Serving, at(9_000));
-    assert_eq!(confirmation.eligibility(at(3_799), HOLDS), Eligibility::Eligible);
-    assert_eq!(confirmation.eligibility(at(9_000), HOLDS), Eligibility::Unconfirmed);
+    assert_eq!(confirmation.eligibility(at(3_799), VALIDITY), Eligibility::Eligible);
+    assert_eq!(confirmation.eligibility(at(9_000), VALIDITY), Eligibility::Unconfirmed);
 }
 
 #[test]
-fn draining_counts_at_once_and_an_older_answer_does_not_end_it() {
+fn draining_takes_effect_at_once_and_is_not_cleared_by_an_older_response() {
     let mut confirmation = Confirmation::default();
     confirmation.observe(at(1_000), Duration::ZERO, EngineRole::Serving, at(1_001));
     confirmation.observe(at(1_500), Duration::ZERO, EngineRole::Draining, at(1_501));
-    assert_eq!(confirmation.eligibility(at(1_502), HOLDS), Eligibility::Leaving);
+    assert_eq!(confirmation.eligibility(at(1_502), VALIDITY), Eligibility::Leaving);
     confirmation.observe(at(1_400), Duration::ZERO, EngineRole::Serving, at(1_600));
-    assert_eq!(confirmation.eligibility(at(1_601), HOLDS), Eligibility::Leaving);
+    assert_eq!(confirmation.eligibility(at(1_601), VALIDITY), Eligibility::Leaving);
     confirmation.observe(at(1_700), Duration::ZERO, EngineRole::Serving, at(1_701));
-    assert_eq!(confirmation.eligibility(at(1_702), HOLDS), Eligibility::Eligible);
+    assert_eq!(confirmation.eligibility(at(1_702), VALIDITY), Eligibility::Eligible);
 }
 
 #[test]
-fn the_machine_list_can_only_take_eligibility_away() {
+fn the_machine_list_can_only_revoke_eligibility() {
     let mut confirmation = Confirmation::default();
     confirmation.set_listed_leaving(false);
-    assert_eq!(confirmation.eligibility(at(0), HOLDS), Eligibility::Unconfirmed);
+    assert_eq!(confirmation.eligibility(at(0), VALIDITY), Eligibility::Unconfirmed);
     confirmation.observe(at(10), Duration::ZERO, EngineRole::Serving, at(11));
     confirmation.set_listed_leaving(true);
-    assert_eq!(confirmation.eligibility(at(12), HOLDS), Eligibility::Leaving);
+    assert_eq!(confirmation.eligibility(at(12), VALIDITY), Eligibility::Leaving);
 }
 
 #[test]
-fn a_node_that_hears_nothing_stops_sending_and_asks() {
+fn a_node_without_confirmations_stops_sending_and_probes() {
     let mut pool = pool(3, at(0));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     assert!(pool.reserve(&query(1, Priority::Live), &mut random, at(2_999)).is_ok());
@@ -88,16 +88,16 @@
     assert_eq!(
         again,
         Err(RouteRefusal::Unconfirmed { probe: Vec::new() }),
-        "asked once, not by each request"
+        "replicas are probed once, not by each request"
     );
 }
 
 #[test]
-fn own_requests_correct_a_lagging_report() {
+fn own_requests_correct_a_stale_report() {
     let mut load = LoadEstimate::default();
     load.record_sent(at(100));
     load.observe(at(500), report(5));
-    assert_eq!(load.streams(), 5, "the report counts what was sent before it");
+    assert_eq!(load.streams(), 5, "the report includes requests sent before it");
     load.record_sent(at(600));
     load.record_sent(at(700));
     assert_eq!(load.streams(), 7);
@@ -106,11 +106,11 @@
     load.observe(at(650), report(4));
     assert_eq!(load.streams(), 4, "one sent and one finished since the report");
     load.observe(at(400), report(50));
-    assert_eq!(load.streams(), 4, "an older report is dropped");
+    assert_eq!(load.streams(), 4, "an older report is ignored");
 }
 
 #[test]
-fn live_requests_keep_a_share_that_rollouts_cannot_take() {
+fn rollouts_cannot_use_the_share_reserved_for_live_requests() {
     let mut pool = pool(1, at(0));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut rollouts = 0;
@@ -122,50 +122,55 @@
     assert!(pool.reserve(&query(0, Priority::Live), &mut random, at(1)).is_ok());
 }
 
-const SOON: Duration = Duration::from_millis(20);
-const LATE: Duration = Duration::from_secs(2);
+const LOW_TTFT: Duration = Duration::from_millis(20);
+const HIGH_TTFT: Duration = Duration::from_secs(2);
 
 #[test]
-fn congestion_sheds_rollouts_before_live_requests_and_the_limits_climb_back() {
+fn congestion_sheds_rollouts_before_live_requests_and_the_limits_recover() {
     let mut limit = ConcurrencyLimit::new(ConcurrencyConfig::default());
     let before = limit.limit();
-    limit.record_first_token(Priority::Live, SOON, before, at(0));
+    limit.record_first_token(Priority::Live, LOW_TTFT, before, at(0));
     for millisecond in 0..10 {
-        limit.record_first_token(Priority::Live, LATE, before, at(100 + millisecond));
+        limit.record_first_token(Priority::Live, HIGH_TTFT, before, at(100 + millisecond));
     }
-    let fallen = limit.limit_for(Priority::Rollout);
+    let decreased = limit.limit_for(Priority::Rollout);
     assert!(
-        fallen < before && fallen >= before * 3 / 4 - 1,
-        "one fall for one congestion: {before} to {fallen}"
+        decreased < before && decreased >= before * 3 / 4 - 1,
+        "one decrease per congestion: {before} to {decreased}"
     );
     assert_eq!(limit.limit(), before);
     for second in 1..60 {
-        limit.record_first_token(Priority::Live, LATE, before, at(1_000 * second));
+        limit.record_first_token(Priority::Live, HIGH_TTFT, before, at(1_000 * second));
     }
     assert_eq!(limit.limit_for(Priority::Rollout), 1);
-    let shed = limit.limit();
-    assert!(shed < before, "then live requests are held back too");
+    let limit_after_shedding = limit.limit();
+    assert!(limit_after_shedding < before, "live requests are limited next");
     for millisecond in 0..1_000 {
-        limit.record_first_token(Priority::Live, SOON, shed, at(100_000 + millisecond));
-        limit.record_first_token(Priority::Rollout, SOON, shed, at(100_000 + millisecond));
+        limit.record_first_token(Priority::Live, LOW_TTFT, limit_after_shedding, at(100_000 + millisecond));
+        limit.record_first_token(
+            Priority::Rollout,
+            LOW_TTFT,
+            limit_after_shedding,
+            at(100_000 + millisecond),
+        );
     }
-    assert!(limit.limit() > shed);
+    assert!(limit.limit() > limit_after_shedding);
     assert!(limit.limit_for(Priority::Rollout) > 1);
 }
 
 #[test]
-fn rollouts_that_wait_behind_live_requests_don_t_hold_those_back() {
+fn slow_rollouts_do_not_lower_the_limit_of_live_requests() {
     let mut limit = ConcurrencyLimit::new(ConcurrencyConfig::default());
     let before = limit.limit();
-    limit.record_first_token(Priority::Rollout, SOON, before, at(0));
+    limit.record_first_token(Priority::Rollout, LOW_TTFT, before, at(0));
     for second in 1..60 {
-        limit.record_first_token(Priority::Rollout, LATE, before, at(1_000 * second));
+        limit.record_first_token(Priority::Rollout, HIGH_TTFT, before, at(1_000 * second));
     }
     assert_eq!(limit.limit(), before);
 }
 
 #[test]
-fn prompts_that_share_a_prefix_meet_at_few_replicas() {
+fn prompts_with_a_common_prefix_are_routed_to_few_replicas() {
     let mut pool = pool(40, at(0));
     let mut random = Pcg64Mcg::seed_from_u64(3);
     let mut used = BTreeSet::new();
@@ -178,7 +183,7 @@
 }
 
 #[test]
-fn replicas_with_weights_that_are_too_old_are_passed_over() {
+fn replicas_with_outdated_weights_are_excluded() {
     let mut pool = pool(2, at(0));
     let newer = LoadReport { weight_version: Some(WeightVersion(2)), ..report(7) };
     pool.observe(&ReplicaId::new("replica-1"), at(1), newer, at(1));
@@ -189,7 +194,7 @@
 }
 
 #[test]
-fn a_node_uses_a_subset_that_changes_little_when_a_replica_goes() {
+fn a_subset_changes_little_when_a_replica_leaves() {
     let listed = |count: usize, leaving: usize| {
         (0..count).map(move |number| ListedReplica {
             replica: ReplicaId::new(format!("replica-{number}")),
@@ -206,14 +211,17 @@
     pool.set_listed_replicas(listed(100, usize::MAX));
     let before = subset(&pool);
     assert_eq!(before.len(), 8);
-    let gone = before.iter().next().expect("a replica");
-    let number = gone.as_str().trim_start_matches("replica-").parse().expect("its number");
+    let removed = before.iter().next().expect("a replica");
+    let number = removed.as_str().trim_start_matches("replica-").parse().expect("its number");
     pool.set_listed_replicas(listed(100, number));
     let after = subset(&pool);
     assert_eq!(after.len(), 8);
-    assert_eq!(before.intersection(&after).count(), 7, "only the one that leaves is replaced");
-    assert!(!after.contains(gone));
-    assert!(pool.due_probes(at(1), 100).iter().all(|id| after.contains(id)), "what is not used is not asked");
+    assert_eq!(before.intersection(&after).count(), 7, "only the leaving replica is replaced");
+    assert!(!after.contains(removed));
+    assert!(
+        pool.due_probes(at(1), 100).iter().all(|id| after.contains(id)),
+        "replicas outside the subset are not probed"
+    );
 }
 
 proptest! {
@@ -232,7 +240,7 @@
     }
 
     #[test]
-    fn never_more_in_flight_than_the_limit(releases in prop::collection::vec(any::<bool>(), 1..200)) {
+    fn requests_in_flight_never_exceed_the_limit(releases in prop::collection::vec(any::<bool>(), 1..200)) {
         let mut pool = pool(3, at(0));
         let mut random = Pcg64Mcg::seed_from_u64(9);
         let mut held = Vec::new();
--- a/crates/core/tests/selection.rs
+++ b/crates/core/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a request is sent to: the order of the rules, and the reason where none can be had.
+//! Tests of the selection of a replica: the order of the rules, and the reason if there is none.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use lichenpulley_core::time::Timestamp;
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
-/// How long the cold replicas of these tests are cold.
-const COLD: Duration = Duration::from_secs(8);
+/// Cold time of the replicas.
+const COLD_TIME: Duration = Duration::from_secs(8);
 
 fn replica(id: &str, zone: &str) -> ReplicaRecord {
     ReplicaRecord {
@@ -43,7 +43,7 @@
     ReplicaTable { records: records.into_iter().map(|record| (record.id.clone(), record)).collect() }
 }
 
-/// Zone `east` lies in region `e`, zone `west` in region `w`.
+/// Maps zone `east` to region `e` and zone `west` to region `w`.
 fn zones() -> ZoneMap {
     let zone = |zone: &str, region: &str| (zone.to_owned(), RegionName::new(region));
     ZoneMap::new(BTreeMap::from([zone("east", "e"), zone("west", "w")]))
@@ -54,16 +54,17 @@
     Some(Arc::new(EvacuatedZones { zones }))
 }
 
-/// A selector of the only gateway, whose service `a` has cold bounds.
+/// Returns the selector of the only gateway, with cold bounds for service `a`.
 fn selector() -> ReplicaSelector {
     let service = Service {
         slots: 4,
         memory_tokens: None,
         models: Vec::new(),
         scaling: None,
-        cold: Some(ColdBounds { per_second: 10.0, duration: COLD }),
+        cold: Some(ColdBounds { per_second: 10.0, duration: COLD_TIME }),
     };
-    let limits = Limits { header_bytes: 1, body_bytes: 1, header_timeout: COLD, idle_timeout: COLD };
+    let limits =
+        Limits { header_bytes: 1, body_bytes: 1, header_timeout: COLD_TIME, idle_timeout: COLD_TIME };
     let services = BTreeMap::from([("a".to_owned(), service)]);
     let routes = RouteTable { version: 1, routes: Vec::new(), services, limits, tenants: None };
     let order = GatewayOrder::new(NodeId::new("gateway"), Timestamp::ORIGIN);
@@ -72,7 +73,7 @@
     ReplicaSelector::new(warmups)
 }
 
-/// Selects with the zones evacuated that are named, in any region, nothing tried.
+/// Selects a replica in any region, with these zones evacuated and no replica tried.
 fn select(
     selector: &mut ReplicaSelector,
     table: &ReplicaTable,
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_quarantined_request_gets_no_replica_whatever_else_holds() {
+fn a_quarantined_request_gets_no_replica() {
     let (zones, regions) = (zones(), AllowedRegions::all());
     let query =
         SelectionQuery { service: "a", regions: &regions, zones: &zones, tried: &[], is_quarantined: true };
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_candidate_serves_the_service_and_neither_drains_nor_was_tried() {
+fn candidates_serve_the_service_and_are_neither_draining_nor_tried() {
     let mut other = replica("other", "east");
     other.service = "b".to_owned();
     let mut draining = replica("draining", "east");
@@ -140,14 +141,14 @@
 }
 
 #[test]
-fn only_allowed_regions_count_and_the_reason_tells_none_there_from_all_tried() {
+fn candidates_are_in_allowed_regions_and_the_reason_distinguishes_none_from_all_tried() {
     let table = table(vec![replica("east", "east"), replica("nowhere", "unlisted")]);
     let mut selector = selector();
     assert_eq!(id(&select_for(&mut selector, &table, &[], &only("e"), &[])), Some("east"));
     let selected = select_for(&mut selector, &table, &[], &only("w"), &[]);
     assert_eq!(selected, Err(NoCandidate::OutsideRegions));
     let selected = select_for(&mut selector, &table, &[], &only("e"), &["east".to_owned()]);
-    assert_eq!(selected, Err(NoCandidate::NoReplica), "there is one in the region");
+    assert_eq!(selected, Err(NoCandidate::NoReplica), "a replica is in the region");
 }
 
 #[test]
@@ -155,35 +156,35 @@
     let table = table(vec![replica("east", "east"), replica("west", "west")]);
     let mut selector = selector();
     for _ in 0..8 {
-        assert_eq!(id(&select(&mut selector, &table, &["east"])), Some("west"), "however busy");
+        assert_eq!(id(&select(&mut selector, &table, &["east"])), Some("west"), "regardless of its load");
     }
     assert_eq!(select(&mut selector, &table, &["east", "west"]), Err(NoCandidate::Evacuated));
 }
 
 #[test]
-fn of_cold_replicas_the_one_that_opens_first_gives_the_time_and_outweighs_evacuation() {
+fn the_cold_replica_that_opens_first_determines_the_time_and_outranks_evacuation() {
     let (soon, late) = (Duration::from_secs(2), Duration::from_secs(5));
     let table = table(vec![cold("late", "east", late), cold("soon", "east", soon), replica("west", "west")]);
     let mut selector = selector();
-    assert_eq!(id(&select(&mut selector, &table, &[])), Some("west"), "the warm one");
+    assert_eq!(id(&select(&mut selector, &table, &[])), Some("west"), "the warm replica");
     assert_eq!(select(&mut selector, &table, &["west"]), Err(NoCandidate::Warming(soon)));
 }
 
 #[test]
-fn a_selected_request_counts_at_its_replica_until_it_has_ended() {
+fn a_request_counts_at_its_replica_until_it_ends() {
     let table = table(vec![replica("left", "east"), replica("right", "east")]);
     let mut selector = selector();
     let first = select(&mut selector, &table, &[]).expect("a replica").record.id;
     let second = select(&mut selector, &table, &[]).expect("a replica").record.id;
-    assert_ne!(first, second, "the idle one is expected to answer sooner");
+    assert_ne!(first, second, "the idle replica is expected to answer sooner");
     selector.record_end(&first, ReplicaFeedback::Abandoned, NOW);
     assert_eq!(id(&select(&mut selector, &table, &[])), Some(first.as_str()));
 }
 
 #[test]
-fn a_cold_replica_is_selected_once_and_then_held_back_for_the_interval_of_this_gateways_share() {
+fn a_cold_replica_is_selected_at_most_once_per_interval_of_the_share() {
     let mut selector = selector();
-    let records = vec![cold("cold", "east", COLD)];
+    let records = vec![cold("cold", "east", COLD_TIME)];
     let order = selector.gate_mut().warmups_mut().order_mut().expect("a gateway's order");
     for at in [Timestamp::ORIGIN, Timestamp::from_millis(6_000)] {
         order.observe([&NodeId::new("gateway")].into_iter(), true, at);
@@ -192,19 +193,19 @@
     let table = table(records);
     let selected = select(&mut selector, &table, &[]).expect("a replica");
     assert!(selected.is_cold);
-    // Ten requests a second for up to ten gateways: one each in the window of 1.3 s.
+    // Ten requests per second for up to ten gateways: one each per window of 1.3 s.
     let again = select(&mut selector, &table, &[]);
     assert_eq!(again, Err(NoCandidate::Warming(Duration::from_millis(1_300))));
 }
 
-/// Selects in place of the replica `left`, at which the request waits.
-fn select_instead_of(
+/// Selects an alternative to the replica `current`, at which the request waits.
+fn select_alternative_to(
     selector: &mut ReplicaSelector,
     table: &ReplicaTable,
-    left: &SelectedReplica,
+    current: &SelectedReplica,
     zones_evacuated: &[&str],
 ) -> Result<SelectedReplica, StayReason> {
-    let (zones, regions, tried) = (zones(), AllowedRegions::all(), [left.record.id.clone()]);
+    let (zones, regions, tried) = (zones(), AllowedRegions::all(), [current.record.id.clone()]);
     let query = SelectionQuery {
         service: "a",
         regions: &regions,
@@ -212,44 +213,44 @@
         tried: &tried,
         is_quarantined: false,
     };
-    selector.select_alternative(&query, left.is_cold, table, evacuated(zones_evacuated), NOW, 0)
+    selector.select_alternative(&query, current.is_cold, table, evacuated(zones_evacuated), NOW, 0)
 }
 
 #[test]
-fn a_request_moves_to_another_replica_that_may_take_it_and_counts_there() {
+fn a_request_moves_to_another_admitted_replica_and_counts_there() {
     let table = table(vec![replica("left", "east"), replica("right", "east"), replica("third", "east")]);
     let mut selector = selector();
     let first = select(&mut selector, &table, &[]).expect("a replica");
-    let second = select_instead_of(&mut selector, &table, &first, &[]).expect("another");
+    let second = select_alternative_to(&mut selector, &table, &first, &[]).expect("another");
     assert_ne!(first.record.id, second.record.id);
     let third = select(&mut selector, &table, &[]).expect("the idle one").record.id;
     assert!(
         third != first.record.id && third != second.record.id,
-        "both count the request until its end there"
+        "the request counts at both replicas until it ends there"
     );
 }
 
 #[test]
-fn a_request_stays_where_no_other_replica_can_be_sent_it() {
-    let table = table(vec![replica("east", "east"), cold("cold", "west", COLD)]);
+fn a_request_stays_if_there_is_no_other_candidate() {
+    let table = table(vec![replica("east", "east"), cold("cold", "west", COLD_TIME)]);
     let mut selector = selector();
     let first = select(&mut selector, &table, &["west"]).expect("a replica");
     let stays = |reason| Err(StayReason::NoCandidate(reason));
-    let selected = select_instead_of(&mut selector, &table, &first, &["west"]);
+    let selected = select_alternative_to(&mut selector, &table, &first, &["west"]);
     assert_eq!(selected, stays(NoCandidate::Evacuated));
-    let selected = select_instead_of(&mut selector, &table, &first, &[]);
-    assert_eq!(selected, stays(NoCandidate::Warming(COLD)));
-    let alone = table_of(&first);
-    assert_eq!(select_instead_of(&mut selector, &alone, &first, &[]), stays(NoCandidate::NoReplica));
+    let selected = select_alternative_to(&mut selector, &table, &first, &[]);
+    assert_eq!(selected, stays(NoCandidate::Warming(COLD_TIME)));
+    let alone = table_with_only(&first);
+    assert_eq!(select_alternative_to(&mut selector, &alone, &first, &[]), stays(NoCandidate::NoReplica));
 }
 
-/// A table in which this replica alone is listed.
-fn table_of(selected: &SelectedReplica) -> ReplicaTable {
+/// Returns a table that contains only this replica.
+fn table_with_only(selected: &SelectedReplica) -> ReplicaTable {
     table(vec![selected.record.clone()])
 }
 
 #[test]
-fn a_request_stays_where_the_others_are_suspected_or_full() {
+fn a_request_stays_if_the_other_replicas_are_suspected_or_full() {
     let table = table(vec![replica("left", "east"), replica("right", "east")]);
     for feedback in [ReplicaFeedback::Silent, ReplicaFeedback::Full] {
         let mut selector = selector();
@@ -257,41 +258,41 @@
         selector.record_end(&other.record.id, feedback, NOW);
         let first = select(&mut selector, &table, &[]).expect("the other one");
         assert_ne!(first.record.id, other.record.id);
-        let selected = select_instead_of(&mut selector, &table, &first, &[]);
+        let selected = select_alternative_to(&mut selector, &table, &first, &[]);
         assert_eq!(selected, Err(StayReason::NoneBetter), "{feedback:?}");
     }
 }
 
 #[test]
-fn a_request_moves_from_a_cold_replica_to_a_warm_one_alone() {
+fn a_request_moves_from_a_cold_replica_only_to_a_warm_one() {
     let mut selector = selector();
     let order = selector.gate_mut().warmups_mut().order_mut().expect("a gateway's order");
     for at in [Timestamp::ORIGIN, Timestamp::from_millis(6_000)] {
         order.observe([&NodeId::new("gateway")].into_iter(), true, at);
     }
-    let records = vec![cold("first", "east", COLD), cold("second", "east", COLD)];
+    let records = vec![cold("first", "east", COLD_TIME), cold("second", "east", COLD_TIME)];
     selector.gate_mut().warmups_mut().set_replicas(records.iter(), NOW);
     let cold_table = table(records.clone());
     let first = select(&mut selector, &cold_table, &[]).expect("a replica");
     assert!(first.is_cold);
-    let selected = select_instead_of(&mut selector, &cold_table, &first, &[]);
+    let selected = select_alternative_to(&mut selector, &cold_table, &first, &[]);
     assert_eq!(selected, Err(StayReason::NoneBetter));
     let warm = [records, vec![replica("warm", "west")]].concat();
-    let selected = select_instead_of(&mut selector, &table(warm), &first, &[]).expect("the warm one");
+    let selected = select_alternative_to(&mut selector, &table(warm), &first, &[]).expect("the warm replica");
     assert_eq!(selected.record.id, "warm");
 }
 
-/// A replica that has gone dark keeps the request that waits there while all others are suspected; the next requests must not
-/// follow it.
+/// Guards against sending further requests to an unresponsive replica at which a request stays because all others are
+/// suspected.
 #[test]
-fn a_replica_at_which_a_request_stays_comes_last_until_it_answers() {
+fn a_replica_with_a_late_request_ranks_last_until_it_answers() {
     let table = table(vec![replica("left", "east"), replica("right", "east")]);
     let mut selector = selector();
     let other = select(&mut selector, &table, &[]).expect("a replica").record.id;
-    let dark = select(&mut selector, &table, &[]).expect("the other one").record.id;
+    let unresponsive = select(&mut selector, &table, &[]).expect("the other one").record.id;
     selector.record_end(&other, ReplicaFeedback::Answered(Duration::from_millis(90)), NOW);
-    selector.mark_late(&dark, NOW);
-    assert_eq!(id(&select(&mut selector, &table, &[])), Some(other.as_str()), "though it is slower");
-    selector.record_end(&dark, ReplicaFeedback::Answered(Duration::from_millis(5)), NOW);
-    assert_eq!(id(&select(&mut selector, &table, &[])), Some(dark.as_str()));
+    selector.mark_late(&unresponsive, NOW);
+    assert_eq!(id(&select(&mut selector, &table, &[])), Some(other.as_str()), "despite its higher latency");
+    selector.record_end(&unresponsive, ReplicaFeedback::Answered(Duration::from_millis(5)), NOW);
+    assert_eq!(id(&select(&mut selector, &table, &[])), Some(unresponsive.as_str()));
 }
