--- a/crates/core/src/batch/controller/mod.rs
+++ b/crates/core/src/batch/controller/mod.rs
@@ -117,7 +117,7 @@
             last_run: 0,
             routes: None,
             replicas: BTreeMap::new(),
-            gate: AdmissionGate::new(WarmupTracker::of_owner(now)),
+            gate: AdmissionGate::new(WarmupTracker::for_owner(now)),
             quarantine: Arc::default(),
             slowdown: Slowdown::default(),
             loads: LoadPlan::default(),
--- a/crates/core/src/batch/score_plan.rs
+++ b/crates/core/src/batch/score_plan.rs
@@ -263,7 +263,7 @@
             ScoreEnd::Scored(_) => ReplicaFeedback::Answered(now.saturating_since(began)),
             ScoreEnd::Failed => ReplicaFeedback::Failed,
             ScoreEnd::Rejected => ReplicaFeedback::Full,
-            ScoreEnd::Broken => ReplicaFeedback::Silent,
+            ScoreEnd::Broken => ReplicaFeedback::NoAnswer,
         };
         self.chooser.record_end(&replica, feedback, now);
         let route = routes.and_then(|routes| routes.find(&waiting.request.host, &waiting.request.path));
--- a/crates/core/src/ingress/chooser.rs
+++ b/crates/core/src/ingress/chooser.rs
@@ -70,7 +70,7 @@
     /// The replica reported a failure.
     Failed,
     /// The replica gave no complete answer.
-    Silent,
+    NoAnswer,
     /// The caller disconnected, or the request was answered elsewhere.
     Abandoned,
 }
@@ -141,7 +141,7 @@
                 stats.clear_suspicion();
             }
             ReplicaFeedback::AnsweredCold => stats.clear_suspicion(),
-            ReplicaFeedback::Silent => stats.suspect(now),
+            ReplicaFeedback::NoAnswer => stats.suspect(now),
             ReplicaFeedback::Full => stats.reported = Some((now, FULL_LOAD)),
             ReplicaFeedback::Failed | ReplicaFeedback::Abandoned => {}
         }
--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// Returns an error if the minimum exceeds the maximum.
-    pub fn check(self) -> Result<Self, ScalingError> {
+    pub fn validate(self) -> Result<Self, ScalingError> {
         if self.min > self.max {
             return Err(ScalingError { min: self.min, max: self.max });
         }
--- a/crates/core/src/ingress/warmups.rs
+++ b/crates/core/src/ingress/warmups.rs
@@ -130,12 +130,12 @@
 impl WarmupTracker {
     /// Creates the tracker of a new owner of batch jobs. It waits for [`SEND_WINDOW`], since the previous owner may
     /// have used up the budget.
-    pub fn of_owner(now: Timestamp) -> Self {
+    pub fn for_owner(now: Timestamp) -> Self {
         Self::new(SenderRole::Owner, None, now + SEND_WINDOW)
     }
 
     /// Creates the tracker of a gateway.
-    pub const fn of_gateway(order: GatewayOrder, now: Timestamp) -> Self {
+    pub const fn for_gateway(order: GatewayOrder, now: Timestamp) -> Self {
         Self::new(SenderRole::Gateway, Some(order), now)
     }
 
--- a/crates/core/tests/cold_replicas.rs
+++ b/crates/core/tests/cold_replicas.rs
@@ -89,12 +89,12 @@
 
     fn gateway(&self, gateway: usize, from_ms: u64) -> Sender {
         let order = GatewayOrder::new(node(gateway), at(from_ms));
-        let gate = AdmissionGate::new(WarmupTracker::of_gateway(order, at(from_ms)));
+        let gate = AdmissionGate::new(WarmupTracker::for_gateway(order, at(from_ms)));
         Sender { gate, until_ms: u64::MAX }
     }
 
     fn owner(from_ms: u64, until_ms: u64) -> Sender {
-        Sender { gate: AdmissionGate::new(WarmupTracker::of_owner(at(from_ms))), until_ms }
+        Sender { gate: AdmissionGate::new(WarmupTracker::for_owner(at(from_ms))), until_ms }
     }
 
     /// Runs the senders, each of which sends whenever its gate admits it. Returns when requests reached the cold
@@ -226,7 +226,7 @@
     let (table, record) = (cold_routes(3.0, true, false), cold("r", COLD_TIME));
     let opens = |is_joined: bool| {
         let order = GatewayOrder::new(node(0), at(0));
-        let mut gate = AdmissionGate::new(WarmupTracker::of_gateway(order, at(0)));
+        let mut gate = AdmissionGate::new(WarmupTracker::for_gateway(order, at(0)));
         gate.warmups_mut().set_routes(&table);
         let mut opened = None;
         for now_ms in (0..5_000).step_by(100) {
@@ -244,7 +244,7 @@
 }
 
 fn owner_gate(records: &[ReplicaRecord]) -> AdmissionGate {
-    let mut gate = AdmissionGate::new(WarmupTracker::of_owner(at(0)));
+    let mut gate = AdmissionGate::new(WarmupTracker::for_owner(at(0)));
     gate.warmups_mut().set_routes(&cold_routes(2.0, false, true));
     gate.warmups_mut().set_replicas(records.iter(), at(5_000));
     gate
--- a/crates/core/tests/evacuations.rs
+++ b/crates/core/tests/evacuations.rs
@@ -82,7 +82,7 @@
     fn new() -> Self {
         let owner = OwnerHarness::new(Ledger::default(), false, &replicas());
         let (sender, evacuated, known_to_owner) =
-            (AdmissionGate::new(WarmupTracker::of_owner(at(0))), BTreeSet::new(), BTreeSet::new());
+            (AdmissionGate::new(WarmupTracker::for_owner(at(0))), BTreeSet::new(), BTreeSet::new());
         let (ended, scored) = (BTreeSet::new(), BTreeSet::new());
         Self { owner, sender, evacuated, known_to_owner, now_ms: 0, jobs: 0, ended, scored }
     }
--- a/crates/core/tests/ingress.rs
+++ b/crates/core/tests/ingress.rs
@@ -152,7 +152,7 @@
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
     for (id, feedback) in [
-        ("silent", ReplicaFeedback::Silent),
+        ("silent", ReplicaFeedback::NoAnswer),
         ("slow", ReplicaFeedback::Answered(Duration::from_millis(200))),
         ("good", ReplicaFeedback::Answered(Duration::from_millis(20))),
     ] {
@@ -188,7 +188,7 @@
     let now = Timestamp::from_millis(1_000);
     let mut chooser = ReplicaChooser::default();
     chooser.record_end("other", ReplicaFeedback::Answered(Duration::from_millis(30)), now);
-    chooser.record_end("cold", ReplicaFeedback::Silent, now);
+    chooser.record_end("cold", ReplicaFeedback::NoAnswer, now);
     let chosen =
         |chooser: &ReplicaChooser| choose(chooser, &table, &[], now, 0).map(|record| record.id.clone());
     assert_eq!(chosen(&chooser).as_deref(), Some("other"));
--- a/crates/core/tests/selection.rs
+++ b/crates/core/tests/selection.rs
@@ -68,7 +68,7 @@
     let services = BTreeMap::from([("a".to_owned(), service)]);
     let routes = RouteTable { version: 1, routes: Vec::new(), services, limits, tenants: None };
     let order = GatewayOrder::new(NodeId::new("gateway"), Timestamp::ORIGIN);
-    let mut warmups = WarmupTracker::of_gateway(order, Timestamp::ORIGIN);
+    let mut warmups = WarmupTracker::for_gateway(order, Timestamp::ORIGIN);
     warmups.set_routes(&routes);
     ReplicaSelector::new(warmups)
 }
@@ -252,7 +252,7 @@
 #[test]
 fn a_request_stays_if_the_other_replicas_are_suspected_or_full() {
     let table = table(vec![replica("left", "east"), replica("right", "east")]);
-    for feedback in [ReplicaFeedback::Silent, ReplicaFeedback::Full] {
+    for feedback in [ReplicaFeedback::NoAnswer, ReplicaFeedback::Full] {
         let mut selector = selector();
         let other = select(&mut selector, &table, &[]).expect("a replica");
         selector.record_end(&other.record.id, feedback, NOW);
--- a/crates/daemon/src/ingress/in_flight.rs
+++ b/crates/daemon/src/ingress/in_flight.rs
@@ -100,7 +100,7 @@
 
     /// No whole answer came.
     pub(super) fn was_silent(&mut self) {
-        self.feedback = ReplicaFeedback::Silent;
+        self.feedback = ReplicaFeedback::NoAnswer;
     }
 
     /// The send failed before the head of an answer.
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -62,7 +62,7 @@
 impl SelectionState {
     fn new(node: &NodeId) -> Self {
         let order = GatewayOrder::new(node.clone(), Timestamp::ORIGIN);
-        let selector = ReplicaSelector::new(WarmupTracker::of_gateway(order, Timestamp::ORIGIN));
+        let selector = ReplicaSelector::new(WarmupTracker::for_gateway(order, Timestamp::ORIGIN));
         Self { selector, routes: None, replicas: Arc::default() }
     }
 }
