--- a/crates/core/src/ingress/routes.rs
+++ b/crates/core/src/ingress/routes.rs
@@ -147,7 +147,7 @@
 /// The minimum number of replicas exceeds the maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "the minimum of {min} replicas per zone exceeds the maximum of {max}; lower the minimum or raise the maximum"
+    "the minimum of {min} replicas per zone exceeds the maximum of {max}; lower the one or raise the other"
 )]
 pub struct ScalingError {
     /// Minimum number of replicas in a zone.
--- a/crates/core/src/ingress/tenants.rs
+++ b/crates/core/src/ingress/tenants.rs
@@ -40,7 +40,7 @@
     #[error("tenant {0} is listed twice; merge the two entries or rename one of them")]
     DuplicateName(TenantName),
     /// Two tenants have the same key, which then identifies neither.
-    #[error("tenants {first} and {second} have the same key; remove it from one of them")]
+    #[error("tenants {first} and {second} have the same key; take it away from one of them")]
     SharedKey {
         /// The tenant that is listed first.
         first: TenantName,
