--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -80,7 +80,7 @@
     }
 
     /// Holds the copy of an end that another node sent.
-    pub(crate) fn told(&self, request: HoldEnd) {
+    pub(crate) fn hold_copy(&self, request: HoldEnd) {
         self.hold(EndKey { batch: request.batch, caller: request.caller }, EndSource::Peer);
     }
 
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -19,7 +19,7 @@
 use crate::context::Context;
 use crate::http::client::{self, HttpClient};
 pub use usage::RunCount;
-pub(crate) use usage::{hand_over, wall_time};
+pub(crate) use usage::{report_usage, wall_time};
 
 /// A call without an answer within this time is made again. The platform answers calm calls within some
 /// milliseconds. Chosen, not measured: shorter repeats calls that were taken, longer reports a window late.
--- a/crates/daemon/src/duties/node_usage.rs
+++ b/crates/daemon/src/duties/node_usage.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits at most `limit` until all that was counted is handed over; a line says what is left.
-    pub(crate) async fn until_handed_over(&self, limit: Duration) {
+    pub(crate) async fn wait_until_reported(&self, limit: Duration) {
         let deadline = Instant::now() + limit;
         while !self.meter().is_empty() && Instant::now() < deadline {
             tokio::time::sleep(HAND_OVER_POLL_INTERVAL).await;
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -58,17 +58,17 @@
 }
 
 /// Hands over what was counted until the node has stopped.
-pub(crate) async fn hand_over(context: Context, batch: BatchJobs) {
+pub(crate) async fn report_usage(context: Context, batch: BatchJobs) {
     if !context.usage.is_wanted {
         return;
     }
     tokio::select! {
         () = context.stopped.cancelled() => {}
-        () = hand_over_all(&context, &batch) => {}
+        () = report_loop(&context, &batch) => {}
     }
 }
 
-async fn hand_over_all(context: &Context, batch: &BatchJobs) {
+async fn report_loop(context: &Context, batch: &BatchJobs) {
     let usage = &context.usage;
     let mut dropped = 0;
     loop {
--- a/crates/daemon/src/node/control.rs
+++ b/crates/daemon/src/node/control.rs
@@ -144,7 +144,7 @@
 
 /// The way of callers' requests in the platform's form, and the reports of what it counts.
 fn start_ingress(context: &Context, parts: &ControlParts) -> Ingress {
-    tokio::spawn(duties::hand_over(Arc::clone(context), parts.batch.clone()));
+    tokio::spawn(duties::report_usage(Arc::clone(context), parts.batch.clone()));
     Ingress::spawn(Arc::clone(context), parts.pool.clone(), parts.batch.clone())
 }
 
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -92,7 +92,7 @@
     }
 
     async fn hold_end(self, _: tarpc::context::Context, request: HoldEnd) {
-        self.batch.ends().told(request);
+        self.batch.ends().hold_copy(request);
     }
 
     async fn regional_batch(
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -54,7 +54,7 @@
     let Servers { callers, operators, peers, stop } = servers;
     stop.callers.closing.cancel();
     join("callers", callers).await;
-    context.usage.until_handed_over(USAGE_HAND_OVER_TIMEOUT).await;
+    context.usage.wait_until_reported(USAGE_HAND_OVER_TIMEOUT).await;
     record(context, "stop_finished", "nothing_in_flight", &format!("{} ms", notice.as_millis()));
 
     context.stopped.cancel();
