--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -69,14 +69,14 @@
     };
     let leader = seen.map(|seen| ObservedLeader {
         epoch: seen.epoch,
-        owner: node_of(seen.proposer.as_str()),
+        owner: node_of_proposer(seen.proposer.as_str()),
         idle: Duration::from_millis(seen.idle_ms),
     });
     Some(LeaderAnswer { store: store.node, leader })
 }
 
 /// A proposer's id is its node's name, a slash, and a random number.
-fn node_of(proposer: &str) -> NodeId {
+fn node_of_proposer(proposer: &str) -> NodeId {
     NodeId::new(proposer.split('/').next().unwrap_or_default())
 }
 
@@ -161,10 +161,10 @@
         }
         let (rank, takeover_after) =
             reason.rank_and_delay(rank, self.scope.context.settings.batch.takeover_after);
-        let (counted, needed) = self.count(&answers).await;
-        let verdict =
+        let (counted, needed) = self.count_answers(&answers).await;
+        let takeover_decision =
             election::decide_takeover(&self.scope.context.node, rank, &counted, needed, takeover_after);
-        match verdict {
+        match takeover_decision {
             TakeoverDecision::Wait(_) => None,
             TakeoverDecision::TakeOver(None) => Some(self.scope.context.settings.batch.order_lease),
             TakeoverDecision::TakeOver(Some(idle)) => Some(idle),
@@ -174,7 +174,7 @@
     /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller
     /// or larger than the settings want. Where too few count, the set that this node has met may have been
     /// replaced since.
-    async fn count(&self, answers: &LeaderAnswers) -> (Vec<Option<ObservedLeader>>, usize) {
+    async fn count_answers(&self, answers: &LeaderAnswers) -> (Vec<Option<ObservedLeader>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
         let least = context.settings.store.set_size.minimum_members();
         let needed_of = |set: Option<&ReplicaSet>| set.map_or(least, ReplicaSet::majority);
@@ -190,21 +190,21 @@
     /// may have taken over meanwhile.
     async fn take_over(&mut self, reason: PollReason, idle: Duration, followed: Option<LedgerFollower>) {
         if followed.is_some() {
-            return self.own(reason, idle, followed, None).await;
+            return self.become_owner(reason, idle, followed, None).await;
         }
         let began = Instant::now();
         let outline = outline::read(&self.scope).await;
         if outline.is_none() {
-            return self.own(reason, idle, None, None).await;
+            return self.become_owner(reason, idle, None, None).await;
         }
         if reason == PollReason::Due && ask_stores(&self.scope).await.appended_within(began.elapsed()) {
             return;
         }
         let missing = outline.as_ref().map(MissingTexts::of);
-        self.own(reason, idle, outline, missing).await;
+        self.become_owner(reason, idle, outline, missing).await;
     }
 
-    async fn own(
+    async fn become_owner(
         &mut self,
         reason: PollReason,
         idle: Duration,
@@ -236,8 +236,8 @@
         let read_bytes = recovered.bytes();
         self.record_recovery(reason, followed_bytes, read_bytes, began);
         let held_bytes = followed_bytes + read_bytes;
-        let (latest, offer) = (recovered.latest_origin, self.offer.take());
-        self.run_owner(Takeover { log, ledger, held_bytes, latest, idle, offer, missing }).await;
+        let (last_epoch, offer) = (recovered.latest_origin, self.offer.take());
+        self.run_owner(Takeover { log, ledger, held_bytes, last_epoch, idle, offer, missing }).await;
     }
 
     /// Owns until the owner ends, and hands over where it left by itself.
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -45,11 +45,11 @@
 
 #[derive(Default)]
 struct HeldEnds {
-    pursuit: PendingEnds,
+    ends: PendingEnds,
     /// Callers that wait for the owner's answer.
     waiting: BTreeMap<EndKey, Vec<oneshot::Sender<BatchResponse>>>,
     /// Ends that other nodes have no copy of yet.
-    untold: Vec<EndKey>,
+    uncopied: Vec<EndKey>,
 }
 
 impl EndHolder {
@@ -67,8 +67,8 @@
             let waiting = held.waiting.entry(key.clone()).or_default();
             waiting.retain(|earlier| !earlier.is_closed());
             waiting.push(reply);
-            if !held.pursuit.holds(&key) {
-                held.untold.push(key.clone());
+            if !held.ends.holds(&key) {
+                held.uncopied.push(key.clone());
             }
         }
         self.hold(key, EndSource::Caller);
@@ -85,7 +85,7 @@
     }
 
     fn hold(&self, key: EndKey, source: EndSource) {
-        let displaced = self.lock().pursuit.hold(self.now(), key, source);
+        let displaced = self.lock().ends.hold(self.now(), key, source);
         if let Some(displaced) = displaced {
             self.lock().waiting.remove(&displaced.key);
             self.settled(&displaced);
@@ -104,7 +104,7 @@
                 held_for_ms: whole_millis(held_for),
                 questions,
             };
-        held.pursuit.list(now).map(status).collect()
+        held.ends.list(now).map(status).collect()
     }
 
     /// Brings ends to their owners until the node has stopped.
@@ -112,17 +112,19 @@
         let stopped = self.context.stopped.clone();
         tokio::select! {
             () = stopped.cancelled() => {}
-            () = self.pursue(jobs) => {}
+            () = self.deliver_ends(jobs) => {}
         }
     }
 
-    async fn pursue(&self, jobs: BatchJobs) {
-        let mut asked = FuturesUnordered::new();
-        let mut told: FuturesUnordered<BoxFuture<'_, (EndKey, usize)>> = FuturesUnordered::new();
+    async fn deliver_ends(&self, jobs: BatchJobs) {
+        let mut requests = FuturesUnordered::new();
+        let mut copied: FuturesUnordered<BoxFuture<'_, (EndKey, usize)>> = FuturesUnordered::new();
         loop {
-            let (due, untold, deadline) = self.take_due();
-            asked.extend(due.into_iter().map(|key| ask(&jobs, key)));
-            told.extend(untold.into_iter().map(|key| -> BoxFuture<'_, _> { Box::pin(self.tell(key)) }));
+            let (due, uncopied, deadline) = self.take_due();
+            requests.extend(due.into_iter().map(|key| ask(&jobs, key)));
+            copied.extend(
+                uncopied.into_iter().map(|key| -> BoxFuture<'_, _> { Box::pin(self.copy_to_peers(key)) }),
+            );
             let wait = async {
                 match deadline {
                     Some(deadline) => tokio::time::sleep_until(deadline).await,
@@ -131,22 +133,22 @@
             };
             tokio::select! {
                 () = self.changed.notified() => {}
-                Some((key, response)) = asked.next() => self.answered(&key, response),
-                Some((key, copies)) = told.next() => self.note_told(key, copies),
+                Some((key, response)) = requests.next() => self.answered(&key, response),
+                Some((key, copies)) = copied.next() => self.copy_finished(key, copies),
                 () = wait => {}
             }
-            self.context.metrics.set_pending_ends(self.lock().pursuit.count());
+            self.context.metrics.set_pending_ends(self.lock().ends.count());
         }
     }
 
     fn take_due(&self) -> (Vec<EndKey>, Vec<EndKey>, Option<Instant>) {
         let now = self.now();
         let mut held = self.lock();
-        let due = held.pursuit.due(now);
-        let untold = std::mem::take(&mut held.untold);
-        let deadline = held.pursuit.deadline();
+        let due = held.ends.due(now);
+        let uncopied = std::mem::take(&mut held.uncopied);
+        let deadline = held.ends.deadline();
         let deadline = deadline.map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
-        (due, untold, deadline)
+        (due, uncopied, deadline)
     }
 
     fn answered(&self, key: &EndKey, response: BatchResponse) {
@@ -157,7 +159,7 @@
         };
         let (settled, waiting) = {
             let mut held = self.lock();
-            (held.pursuit.answered(self.now(), key, answer), held.waiting.remove(key))
+            (held.ends.answered(self.now(), key, answer), held.waiting.remove(key))
         };
         for reply in waiting.into_iter().flatten() {
             // A caller that has left is no matter.
@@ -177,15 +179,15 @@
     }
 
     /// An end that too few nodes hold is sent to others again, as long as it is held here.
-    fn note_told(&self, key: EndKey, copies: usize) {
+    fn copy_finished(&self, key: EndKey, copies: usize) {
         let mut held = self.lock();
-        if copies < COPIES && held.pursuit.holds(&key) {
-            held.untold.push(key);
+        if copies < COPIES && held.ends.holds(&key) {
+            held.uncopied.push(key);
         }
     }
 
     /// Tells other nodes of an end; returns how many hold it.
-    async fn tell(&self, key: EndKey) -> (EndKey, usize) {
+    async fn copy_to_peers(&self, key: EndKey) -> (EndKey, usize) {
         let others = self.others(&key);
         if others.is_empty() {
             // Nobody else is known yet, or ever.
@@ -199,8 +201,8 @@
             if next.is_empty() {
                 break;
             }
-            let tells = next.iter().map(|member| self.tell_one(member, &key));
-            copies += futures::future::join_all(tells).await.into_iter().filter(|is_held| *is_held).count();
+            let calls = next.iter().map(|member| self.copy_to(member, &key));
+            copies += futures::future::join_all(calls).await.into_iter().filter(|is_held| *is_held).count();
         }
         if copies < COPIES {
             tokio::time::sleep(COPY_TIMEOUT).await;
@@ -208,13 +210,13 @@
         (key, copies)
     }
 
-    async fn tell_one(&self, member: &Member, key: &EndKey) -> bool {
+    async fn copy_to(&self, member: &Member, key: &EndKey) -> bool {
         let request = HoldEnd { batch: key.batch.clone(), caller: key.caller.clone() };
-        let told = self.context.peers.hold_end(member.peer_address, request, COPY_TIMEOUT).await;
-        if let Err(error) = &told {
+        let copied = self.context.peers.hold_end(member.peer_address, request, COPY_TIMEOUT).await;
+        if let Err(error) = &copied {
             ::log::info!(target: "batch", "{} was not told of the end of {}: {error}.", member.node, key.batch);
         }
-        told.is_ok()
+        copied.is_ok()
     }
 
     /// Other nodes that can hold an end, in an order that differs from job to job: gateways of this region,
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -52,7 +52,8 @@
     /// Begins to follow whenever this node would own next.
     pub(super) fn spawn(scope: Scope) -> Self {
         let shared = Arc::<Shared>::default();
-        let task = tokio::spawn(Task { scope, shared: Arc::clone(&shared), turn: 0, owner: None }.run());
+        let task =
+            tokio::spawn(Task { scope, shared: Arc::clone(&shared), store_turn: 0, owner: None }.run());
         Self { shared, task: task.abort_handle() }
     }
 
@@ -83,13 +84,13 @@
     scope: Scope,
     shared: Arc<Shared>,
     /// Which store is read, in the order of [`nearest`]; another after one that gave nothing.
-    turn: usize,
+    store_turn: usize,
     /// The owner that is followed.
-    owner: Option<SeenOwner>,
+    owner: Option<FollowedOwner>,
 }
 
 /// An owner as this node sees it.
-struct SeenOwner {
+struct FollowedOwner {
     node: NodeId,
     since: Instant,
     /// Whether its log was too long for this node: it is not begun again under the same owner.
@@ -98,7 +99,7 @@
 
 /// What to do about the log now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FollowDuty {
+enum FollowAction {
     /// Read on.
     Follow,
     /// Keep what there is, and read nothing.
@@ -110,10 +111,10 @@
 impl Task {
     async fn run(mut self) {
         loop {
-            match self.duty() {
-                FollowDuty::Follow if self.read_page().await => continue,
-                FollowDuty::Follow | FollowDuty::Wait => {}
-                FollowDuty::Drop => *self.shared.lock() = None,
+            match self.next_action() {
+                FollowAction::Follow if self.read_page().await => continue,
+                FollowAction::Follow | FollowAction::Wait => {}
+                FollowAction::Drop => *self.shared.lock() = None,
             }
             let followed_bytes = self.shared.lock().as_ref().map_or(0, LedgerFollower::held_bytes);
             if self.scope.is_main() {
@@ -123,28 +124,28 @@
         }
     }
 
-    fn duty(&mut self) -> FollowDuty {
+    fn next_action(&mut self) -> FollowAction {
         if self.scope.context.draining.is_cancelled() {
-            return FollowDuty::Drop;
+            return FollowAction::Drop;
         }
         let owner = self.scope.owner.load_full();
         let Some(node) = owner.filter(|owner| **owner != self.scope.context.node) else {
-            return FollowDuty::Wait;
+            return FollowAction::Wait;
         };
         if self.shared.is_owning.load(Ordering::Relaxed) {
-            return FollowDuty::Wait;
+            return FollowAction::Wait;
         }
         if !order::is_next(&self.scope, &node) {
-            return FollowDuty::Drop;
+            return FollowAction::Drop;
         }
         if self.owner.as_ref().is_none_or(|seen| seen.node != *node) {
             self.owner =
-                Some(SeenOwner { node: NodeId::clone(&node), since: Instant::now(), is_too_long: false });
+                Some(FollowedOwner { node: NodeId::clone(&node), since: Instant::now(), is_too_long: false });
         }
-        let Some(seen) = &self.owner else { return FollowDuty::Wait };
+        let Some(seen) = &self.owner else { return FollowAction::Wait };
         let has_begun = self.shared.lock().is_some();
-        let is_settled = seen.since.elapsed() >= self.scope.context.settings.batch.follow_after;
-        if !seen.is_too_long && (has_begun || is_settled) { FollowDuty::Follow } else { FollowDuty::Wait }
+        let has_waited = seen.since.elapsed() >= self.scope.context.settings.batch.follow_after;
+        if !seen.is_too_long && (has_begun || has_waited) { FollowAction::Follow } else { FollowAction::Wait }
     }
 
     /// Reads once; returns whether there is more.
@@ -154,7 +155,7 @@
         };
         let next = self.shared.lock().get_or_insert_default().next();
         let Some(page) = self.ask(&set, next).await else {
-            self.turn += 1;
+            self.store_turn += 1;
             return false;
         };
         let mut followed = self.shared.lock();
@@ -164,9 +165,9 @@
         };
         match follower.apply_page(page) {
             Ok(has_more) => {
-                let most_bytes =
+                let max_bytes =
                     self.scope.context.settings.machine.memory_bytes / 100 * FOLLOWED_MEMORY_PERCENT;
-                if follower.held_bytes() > most_bytes {
+                if follower.held_bytes() > max_bytes {
                     ::log::warn!(target: "batch", "The log is too long to be followed here: {} bytes.", follower.held_bytes());
                     *followed = None;
                     if let Some(seen) = &mut self.owner {
@@ -185,7 +186,7 @@
     }
 
     async fn ask(&self, set: &ReplicaSet, next: LogIndex) -> Option<DecidedPage> {
-        let member = nearest(&self.scope.context, set, self.turn)?;
+        let member = nearest(&self.scope.context, set, self.store_turn)?;
         let request = ReplicaRequest {
             shard: self.scope.shard.clone(),
             generation: set.generation,
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -65,28 +65,28 @@
     /// Asks the owner, wherever it is, and waits while the ownership moves. `InDoubt` where the last owner
     /// asked may have taken the request without an answer.
     pub(crate) async fn ask(&self, request: BatchRequest) -> BatchResponse {
-        let limit = Instant::now() + JOB_OWNER_SEARCH_TIMEOUT;
+        let search_deadline = Instant::now() + JOB_OWNER_SEARCH_TIMEOUT;
         let wait = match &request {
             BatchRequest::Read { wait_ms, .. } => Duration::from_millis(*wait_ms),
             _ => Duration::ZERO,
         };
-        let mut may_be_taken = false;
+        let mut may_be_accepted = false;
         loop {
             let response = match self.scope.known_owner() {
                 Some(owner) => self.ask_node(&owner, request.clone(), wait + OWNER_ANSWER_TIMEOUT).await,
                 None => Some(BatchResponse::NotOwner(None)),
             };
             match response {
-                Some(BatchResponse::NotOwner(other)) => self.learn(other).await,
+                Some(BatchResponse::NotOwner(other)) => self.update_owner(other).await,
                 Some(BatchResponse::InDoubt) | None => {
-                    may_be_taken = true;
-                    self.learn(None).await;
+                    may_be_accepted = true;
+                    self.update_owner(None).await;
                 }
                 Some(BatchResponse::Unavailable) => {}
                 Some(response) => return response,
             }
-            if Instant::now() + JOB_OWNER_RETRY_INTERVAL >= limit {
-                return if may_be_taken { BatchResponse::InDoubt } else { BatchResponse::Unavailable };
+            if Instant::now() + JOB_OWNER_RETRY_INTERVAL >= search_deadline {
+                return if may_be_accepted { BatchResponse::InDoubt } else { BatchResponse::Unavailable };
             }
             tokio::time::sleep(JOB_OWNER_RETRY_INTERVAL).await;
         }
@@ -98,7 +98,7 @@
         &self,
         node: &NodeId,
         request: BatchRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Option<BatchResponse> {
         if node == &self.scope.context.node {
             return Some(self.answer(request).await);
@@ -107,7 +107,7 @@
         let Some(member) = member.filter(|member| self.scope.allows(member)) else {
             return Some(BatchResponse::NotOwner(None));
         };
-        match self.scope.ask_peer(member.peer_address, request, deadline).await {
+        match self.scope.ask_peer(member.peer_address, request, timeout).await {
             Ok(response) => Some(response),
             Err(error) if error.nothing_sent() => Some(BatchResponse::NotOwner(None)),
             Err(error) => {
@@ -118,7 +118,7 @@
     }
 
     /// Takes the owner that another node named, or asks the stores who owns.
-    async fn learn(&self, named: Option<NodeId>) {
+    async fn update_owner(&self, named: Option<NodeId>) {
         let owner = match named {
             Some(named) if Some(&named) != self.scope.known_owner().as_ref() => Some(named),
             _ => candidate::ask_stores(&self.scope).await.owner().cloned(),
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -29,24 +29,24 @@
 const KEEPER_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// A member that lacks no more decided entries than this is brought into the next set in some tenths of a
 /// second. More make the change of the set wait for the copy.
-const CURRENT_ENTRIES: u64 = 1_000;
+const MAX_LAG_ENTRIES: u64 = 1_000;
 /// How long a change waits for members that stay to catch up, before it is begun all the same. Above the six
 /// seconds that copying to a member took, in which nothing is decided.
 const MEMBER_CATCH_UP_TIMEOUT: Duration = Duration::from_secs(10);
 /// The node answers with another store: the disk was lost.
-const REASON_DISK: &str = "disk_replaced";
+const REASON_DISK_REPLACED: &str = "disk_replaced";
 /// The store has not answered for long.
 const REASON_SILENT: &str = "not_seen";
 /// The operator wants the machine emptied.
 const REASON_RETIRED: &str = "machine_leaves";
 
 /// The set was smaller than wanted, and another store has come.
-const REASON_GROWS: &str = "set_grows";
+const REASON_GROWTH: &str = "set_grows";
 /// A store elsewhere lets the set tolerate more losses.
-const REASON_BEARS_MORE: &str = "bears_more";
+const REASON_TOLERANCE: &str = "bears_more";
 /// How long the same change must be due before a set that is whole is changed: a store that restarts answers
 /// again within this time.
-const IMPROVE_AFTER: Duration = Duration::from_secs(3);
+const IMPROVEMENT_DELAY: Duration = Duration::from_secs(3);
 
 /// The keeper's task, as the owner sees it.
 pub(super) struct StoreKeeper {
@@ -95,10 +95,10 @@
 fn to_replacement(step: Improvement) -> Replacement {
     match step {
         Improvement::Grow(joining) => {
-            Replacement { leaving: joining.store.clone(), joining, reason: REASON_GROWS }
+            Replacement { leaving: joining.store.clone(), joining, reason: REASON_GROWTH }
         }
         Improvement::Move { leaving, joining } => {
-            Replacement { leaving: leaving.store, joining, reason: REASON_BEARS_MORE }
+            Replacement { leaving: leaving.store, joining, reason: REASON_TOLERANCE }
         }
     }
 }
@@ -150,14 +150,14 @@
             tokio::time::sleep(KEEPER_POLL_INTERVAL).await;
             let set = self.sets.borrow_and_update().clone();
             let stores = replica_sets::candidates(&self.scope.context, &set.shard).await;
-            self.note(&set, &stores);
+            self.record_answers(&set, &stores);
             self.finish_retirements(&set, &stores).await;
             let Some(replacement) = self.replacement(&set, &stores) else {
                 self.waiting_since = None;
                 continue;
             };
             let waited = self.waiting_since.get_or_insert_with(Instant::now).elapsed();
-            if waited < MEMBER_CATCH_UP_TIMEOUT && !self.is_quick(&set, &replacement).await {
+            if waited < MEMBER_CATCH_UP_TIMEOUT && !self.are_members_current(&set, &replacement).await {
                 continue;
             }
             self.waiting_since = None;
@@ -170,13 +170,13 @@
     /// Whether enough members that stay have what is decided, so that the next set can decide without a long
     /// copy. Nothing is decided while a set is changed: with a member of a majority that lacks the log, a
     /// change took six seconds.
-    async fn is_quick(&self, set: &ReplicaSet, replacement: &Replacement) -> bool {
+    async fn are_members_current(&self, set: &ReplicaSet, replacement: &Replacement) -> bool {
         let staying = set.members.iter().filter(|member| member.store != replacement.leaving);
         let marks = join_all(staying.map(|member| self.decided_through(set, member))).await;
         let latest = marks.iter().flatten().max().copied().unwrap_or_default();
-        let is_current = |mark: &&LogIndex| mark.0 + CURRENT_ENTRIES >= latest.0;
+        let is_current = |mark: &&LogIndex| mark.0 + MAX_LAG_ENTRIES >= latest.0;
         let current = marks.iter().flatten().filter(is_current).count();
-        let needed = majority(set.members.len() + usize::from(replacement.reason == REASON_GROWS));
+        let needed = majority(set.members.len() + usize::from(replacement.reason == REASON_GROWTH));
         if current < needed {
             ::log::info!(target: "batch", "{current} of {} members that stay have the log: the change waits.", marks.len());
         }
@@ -199,7 +199,7 @@
         }
     }
 
-    fn note(&mut self, set: &ReplicaSet, stores: &[SetMember]) {
+    fn record_answers(&mut self, set: &ReplicaSet, stores: &[SetMember]) {
         let now = Instant::now();
         for store in stores {
             self.answered_at.insert(store.store.clone(), now);
@@ -249,7 +249,7 @@
             self.improved_for = Some(seen);
         }
         let (step, since) = self.improvement.as_ref()?;
-        (since.elapsed() >= IMPROVE_AFTER).then(|| to_replacement(step.clone()))
+        (since.elapsed() >= IMPROVEMENT_DELAY).then(|| to_replacement(step.clone()))
     }
 
     /// The member that should go first, where all others answer: one change at a time, and none that leaves
@@ -269,7 +269,7 @@
             stores.iter().any(|store| store.node == member.node && store.store != member.store)
         };
         if let Some(member) = missing.iter().find(has_other_store) {
-            return Some((member, REASON_DISK));
+            return Some((member, REASON_DISK_REPLACED));
         }
         let patience = self.scope.context.settings.store.replace_after;
         let silent_for =
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -39,20 +39,20 @@
 /// longer blurs the times of loads.
 const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 /// Time between two readings of a report before that. A load that ends early is seen this late.
-const EARLY_INTERVAL: Duration = Duration::from_millis(400);
+const EARLY_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// The part of the usual time of a load after which it may be done. Less costs calls.
-const USUAL_SHARE: f64 = 0.9;
+const POLL_START_FRACTION: f64 = 0.9;
 /// An order of which the report shows nothing after this time was lost. Reports lag; shorter repeats orders
 /// that were taken, longer blocks the replica.
-const LOST_AFTER: Duration = Duration::from_millis(450);
+const ORDER_LOST_TIMEOUT: Duration = Duration::from_millis(450);
 /// How often an order that was not taken is given again.
-const ORDER_TRIES: u32 = 4;
+const MAX_ORDER_ATTEMPTS: u32 = 4;
 /// A load that is not done within this time is left to the next order. Some times the usual load; longer
 /// blocks a replica that lost its order.
 const LOAD_WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a load that failed, before the replica can be chosen again. Shorter spends the limit of loads
 /// on replicas that refuse.
-const FAILURE_PAUSE: Duration = Duration::from_millis(300);
+const FAILURE_DELAY: Duration = Duration::from_millis(300);
 
 /// A load of a replica has ended.
 pub(super) struct LoadEnded {
@@ -67,13 +67,13 @@
     epoch: Epoch,
     ends: mpsc::UnboundedSender<LoadEnded>,
     /// How long the last load took, in milliseconds.
-    usual_ms: Arc<AtomicU64>,
+    last_load_ms: Arc<AtomicU64>,
 }
 
 impl LoadOrders {
     pub(super) fn new(context: Context, epoch: Epoch, ends: mpsc::UnboundedSender<LoadEnded>) -> Self {
         let http = HttpClient::new(context.settings.gateway.connect_timeout);
-        Self { context, http, epoch, ends, usual_ms: Arc::default() }
+        Self { context, http, epoch, ends, last_load_ms: Arc::default() }
     }
 
     /// Begins a load; the order goes out only while the authority confirmed at `confirmed_at` holds.
@@ -86,7 +86,7 @@
             clock: self.context.boot_clock.clone(),
             confirmed_at,
             load,
-            usual_ms: Arc::clone(&self.usual_ms),
+            last_load_ms: Arc::clone(&self.last_load_ms),
         };
         let ends = self.ends.clone();
         let metrics = self.context.metrics.clone();
@@ -99,7 +99,7 @@
             let outcome = if end.is_some() { "done" } else { "not_taken" };
             metrics.observe(Latency::Order, outcome, began.elapsed());
             if end.is_none() {
-                tokio::time::sleep(FAILURE_PAUSE).await;
+                tokio::time::sleep(FAILURE_DELAY).await;
             }
             // An order that was not taken says nothing of the versions: the next report will.
             let ended = LoadEnded { replica: order.load.replica, end: end.unwrap_or_default() };
@@ -111,11 +111,11 @@
 
 /// Whether a replica took an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OrderTaken {
-    Yes,
+enum OrderAcceptance {
+    Accepted,
     /// It did not answer, or an earlier order is under way.
-    Perhaps,
-    No,
+    Unknown,
+    Rejected,
 }
 
 struct Order {
@@ -125,30 +125,30 @@
     clock: BootClock,
     confirmed_at: BootInstant,
     load: Load,
-    usual_ms: Arc<AtomicU64>,
+    last_load_ms: Arc<AtomicU64>,
 }
 
 impl Order {
     /// Orders, and waits until the replica reports the version. `None` where the order was not taken.
     async fn run(&self, replica: &ReplicaRecord) -> Option<LoadEnd> {
-        for _ in 0..ORDER_TRIES {
+        for _ in 0..MAX_ORDER_ATTEMPTS {
             let before = self.report(replica).await?;
-            if self.is_done(&before) {
+            if self.is_loaded(&before) {
                 return Some(LoadEnd { versions: before.versions(), time: None });
             }
             // An order that was given up may have been lost, or is under way after all.
             let may_order = self.clock.since(self.confirmed_at) < CONFIRMED_FOR;
-            let taken = if before.num_busy {
-                OrderTaken::Perhaps
+            let acceptance = if before.num_busy {
+                OrderAcceptance::Unknown
             } else if may_order {
                 self.order(replica, before.seq).await
             } else {
-                OrderTaken::No
+                OrderAcceptance::Rejected
             };
-            if taken == OrderTaken::No {
+            if acceptance == OrderAcceptance::Rejected {
                 return None;
             }
-            if let Some(end) = self.wait(replica, before.seq, taken).await {
+            if let Some(end) = self.wait(replica, before.seq, acceptance).await {
                 return Some(end);
             }
         }
@@ -156,36 +156,42 @@
     }
 
     /// Waits until a load is done. `None` where the report shows that no order was taken, or after too long.
-    async fn wait(&self, replica: &ReplicaRecord, orders_before: u64, taken: OrderTaken) -> Option<LoadEnd> {
+    async fn wait(
+        &self,
+        replica: &ReplicaRecord,
+        orders_before: u64,
+        acceptance: OrderAcceptance,
+    ) -> Option<LoadEnd> {
         let began = Instant::now();
-        let mut seen_busy = Duration::ZERO;
-        let usual = Duration::from_millis(self.usual_ms.load(Ordering::Relaxed)).mul_f64(USUAL_SHARE);
+        let mut last_seen_busy = Duration::ZERO;
+        let poll_start =
+            Duration::from_millis(self.last_load_ms.load(Ordering::Relaxed)).mul_f64(POLL_START_FRACTION);
         while began.elapsed() < LOAD_WAIT_TIMEOUT {
-            let until_usual = usual.saturating_sub(began.elapsed());
-            tokio::time::sleep(until_usual.clamp(REPORT_INTERVAL, EARLY_INTERVAL)).await;
+            let until_poll_start = poll_start.saturating_sub(began.elapsed());
+            tokio::time::sleep(until_poll_start.clamp(REPORT_INTERVAL, EARLY_REPORT_INTERVAL)).await;
             let asked = began.elapsed();
             let Some(report) = self.report(replica).await else { continue };
-            if self.is_done(&report) {
+            if self.is_loaded(&report) {
                 let took = began.elapsed();
-                self.usual_ms.store(whole_millis(took), Ordering::Relaxed);
-                let time = LoadTime { at_least: seen_busy, at_most: took };
+                self.last_load_ms.store(whole_millis(took), Ordering::Relaxed);
+                let time = LoadTime { at_least: last_seen_busy, at_most: took };
                 // When an order began that was not answered is not known.
-                let time = (taken == OrderTaken::Yes).then_some(time);
+                let time = (acceptance == OrderAcceptance::Accepted).then_some(time);
                 return Some(LoadEnd { versions: report.versions(), time });
             }
             if report.num_busy {
-                seen_busy = asked;
+                last_seen_busy = asked;
             }
             // Reports lag: only after a while does an unchanged one show that the order was lost.
             let is_lost = !report.num_busy && report.seq == orders_before;
-            if is_lost && began.elapsed() >= LOST_AFTER {
+            if is_lost && began.elapsed() >= ORDER_LOST_TIMEOUT {
                 return None;
             }
         }
         None
     }
 
-    fn is_done(&self, report: &ReplicaReport) -> bool {
+    fn is_loaded(&self, report: &ReplicaReport) -> bool {
         report.versions().get(&self.load.model).is_some_and(|version| *version >= self.load.version)
     }
 
@@ -204,7 +210,7 @@
     }
 
     /// Gives the order.
-    async fn order(&self, replica: &ReplicaRecord, orders_before: u64) -> OrderTaken {
+    async fn order(&self, replica: &ReplicaRecord, orders_before: u64) -> OrderAcceptance {
         let load = &self.load;
         let mode = LoadMode::Keep;
         let order =
@@ -213,24 +219,24 @@
             Ok(body) => body,
             Err(error) => {
                 ::log::error!(target: "batch", "An order to {} can't be written: {error}.", replica.id);
-                return OrderTaken::No;
+                return OrderAcceptance::Rejected;
             }
         };
         let Some(request) = build(replica, Method::POST, ORDER_PATH, body.into()) else {
-            return OrderTaken::No;
+            return OrderAcceptance::Rejected;
         };
         let limit = Instant::now() + REPLICA_CALL_TIMEOUT;
         match self.http.send(replica.address, request, limit).await {
             Ok(answer) => {
                 let status = answer.status();
                 if status == StatusCode::OK || status == StatusCode::ACCEPTED {
-                    return OrderTaken::Yes;
+                    return OrderAcceptance::Accepted;
                 }
                 ::log::info!(target: "batch", "Replica {} refused an order: {status}.", replica.id);
-                OrderTaken::No
+                OrderAcceptance::Rejected
             }
-            Err(error) if error.nothing_sent() => OrderTaken::No,
-            Err(_) => OrderTaken::Perhaps,
+            Err(error) if error.nothing_sent() => OrderAcceptance::Rejected,
+            Err(_) => OrderAcceptance::Unknown,
         }
     }
 }
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -77,7 +77,7 @@
 
     /// Answers a peer about another shard.
     pub async fn answer_for(&self, shard: &ShardId, request: BatchRequest) -> BatchResponse {
-        match self.regional.named(shard) {
+        match self.regional.shard_by_id(shard) {
             Some(shard) => shard.answer(request).await,
             None => BatchResponse::NotOwner(None),
         }
@@ -118,26 +118,26 @@
         if regional.is_empty() {
             return self.main.ask(request).await;
         }
-        let met_in = self.regional.shard_of_job(batch);
+        let known_shard = self.regional.shard_of_job(batch);
         let shards = regional.into_iter().chain([self.main.clone()]);
         let mut shards: Vec<JobShard> = shards.collect();
-        if let Some(met_in) = &met_in {
-            shards.retain(|shard| shard.scope.shard == *met_in);
+        if let Some(known_shard) = &known_shard {
+            shards.retain(|shard| shard.scope.shard == *known_shard);
         }
-        let mut asked: FuturesUnordered<_> = shards
+        let mut responses: FuturesUnordered<_> = shards
             .into_iter()
             .map(|shard| {
                 let request = request.clone();
                 async move { (shard.ask(request).await, shard) }
             })
             .collect();
-        let mut unsure = None;
-        while let Some((response, shard)) = asked.next().await {
+        let mut inconclusive = None;
+        while let Some((response, shard)) = responses.next().await {
             match response {
                 BatchResponse::Unknown => {}
                 BatchResponse::Unavailable if shard.scope.was_never_made().await => {}
                 BatchResponse::Unavailable | BatchResponse::InDoubt | BatchResponse::NotOwner(_) => {
-                    unsure = Some(response);
+                    inconclusive = Some(response);
                 }
                 response => {
                     self.regional.remember(batch, &shard.scope.shard);
@@ -145,6 +145,6 @@
                 }
             }
         }
-        unsure.unwrap_or(BatchResponse::Unknown)
+        inconclusive.unwrap_or(BatchResponse::Unknown)
     }
 }
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -21,40 +21,40 @@
 
 /// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short
 /// log costs more rounds than it saves.
-const LONG_ENTRIES: u64 = 1_000;
+const MIN_OUTLINE_ENTRIES: u64 = 1_000;
 /// By how many decided entries a member may be behind another and still serve most of the log. Chosen, not
 /// measured.
-const MISSING_ENTRIES: u64 = 500;
+const MAX_READER_LAG: u64 = 500;
 /// How many call timeouts a store may take for a page: all that start after a loss of power read at a time.
 /// Chosen, not measured.
 const PAGE_ANSWER_TIMEOUTS: u32 = 3;
 /// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not
 /// measured.
-const IDLE_ROUNDS: u32 = 2;
+const MAX_IDLE_ROUNDS: u32 = 2;
 /// How often the members of the log are asked for: all stores are known within half a second of a start
 /// together, that is five of these polls 100 ms apart.
-const MEMBER_POLLS: u32 = 6;
+const MAX_READ_ATTEMPTS: u32 = 6;
 /// The pause before a store that gave nothing is asked again. Chosen, not measured: shorter asks stores that
 /// are starting.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// What is read of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reading {
+enum ReadMode {
     Outline,
-    Whole,
+    Full,
 }
 
 /// Reads the outline of a log; `None` where it is short or can't be read this way.
 pub(super) async fn read(scope: &Scope) -> Option<LedgerFollower> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let cause = match try_read(scope).await {
             Ok(follower) => return Some(follower),
             Err(cause) => cause,
         };
-        tries += 1;
-        if tries >= MEMBER_POLLS || !cause.may_pass() {
+        attempts += 1;
+        if attempts >= MAX_READ_ATTEMPTS || !cause.is_transient() {
             log::info!(target: "batch", "The log is not read by its outline: {cause}.");
             return None;
         }
@@ -64,7 +64,7 @@
 
 /// Why a log is not read by its outline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-enum NoOutline {
+enum OutlineError {
     #[error("no store knows who keeps it; start a majority of its stores")]
     UnknownSet,
     #[error("no member answered with what is decided; start a majority of its stores")]
@@ -74,41 +74,42 @@
     #[error("it could be read through {read} of {through} entries")]
     Stuck { read: LogIndex, through: LogIndex },
     #[error("an entry is none of ours; run one version of lichenpulleyd on all nodes")]
-    Unreadable,
+    UnreadableEntry,
     #[error("its beginning is missing")]
-    NotWhole,
+    Incomplete,
 }
 
-impl NoOutline {
+impl OutlineError {
     /// Whether another try may find what this one did not: a node that has just started learns of the stores
     /// one by one.
-    const fn may_pass(self) -> bool {
+    const fn is_transient(self) -> bool {
         matches!(self, Self::UnknownSet | Self::NoMember)
     }
 }
 
-async fn try_read(scope: &Scope) -> Result<LedgerFollower, NoOutline> {
+async fn try_read(scope: &Scope) -> Result<LedgerFollower, OutlineError> {
     let began = Instant::now();
-    let set = find_set(scope).await.ok_or(NoOutline::UnknownSet)?;
-    let Beginning { first, readers, through } = begin(scope, &set).await.ok_or(NoOutline::NoMember)?;
-    if through.0 < LONG_ENTRIES {
-        return Err(NoOutline::Short(through.0));
+    let set = find_set(scope).await.ok_or(OutlineError::UnknownSet)?;
+    let OutlineStart { first, readers, through } =
+        find_readers(scope, &set).await.ok_or(OutlineError::NoMember)?;
+    if through.0 < MIN_OUTLINE_ENTRIES {
+        return Err(OutlineError::Short(through.0));
     }
     let mut follower = LedgerFollower::default();
-    take(&mut follower, first).ok_or(NoOutline::Unreadable)?;
+    apply(&mut follower, first).ok_or(OutlineError::UnreadableEntry)?;
     let mut idle_rounds = 0;
     while follower.through() < through {
         let before = follower.through();
-        for page in read_in_parts(scope, &set, &readers, follower.next(), through).await {
-            take(&mut follower, page).ok_or(NoOutline::Unreadable)?;
+        for page in read_in_parallel(scope, &set, &readers, follower.next(), through).await {
+            apply(&mut follower, page).ok_or(OutlineError::UnreadableEntry)?;
         }
         idle_rounds = if follower.through() > before { 0 } else { idle_rounds + 1 };
-        if idle_rounds >= IDLE_ROUNDS {
-            return Err(NoOutline::Stuck { read: follower.through(), through });
+        if idle_rounds >= MAX_IDLE_ROUNDS {
+            return Err(OutlineError::Stuck { read: follower.through(), through });
         }
     }
     record(scope, "outline_read", &follower, began);
-    Some(follower).filter(LedgerFollower::is_complete).ok_or(NoOutline::NotWhole)
+    Some(follower).filter(LedgerFollower::is_complete).ok_or(OutlineError::Incomplete)
 }
 
 /// What is read of a log behind its owner.
@@ -148,14 +149,14 @@
             Some(set) => {
                 let member = nearest(&scope.context, &set, turn).cloned();
                 match member {
-                    Some(member) => ask(scope, &set, &member, follower.next(), Reading::Whole).await,
+                    Some(member) => ask(scope, &set, &member, follower.next(), ReadMode::Full).await,
                     None => None,
                 }
             }
             None => None,
         };
         let before = follower.through();
-        if page.is_none_or(|page| take(&mut follower, page).is_none()) || follower.through() <= before {
+        if page.is_none_or(|page| apply(&mut follower, page).is_none()) || follower.through() <= before {
             turn += 1;
             tokio::time::sleep(STORE_RETRY_PAUSE).await;
         }
@@ -170,7 +171,7 @@
     scope.context.decisions.record(decision.with("milliseconds", began.elapsed().as_millis()));
 }
 
-fn take(follower: &mut LedgerFollower, page: DecidedPage) -> Option<()> {
+fn apply(follower: &mut LedgerFollower, page: DecidedPage) -> Option<()> {
     match follower.apply_page(page) {
         Ok(_) => Some(()),
         Err(error) => {
@@ -181,7 +182,7 @@
 }
 
 /// The outlines of a stretch of the log, each store reading a part of it.
-async fn read_in_parts(
+async fn read_in_parallel(
     scope: &Scope,
     set: &ReplicaSet,
     readers: &[SetMember],
@@ -193,13 +194,13 @@
     let part = |(number, member)| {
         let first = LogIndex(from.0 + length * number);
         let last = LogIndex((first.0 + length - 1).min(through.0));
-        read_part(scope, set, member, first, last)
+        read_range(scope, set, member, first, last)
     };
     let parts = join_all((0..).zip(readers).map(part)).await;
     parts.into_iter().flatten().collect()
 }
 
-async fn read_part(
+async fn read_range(
     scope: &Scope,
     set: &ReplicaSet,
     member: &SetMember,
@@ -208,7 +209,7 @@
 ) -> Vec<DecidedPage> {
     let (mut pages, mut next) = (Vec::new(), first);
     while next <= last {
-        let Some(page) = ask(scope, set, member, next, Reading::Outline).await else { break };
+        let Some(page) = ask(scope, set, member, next, ReadMode::Outline).await else { break };
         let Some(end) = page.entries.last().map(|entry| entry.index).filter(|end| *end >= next) else {
             break;
         };
@@ -229,7 +230,7 @@
 }
 
 /// Where the reading of an outline begins.
-struct Beginning {
+struct OutlineStart {
     first: DecidedPage,
     /// Members that have nearly all that is decided.
     readers: Vec<SetMember>,
@@ -239,27 +240,27 @@
 
 /// The first page, and the members that can read on to its mark: a disk that was lost has none of the log,
 /// and a member that was brought in lately not all.
-async fn begin(scope: &Scope, set: &ReplicaSet) -> Option<Beginning> {
+async fn find_readers(scope: &Scope, set: &ReplicaSet) -> Option<OutlineStart> {
     // A member that is down is not waited for.
     let timeout = scope.context.settings.store.call_timeout;
-    let first_page = |member| ask_within(scope, set, member, LogIndex::FIRST, Reading::Outline, timeout);
+    let first_page = |member| ask_within(scope, set, member, LogIndex::FIRST, ReadMode::Outline, timeout);
     let asked = set.members.iter().map(first_page);
     let pages = join_all(asked).await;
-    let most = pages.iter().flatten().map(|page| page.decided_through).max()?;
-    let has_most = |page: &Option<DecidedPage>| {
-        page.as_ref().is_some_and(|page| page.decided_through.0 + MISSING_ENTRIES >= most.0)
+    let highest = pages.iter().flatten().map(|page| page.decided_through).max()?;
+    let is_current = |page: &Option<DecidedPage>| {
+        page.as_ref().is_some_and(|page| page.decided_through.0 + MAX_READER_LAG >= highest.0)
     };
     let readers: Vec<SetMember> = set
         .members
         .iter()
         .zip(&pages)
-        .filter(|(_, page)| has_most(page))
+        .filter(|(_, page)| is_current(page))
         .map(|(member, _)| member.clone())
         .collect();
     let through =
-        pages.iter().filter(|page| has_most(page)).flatten().map(|page| page.decided_through).min()?;
+        pages.iter().filter(|page| is_current(page)).flatten().map(|page| page.decided_through).min()?;
     let first = pages.into_iter().flatten().max_by_key(|page| page.decided_through)?;
-    Some(Beginning { first, readers, through })
+    Some(OutlineStart { first, readers, through })
 }
 
 /// A member by its turn, those of this zone first, since bytes between zones are priced.
@@ -274,10 +275,10 @@
     set: &ReplicaSet,
     member: &SetMember,
     next: LogIndex,
-    reading: Reading,
+    mode: ReadMode,
 ) -> Option<DecidedPage> {
     let timeout = scope.context.settings.store.call_timeout * PAGE_ANSWER_TIMEOUTS;
-    ask_within(scope, set, member, next, reading, timeout).await
+    ask_within(scope, set, member, next, mode, timeout).await
 }
 
 async fn ask_within(
@@ -285,7 +286,7 @@
     set: &ReplicaSet,
     member: &SetMember,
     next: LogIndex,
-    reading: Reading,
+    mode: ReadMode,
     timeout: Duration,
 ) -> Option<DecidedPage> {
     let request = ReplicaRequest {
@@ -294,9 +295,9 @@
         store: member.store.clone(),
         operation: Operation::ReadDecided(next),
     };
-    let response = match reading {
-        Reading::Outline => exchange::ask_outline(&scope.context, member, request, timeout).await,
-        Reading::Whole => exchange::ask(&scope.context, member, request, timeout).await,
+    let response = match mode {
+        ReadMode::Outline => exchange::ask_outline(&scope.context, member, request, timeout).await,
+        ReadMode::Full => exchange::ask(&scope.context, member, request, timeout).await,
     };
     match response.map(|response| response.outcome) {
         Some(ReplicaAnswer::Decided { entries, base, decided_through, .. }) => {
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -66,7 +66,7 @@
     /// Bytes of the log.
     pub(super) held_bytes: usize,
     /// The epoch of the last owner that appended.
-    pub(super) latest: Epoch,
+    pub(super) last_epoch: Epoch,
     /// How long the owner before had been silent.
     pub(super) idle: Duration,
     /// What the owner before took and its stores don't keep.
@@ -89,7 +89,7 @@
     callers: WaitingCallers,
     /// The ledger with the texts that were not read when this owner began.
     texts: mpsc::Receiver<Ledger>,
-    leave_watch: LeaveMonitor,
+    leave_monitor: LeaveMonitor,
     /// Why the log can't be written any more.
     failure: Option<ShardLogError>,
 }
@@ -126,7 +126,7 @@
     /// The owner of what it has taken over.
     pub(super) fn new(scope: Scope, pool: ReplicaPool, traffic: Handle, takeover: Takeover) -> Self {
         let context = scope.context.clone();
-        let Takeover { log, ledger, held_bytes, latest, idle, offer, missing } = takeover;
+        let Takeover { log, ledger, held_bytes, last_epoch, idle, offer, missing } = takeover;
         let lease = OrderLease {
             holder: context.node.clone(),
             length: context.settings.batch.order_lease + CONFIRMED_FOR + LEASE_MARGIN,
@@ -134,7 +134,7 @@
         };
         let mut controller = Controller::new(controller_config(&scope), ledger, Timestamp::ORIGIN, lease);
         if let Some(offer) = offer {
-            let adopted = controller.adopt(offer, latest);
+            let adopted = controller.adopt(offer, last_epoch);
             ::log::info!(target: "batch", "{adopted} events came from the owner before.");
         }
         let missing = missing.filter(|_| controller.ledger().is_outline());
@@ -148,7 +148,7 @@
             callers: WaitingCallers::default(),
             texts: read_missing(&scope, missing),
             stores: OwnedStores::new(scope.clone(), log, held_bytes),
-            leave_watch: LeaveMonitor::default(),
+            leave_monitor: LeaveMonitor::default(),
             failure: None,
             scope,
             context,
@@ -165,12 +165,12 @@
         let mut stop = None;
         while self.failure.is_none() && stop.is_none() {
             match self.step(&mut inputs).await {
-                ControlFlow::Continue(()) => self.act(),
+                ControlFlow::Continue(()) => self.execute_actions(),
                 ControlFlow::Break(reason) => stop = Some(reason),
             }
         }
-        let end = self.conclude(stop).await;
-        self.finish();
+        let end = self.end_ownership(stop).await;
+        self.stop_all_work();
         end
     }
 
@@ -184,14 +184,14 @@
             Some(ended) = self.running.score_ends.recv() => self.handle_score(&ended),
             Some(ended) = self.calls.load_ends.recv() => self.handle_load(&ended),
             Some(ended) = self.calls.duty_ends.recv() => self.handle_duty(&ended),
-            Some(whole) = self.texts.recv() => self.fill_texts(whole),
+            Some(ledger) = self.texts.recv() => self.fill_texts(ledger),
             // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is
             // decided; 0.25 s after it.
             replacement = self.stores.keeper.next(), if !self.controller.ledger().is_outline() => {
                 self.stores.log.replace(replacement);
             }
             Ok(()) = inputs.metadata.changed() => self.update(),
-            Some(reply) = self.stores.replies.recv() => {
+            Some(reply) = self.stores.probe_results.recv() => {
                 if self.stores.is_cut_off_by(reply) {
                     ::log::warn!(target: "batch", "No store answers this owner: the batch jobs are left.");
                     return ControlFlow::Break(StopReason::CutOff);
@@ -201,7 +201,7 @@
                 if self.should_leave() {
                     return ControlFlow::Break(StopReason::Leaves);
                 }
-                self.stores.watch_silence();
+                self.stores.probe_if_silent();
                 self.tick();
             }
         }
@@ -209,7 +209,7 @@
     }
 
     /// How the ownership ends, once the stores keep what an owner that leaves made.
-    async fn conclude(&mut self, stop: Option<StopReason>) -> OwnerEnd {
+    async fn end_ownership(&mut self, stop: Option<StopReason>) -> OwnerEnd {
         match stop {
             None => OwnerEnd::Superseded,
             Some(StopReason::CutOff) => OwnerEnd::CutOff(self.controller.progress_offer(self.epoch)),
@@ -224,8 +224,8 @@
         Timestamp::ORIGIN + self.origin.elapsed()
     }
 
-    fn fill_texts(&mut self, whole: Ledger) {
-        self.controller.fill_texts(whole);
+    fn fill_texts(&mut self, ledger: Ledger) {
+        self.controller.fill_texts(ledger);
         self.answer_readers();
     }
 
@@ -292,7 +292,7 @@
                     self.controller.appended(now);
                 }
                 self.answer_writers();
-                self.answer_doubts();
+                self.answer_lookups();
                 self.answer_readers();
                 if is_long {
                     self.compact();
--- a/crates/daemon/src/batch/owner/actions.rs
+++ b/crates/daemon/src/batch/owner/actions.rs
@@ -6,7 +6,7 @@
 
 impl Owner {
     /// Carries out all actions that are due.
-    pub(super) fn act(&mut self) {
+    pub(super) fn execute_actions(&mut self) {
         while let Some(action) = self.controller.poll_action() {
             match action {
                 Action::Append(records) => self.stores.log.append(records),
--- a/crates/daemon/src/batch/owner/callers.rs
+++ b/crates/daemon/src/batch/owner/callers.rs
@@ -22,7 +22,7 @@
             return command.answer(BatchResponse::Unavailable);
         }
         if self.lacks_job_of(&command.request) {
-            return self.callers.add_doubt(self.stores.clock().now(), command);
+            return self.callers.add_lookup(self.stores.clock().now(), command);
         }
         match &command.request {
             BatchRequest::Submit(job) => {
@@ -76,7 +76,7 @@
         match self.controller.end(self.now(), &batch) {
             Some(true) => command.answer(BatchResponse::Ended),
             Some(false) => self.callers.add_end(batch, command),
-            None => self.callers.add_doubt(self.stores.clock().now(), command),
+            None => self.callers.add_lookup(self.stores.clock().now(), command),
         }
     }
 
@@ -91,8 +91,8 @@
     }
 
     /// An append was decided: answers those who asked for unknown jobs before it began.
-    pub(super) fn answer_doubts(&mut self) {
-        for command in self.callers.take_doubts(self.stores.confirmed_at()) {
+    pub(super) fn answer_lookups(&mut self) {
+        for command in self.callers.take_confirmed_lookups(self.stores.confirmed_at()) {
             if self.keeps_job_of(&command.request) {
                 self.handle_command(command);
             } else {
--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -19,14 +19,14 @@
     pub(super) async fn flush(&mut self) {
         self.controller.set_confirmed(false);
         self.controller.flush_progress(self.now());
-        self.act();
+        self.execute_actions();
         let limit = Instant::now() + FLUSH_TIMEOUT;
         while !self.controller.is_settled() && self.failure.is_none() {
             match tokio::time::timeout_at(limit, self.stores.log.next()).await {
                 Ok(outcome) => self.handle_append(outcome),
                 Err(_) => return,
             }
-            self.act();
+            self.execute_actions();
         }
     }
 
@@ -35,7 +35,7 @@
         let own = self.context.settings.machine.capacity();
         let better = order::best_other(&self.scope).filter(|other| own.is_worth_leaving_for(other.capacity));
         let node = better.as_ref().map(|better| &better.node);
-        let is_due = self.leave_watch.poll(node, self.stores.is_confirmed(), self.now());
+        let is_due = self.leave_monitor.poll(node, self.stores.is_confirmed(), self.now());
         if let Some(better) = better.filter(|_| is_due) {
             ::log::info!(target: "batch", "The batch jobs are left to {} ({} against {own}).", better.node, better.capacity);
         }
@@ -43,12 +43,12 @@
     }
 
     /// Ends all that is under way.
-    pub(super) fn finish(mut self) {
+    pub(super) fn stop_all_work(mut self) {
         self.context.metrics.set_batch_items(self.scope.metric_label(), 0, 0);
         if let Some(error) = &self.failure {
             ::log::warn!(target: "batch", "The batch jobs are given up: {error}.");
         }
         self.running.stop_all();
-        self.callers.give_up();
+        self.callers.close();
     }
 }
--- a/crates/daemon/src/batch/owner/running.rs
+++ b/crates/daemon/src/batch/owner/running.rs
@@ -19,7 +19,7 @@
 
 /// Events of runs that wait for the owner before their connections are read no further. Chosen, not measured:
 /// a burst of all runs of some hundred replicas; greater costs memory while the owner stands still.
-const EVENT_BACKLOG: usize = 4_096;
+const RUN_EVENT_BACKLOG: usize = 4_096;
 
 /// What is under way at replicas. Dropping it stops nothing: see [`Self::stop_all`].
 pub(super) struct RunningWork {
@@ -39,7 +39,7 @@
 impl RunningWork {
     /// Nothing is under way yet.
     pub(super) fn new(context: Context, pool: ReplicaPool, traffic: Handle) -> Self {
-        let (run_sender, run_events) = mpsc::channel(EVENT_BACKLOG);
+        let (run_sender, run_events) = mpsc::channel(RUN_EVENT_BACKLOG);
         let (score_sender, score_ends) = mpsc::unbounded_channel();
         let (runs, scores) = (HashMap::new(), HashMap::new());
         Self { context, pool, traffic, runs, run_sender, run_events, scores, score_sender, score_ends }
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -49,16 +49,16 @@
     /// When the last append that is known to be decided was begun.
     confirmed_at: BootInstant,
     cut_off: CutOffMonitor,
-    reply_sender: mpsc::UnboundedSender<ProbeResult>,
+    probe_sender: mpsc::UnboundedSender<ProbeResult>,
     /// Replies to the question whether any store can be reached.
-    pub(super) replies: mpsc::UnboundedReceiver<ProbeResult>,
+    pub(super) probe_results: mpsc::UnboundedReceiver<ProbeResult>,
 }
 
 impl OwnedStores {
     /// The stores of a log that has just been taken over, which confirms the authority. The log holds
     /// `held_bytes` bytes.
     pub(super) fn new(scope: Scope, log: ShardLog, held_bytes: usize) -> Self {
-        let (reply_sender, replies) = mpsc::unbounded_channel();
+        let (probe_sender, probe_results) = mpsc::unbounded_channel();
         let clock = scope.context.boot_clock.clone();
         Self {
             keeper: StoreKeeper::start(scope.clone(), log.set().clone()),
@@ -67,8 +67,8 @@
             confirmed_at: clock.now(),
             clock,
             cut_off: CutOffMonitor::default(),
-            reply_sender,
-            replies,
+            probe_sender,
+            probe_results,
         }
     }
 
@@ -93,19 +93,19 @@
     }
 
     /// Asks all stores whether any can be reached, where none has answered for too long.
-    pub(super) fn watch_silence(&mut self) {
+    pub(super) fn probe_if_silent(&mut self) {
         let unconfirmed_for = self.clock.since(self.confirmed_at);
         let is_silent = cut_off::is_silent(unconfirmed_for, self.log.silent_for());
         if self.cut_off.poll(is_silent) != CutOffStep::Probe {
             return;
         }
-        let (scope, replies) = (self.scope.clone(), self.reply_sender.clone());
+        let (scope, probe_results) = (self.scope.clone(), self.probe_sender.clone());
         tokio::spawn(async move {
             let began = Instant::now();
             let answered = candidate::ask_stores(&scope).await.answered();
             let reply = ProbeResult { answered, took: began.elapsed(), timeout: candidate::STORE_TIMEOUT };
             // An error only says that the owner has ended.
-            let _ = replies.send(reply);
+            let _ = probe_results.send(reply);
         });
     }
 
--- a/crates/daemon/src/batch/owner/waiting.rs
+++ b/crates/daemon/src/batch/owner/waiting.rs
@@ -17,7 +17,7 @@
 
 /// Longest answer with results, in bytes of text: a page that the link of a weak machine carries in a fraction
 /// of a second; smaller costs callers more calls.
-const RESULTS_BYTES: usize = 700 << 10;
+const MAX_PAGE_BYTES: usize = 700 << 10;
 
 /// A reader that waits for a result.
 struct Reader {
@@ -38,7 +38,7 @@
 }
 
 /// A question about a job that is not kept here.
-struct Doubt {
+struct PendingLookup {
     asked_at: BootInstant,
     command: Command,
 }
@@ -49,7 +49,7 @@
     submissions: Vec<(BatchId, Command)>,
     ends: Vec<(BatchId, Command)>,
     usages: Vec<UsageWriter>,
-    doubts: Vec<Doubt>,
+    lookups: Vec<PendingLookup>,
     readers: Vec<Reader>,
 }
 
@@ -70,14 +70,14 @@
     }
 
     /// A question about a job that is not kept here was asked at `asked_at`.
-    pub(super) fn add_doubt(&mut self, asked_at: BootInstant, command: Command) {
-        self.doubts.push(Doubt { asked_at, command });
+    pub(super) fn add_lookup(&mut self, asked_at: BootInstant, command: Command) {
+        self.lookups.push(PendingLookup { asked_at, command });
     }
 
     /// Takes the questions that were asked before `confirmed_at`.
-    pub(super) fn take_doubts(&mut self, confirmed_at: BootInstant) -> Vec<Command> {
-        let ready = self.doubts.extract_if(.., |doubt| doubt.asked_at <= confirmed_at);
-        ready.map(|doubt| doubt.command).collect()
+    pub(super) fn take_confirmed_lookups(&mut self, confirmed_at: BootInstant) -> Vec<Command> {
+        let ready = self.lookups.extract_if(.., |lookup| lookup.asked_at <= confirmed_at);
+        ready.map(|lookup| lookup.command).collect()
     }
 
     /// A caller reads results from the position `from` on, and waits for the first of them.
@@ -103,7 +103,7 @@
         for (batch, command) in std::mem::take(&mut self.submissions) {
             match ledger.job(&batch) {
                 Some(state) => {
-                    let is_own = state.job.is_open_to(submitter(&command));
+                    let is_own = state.job.is_open_to(submitting_tenant(&command));
                     command.answer(if is_own { BatchResponse::Taken } else { BatchResponse::IdTaken });
                 }
                 None => self.submissions.push((batch, command)),
@@ -133,7 +133,7 @@
     /// Answers readers whose results are there, and those who have waited long enough.
     pub(super) fn answer_readers(&mut self, ledger: &Ledger, is_confirmed: bool) {
         if !is_confirmed {
-            self.refuse_doubts();
+            self.refuse_lookups();
         }
         if self.readers.is_empty() {
             return;
@@ -152,20 +152,20 @@
     }
 
     /// Nobody can say now whether there are such jobs.
-    fn refuse_doubts(&mut self) {
-        for doubt in self.doubts.drain(..) {
-            doubt.command.answer(BatchResponse::Unavailable);
+    fn refuse_lookups(&mut self) {
+        for lookup in self.lookups.drain(..) {
+            lookup.command.answer(BatchResponse::Unavailable);
         }
     }
 
     /// The owner has ended: what was to be kept may or may not be, and readers ask the next owner.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn close(&mut self) {
         let jobs = self.submissions.drain(..).chain(self.ends.drain(..)).map(|(_, command)| command);
         let usages = self.usages.drain(..).map(|waiting| waiting.command);
         for command in jobs.chain(usages) {
             command.answer(BatchResponse::InDoubt);
         }
-        self.refuse_doubts();
+        self.refuse_lookups();
         for reader in self.readers.drain(..) {
             reader.command.answer(BatchResponse::Unavailable);
         }
@@ -192,7 +192,7 @@
 }
 
 /// The tenant that hands a job in.
-const fn submitter(command: &Command) -> Option<&TenantName> {
+const fn submitting_tenant(command: &Command) -> Option<&TenantName> {
     match &command.request {
         BatchRequest::Submit(job) => job.tenant.as_ref(),
         _ => None,
@@ -206,16 +206,16 @@
     let first = usize::try_from(from).unwrap_or(usize::MAX);
     for result in job.results.iter().skip(first) {
         bytes += result.text.len();
-        if bytes > RESULTS_BYTES && !results.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
-        results.push(listed(job, result));
+        results.push(to_listed(job, result));
     }
     BatchResponse::Results { total: job.job.items.len() as u64, results }
 }
 
 /// A result with its item's id. Only items of the job are listed, so that there always is one.
-fn listed(job: &JobState, result: &ItemResult) -> ListedResult {
+fn to_listed(job: &JobState, result: &ItemResult) -> ListedResult {
     let item = job.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
     ListedResult { item, result: result.clone() }
 }
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -21,7 +21,7 @@
 
 /// Jobs whose shard is remembered; of others every shard is asked. Chosen, not measured: fewer cost a
 /// question to every shard for each call of a job.
-const REMEMBERED_JOBS: usize = 1_024;
+const MAX_REMEMBERED_JOBS: usize = 1_024;
 
 /// All shards of some regions that this node has met.
 pub(super) struct RegionalJobs {
@@ -37,7 +37,7 @@
     shards: BTreeMap<ShardId, JobShard>,
     by_job: HashMap<BatchId, ShardId>,
     /// Jobs in the order in which they were met, the oldest first.
-    jobs: VecDeque<BatchId>,
+    job_order: VecDeque<BatchId>,
 }
 
 impl RegionalJobs {
@@ -52,7 +52,7 @@
         loop {
             let table = self.context.metadata.routes.load_full();
             if let Some(table) = table.filter(|table| seen != Some(table.version)) {
-                self.take_part(&table);
+                self.join_shards(&table);
                 seen = Some(table.version);
             }
             tokio::select! {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn take_part(&self, table: &RouteTable) {
+    fn join_shards(&self, table: &RouteTable) {
         for region in regional::unknown_regions(table, &self.context.settings.places.zones) {
             log::warn!(target: "batch", "`allowed_regions` names {region}, where no zone of `places.zones` lies: what is bound to it alone is refused.");
         }
@@ -97,7 +97,7 @@
     }
 
     /// The shard of this name, where this node has met it.
-    pub(super) fn named(&self, id: &ShardId) -> Option<JobShard> {
+    pub(super) fn shard_by_id(&self, id: &ShardId) -> Option<JobShard> {
         self.known().shards.get(id).cloned()
     }
 
@@ -118,9 +118,9 @@
         if known.by_job.insert(batch.clone(), shard.clone()).is_some() {
             return;
         }
-        known.jobs.push_back(batch.clone());
-        if known.jobs.len() > REMEMBERED_JOBS
-            && let Some(oldest) = known.jobs.pop_front()
+        known.job_order.push_back(batch.clone());
+        if known.job_order.len() > MAX_REMEMBERED_JOBS
+            && let Some(oldest) = known.job_order.pop_front()
         {
             known.by_job.remove(&oldest);
         }
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -30,7 +30,7 @@
 const RUN_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// An item that leaves this long after it was decided gets a log line: its job may have ended since. Chosen,
 /// not measured.
-const LATE_AFTER: Duration = Duration::from_millis(500);
+const LATE_SEND_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// Runs an item and tells the owner of its events. Dropping it closes the connection, by which the replica
 /// drops the item.
@@ -75,7 +75,7 @@
     })?;
     let may_send = || {
         let waited = context.boot_clock.since(decided_at);
-        if waited >= LATE_AFTER {
+        if waited >= LATE_SEND_THRESHOLD {
             ::log::warn!(target: "batch", "{} is sent to {} {} ms after that was decided.", start.item.id, start.replica.id, waited.as_millis());
         }
         !context.metadata.is_closed(&start.replica)
@@ -109,7 +109,7 @@
 }
 
 /// The version of events for which the replica names none.
-const UNNAMED_VERSION: u64 = 0;
+const UNKNOWN_VERSION: u64 = 0;
 /// The urgency that a replica takes where none is named.
 const NEUTRAL_URGENCY: u8 = 5;
 
@@ -126,7 +126,7 @@
         return end;
     }
     let (head, mut body) = response.into_parts();
-    let version = named_version(&head.headers, start);
+    let version = version_of_head(&head.headers, start);
     let mut reader = EventReader { start, events, version, splitter: EventSplitter::default() };
     if let Err(end) = reader.read_all(&mut body, traced).await {
         return end;
@@ -171,13 +171,13 @@
             // Trailers carry no events.
             let Ok(bytes) = frame.into_data() else { continue };
             self.splitter.push(&bytes);
-            self.pass_on().await?;
+            self.forward_events().await?;
         }
         Ok(())
     }
 
     /// Passes on the events that are whole.
-    async fn pass_on(&mut self) -> Result<(), RunEnd> {
+    async fn forward_events(&mut self) -> Result<(), RunEnd> {
         loop {
             let event = match self.splitter.next_event() {
                 Ok(Some(event)) => event,
@@ -189,9 +189,9 @@
             };
             self.version = event.version.unwrap_or(self.version);
             let Some(number) = event.number else { continue };
-            let kept = OutputEvent { number, version: self.version, data: event.data };
+            let output = OutputEvent { number, version: self.version, data: event.data };
             // An error says that the owner has ended.
-            if self.events.send((self.start.run, RunEvent::Event(kept))).await.is_err() {
+            if self.events.send((self.start.run, RunEvent::Event(output))).await.is_err() {
                 return Err(RunEnd::Broken);
             }
         }
@@ -200,12 +200,12 @@
 
 /// The version that the answer's head names; events that name their own go before it. Without either an event
 /// counts as made by version 0, which no job accepts that asks for a version.
-fn named_version(fields: &hyper::HeaderMap, start: &RunStart) -> u64 {
-    let Some(value) = fields.get(headers::WEIGHT_VERSION) else { return UNNAMED_VERSION };
+fn version_of_head(fields: &hyper::HeaderMap, start: &RunStart) -> u64 {
+    let Some(value) = fields.get(headers::WEIGHT_VERSION) else { return UNKNOWN_VERSION };
     let version = value.to_str().ok().and_then(|version| version.trim().parse().ok());
     version.unwrap_or_else(|| {
         ::log::warn!(target: "batch", "{} at {}: the version {value:?} can't be read. Mend what the replica names.", start.item.id, start.replica.id);
-        UNNAMED_VERSION
+        UNKNOWN_VERSION
     })
 }
 
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -21,7 +21,7 @@
 
 /// Longest answer of a scorer that is read, in bytes. Chosen, not measured: its body is not used, only that
 /// it is whole; smaller refuses scores of wordy scorers.
-const SCORE_ANSWER_LIMIT_BYTES: usize = 8 << 20;
+const MAX_SCORE_ANSWER_BYTES: usize = 8 << 20;
 
 /// The end of a score request.
 pub(super) struct ScoreEnded {
@@ -73,12 +73,12 @@
         return ScoreEnd::Broken;
     }
     // Only a whole answer counts: one that breaks off proves nothing.
-    if Limited::new(body, SCORE_ANSWER_LIMIT_BYTES).collect().await.is_err() {
+    if Limited::new(body, MAX_SCORE_ANSWER_BYTES).collect().await.is_err() {
         traced.broke().await;
         return ScoreEnd::Broken;
     }
     pool.give_back(connection, &head.headers);
-    let end = judge(head.status, &head.headers);
+    let end = classify_answer(head.status, &head.headers);
     match end {
         ScoreEnd::Rejected => traced.has_not_run(),
         ScoreEnd::Scored(_) | ScoreEnd::Failed | ScoreEnd::Broken => traced.ended_whole(),
@@ -99,7 +99,7 @@
 }
 
 /// What a whole answer to its own request says.
-fn judge(status: StatusCode, head: &hyper::HeaderMap) -> ScoreEnd {
+fn classify_answer(status: StatusCode, head: &hyper::HeaderMap) -> ScoreEnd {
     if head.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
         return ScoreEnd::Rejected;
     }
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -48,10 +48,10 @@
     /// Begins a call; it leaves only while `may_call`, the authority of its holder, holds.
     pub(crate) fn begin(&self, call: DutyCall, may_call: bool) {
         let ends = self.ends.clone();
-        let made = self.make(&call).filter(|_| may_call);
+        let request_future = self.make(&call).filter(|_| may_call);
         tokio::spawn(async move {
-            let end = match made {
-                Some(made) => made.await,
+            let end = match request_future {
+                Some(request_future) => request_future.await,
                 None => DutyOutcome::Missed,
             };
             // An error only says that the holder has ended.
@@ -69,10 +69,10 @@
             }
         };
         let request = client::build(Method::POST, address, cloud::path(call), body.into());
-        let mut request = request.inspect_err(unsent).ok()?;
+        let mut request = request.inspect_err(log_unbuildable).ok()?;
         let fields = request.headers_mut();
         fields.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        fields.insert(cloud::HOLDER, self.context.node.as_str().parse().inspect_err(unsent).ok()?);
+        fields.insert(cloud::HOLDER, self.context.node.as_str().parse().inspect_err(log_unbuildable).ok()?);
         fields.insert(cloud::FENCE, HeaderValue::from(self.epoch.0));
         let http = self.http.clone();
         Some(async move {
@@ -94,6 +94,6 @@
 }
 
 /// A call that can't be built counts as missed, and is made again: the line says why it never arrives.
-fn unsent(error: &impl std::fmt::Display) {
+fn log_unbuildable(error: &impl std::fmt::Display) {
     log::error!(target: "duties", "A call can't be built: {error}. Mend the platform's address or the node's name.");
 }
--- a/crates/daemon/src/duties/node_usage.rs
+++ b/crates/daemon/src/duties/node_usage.rs
@@ -23,19 +23,19 @@
     pub(super) origin: Instant,
     /// This incarnation of this node.
     pub(super) source: String,
-    pub(super) is_wanted: bool,
+    pub(super) is_enabled: bool,
 }
 
 impl NodeUsage {
     /// Nothing is counted yet. Where usage `is_wanted` by nobody nothing ever is.
-    pub fn new(node: &str, is_wanted: bool) -> Self {
-        let life: u32 = rand::random();
+    pub fn new(node: &str, is_enabled: bool) -> Self {
+        let incarnation: u32 = rand::random();
         Self {
             meter: Mutex::default(),
             counted: Notify::new(),
             origin: Instant::now(),
-            source: format!("{node}/{life:x}"),
-            is_wanted,
+            source: format!("{node}/{incarnation:x}"),
+            is_enabled,
         }
     }
 
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -16,10 +16,10 @@
 
 /// How long counts are gathered before they are reported: one report for a busy node, and a loss of power
 /// loses no more. A node that stops gathers none.
-const GATHER_FOR: Duration = Duration::from_millis(250);
+const REPORT_DELAY: Duration = Duration::from_millis(250);
 /// The pause after a report that did not arrive: shorter storms a new owner, longer loses more counts with the
 /// node.
-const REPORT_RETRY_PAUSE: Duration = Duration::from_millis(400);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// A request that was sent to a replica. It counts as begun when this is dropped, unless it is known not to
 /// have run: a request whose caller left, or whose answer was lost, has run.
@@ -32,7 +32,7 @@
 impl RunCount {
     /// The request of a tenant is sent now.
     pub fn begin(context: &Context, tenant: Option<&TenantName>) -> Self {
-        let tenant = tenant.filter(|_| context.usage.is_wanted).cloned();
+        let tenant = tenant.filter(|_| context.usage.is_enabled).cloned();
         Self { context: Context::clone(context), at: Instant::now(), tenant }
     }
 
@@ -59,7 +59,7 @@
 
 /// Hands over what was counted until the node has stopped.
 pub(crate) async fn report_usage(context: Context, batch: BatchJobs) {
-    if !context.usage.is_wanted {
+    if !context.usage.is_enabled {
         return;
     }
     tokio::select! {
@@ -74,7 +74,7 @@
     loop {
         usage.counted.notified().await;
         tokio::select! {
-            () = tokio::time::sleep(GATHER_FOR) => {}
+            () = tokio::time::sleep(REPORT_DELAY) => {}
             () = context.draining.cancelled() => {}
         }
         loop {
@@ -84,7 +84,7 @@
             let through = report.through();
             match batch.ask(BatchRequest::Usage(report)).await {
                 BatchResponse::UsageKept => usage.meter().acknowledge(through),
-                _ => tokio::time::sleep(REPORT_RETRY_PAUSE).await,
+                _ => tokio::time::sleep(REPORT_RETRY_DELAY).await,
             }
         }
         let dropped_now = usage.meter().dropped();
