--- a/crates/daemon/src/duties/node_usage.rs
+++ b/crates/daemon/src/duties/node_usage.rs
@@ -23,19 +23,19 @@
     pub(super) origin: Instant,
     /// This incarnation of this node.
     pub(super) source: String,
-    pub(super) is_wanted: bool,
+    pub(super) is_enabled: bool,
 }
 
 impl NodeUsage {
     /// Nothing is counted yet. Where usage `is_wanted` by nobody nothing ever is.
-    pub fn new(node: &str, is_wanted: bool) -> Self {
-        let life: u32 = rand::random();
+    pub fn new(node: &str, is_enabled: bool) -> Self {
+        let incarnation: u32 = rand::random();
         Self {
             meter: Mutex::default(),
             counted: Notify::new(),
             origin: Instant::now(),
-            source: format!("{node}/{life:x}"),
-            is_wanted,
+            source: format!("{node}/{incarnation:x}"),
+            is_enabled,
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Waits at most `limit` until all that was counted is handed over; a line says what is left.
-    pub(crate) async fn until_handed_over(&self, limit: Duration) {
+    pub(crate) async fn wait_until_reported(&self, limit: Duration) {
         let deadline = Instant::now() + limit;
         while !self.meter().is_empty() && Instant::now() < deadline {
             tokio::time::sleep(HAND_OVER_POLL_INTERVAL).await;
