--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -24,7 +24,7 @@
 use crate::cluster::ClusterView;
 use crate::context::Context;
 use crate::directory::ReplicaDirectory;
-use crate::membership::{self, HeardRevisions};
+use crate::membership::{self, AnnouncedRevisions};
 
 /// How often the live members are polled. Chosen, not measured: longer delays the choice of readers after a
 /// change of the members.
@@ -145,7 +145,7 @@
         }
     }
 
-    fn take_heard(&mut self, revisions: &HeardRevisions) {
+    fn take_heard(&mut self, revisions: &AnnouncedRevisions) {
         let Some(announced) = revisions.get(self.document.as_str()) else { return };
         let now = self.now();
         self.disseminator.receive_announcement(announced.revision, announced.holder.node.clone(), now);
--- a/crates/daemon/src/membership/handle.rs
+++ b/crates/daemon/src/membership/handle.rs
@@ -25,7 +25,7 @@
 }
 
 /// The highest announced revision of each document, by the document's name.
-pub type HeardRevisions = Arc<BTreeMap<String, AnnouncedRevision>>;
+pub type AnnouncedRevisions = Arc<BTreeMap<String, AnnouncedRevision>>;
 
 /// What the membership task is asked to do.
 #[derive(Debug)]
@@ -48,14 +48,14 @@
 pub struct MembershipHandle {
     commands: mpsc::UnboundedSender<Command>,
     pending: Mutex<Option<mpsc::UnboundedReceiver<Command>>>,
-    heard: watch::Sender<HeardRevisions>,
+    heard: watch::Sender<AnnouncedRevisions>,
 }
 
 impl MembershipHandle {
     /// A handle whose task has not started.
     pub fn new() -> Self {
         let (commands, pending) = mpsc::unbounded_channel();
-        let (heard, _) = watch::channel(HeardRevisions::default());
+        let (heard, _) = watch::channel(AnnouncedRevisions::default());
         Self { commands, pending: Mutex::new(Some(pending)), heard }
     }
 
@@ -65,7 +65,7 @@
         let _ = self.commands.send(command);
     }
 
-    pub(super) fn watch_revisions(&self) -> watch::Receiver<HeardRevisions> {
+    pub(super) fn watch_revisions(&self) -> watch::Receiver<AnnouncedRevisions> {
         self.heard.subscribe()
     }
 
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -8,7 +8,7 @@
 mod meter;
 mod report;
 
-pub use handle::{AnnouncedRevision, HeardRevisions, MembershipHandle};
+pub use handle::{AnnouncedRevision, AnnouncedRevisions, MembershipHandle};
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -108,7 +108,7 @@
 }
 
 /// The highest revision of each document that any member has announced, with the member that holds it.
-pub fn watch_revisions(context: &Context) -> watch::Receiver<HeardRevisions> {
+pub fn watch_revisions(context: &Context) -> watch::Receiver<AnnouncedRevisions> {
     context.membership.watch_revisions()
 }
 
--- a/crates/daemon/src/metadata/announcements.rs
+++ b/crates/daemon/src/metadata/announcements.rs
@@ -8,7 +8,7 @@
 
 use crate::cluster::Member;
 use crate::context::Context;
-use crate::membership::{self, AnnouncedRevision, HeardRevisions};
+use crate::membership::{self, AnnouncedRevision, AnnouncedRevisions};
 
 /// How long a node that heard of something newer waits for its own watch to bring it. Chosen, not measured:
 /// shorter costs calls for what the watch brings anyway, longer delays a change at a node whose watch is
@@ -51,7 +51,7 @@
     newer.map(|announced| announced.holder)
 }
 
-fn newer(context: &Context, kind: MetadataKind, heard: &HeardRevisions) -> Option<AnnouncedRevision> {
+fn newer(context: &Context, kind: MetadataKind, heard: &AnnouncedRevisions) -> Option<AnnouncedRevision> {
     let announced = heard.get(announced_name(kind)?);
     announced.filter(|announced| announced.revision.0 > held(context, kind)).cloned()
 }
--- a/crates/daemon/src/metadata/handle.rs
+++ b/crates/daemon/src/metadata/handle.rs
@@ -70,17 +70,17 @@
     }
 
     /// Has a kind listed anew: what its watch waits for may have been answered, and the answer lost.
-    pub(crate) fn read_anew(&self, kind: MetadataKind) {
+    pub(crate) fn request_relist(&self, kind: MetadataKind) {
         self.rereads[kind_index(kind)].send_modify(|count| *count += 1);
     }
 
     /// Whether the platform's store gave no answer when this node last asked it.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.freshness.is_away()
     }
 
     /// Whether this node reads nothing from the platform for itself.
-    pub fn follows(&self) -> bool {
+    pub fn is_follower(&self) -> bool {
         !self.freshness.needs_platform()
     }
 
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -55,7 +55,7 @@
 }
 
 /// Any other node that watches or follows.
-pub(crate) fn any(context: &Context) -> Option<Member> {
+pub(crate) fn random_member(context: &Context) -> Option<Member> {
     let cluster = context.cluster.load();
     let others = cluster.members.iter();
     let others = others.filter(|member| member.node != context.node && member.roles.gateway);
--- a/crates/daemon/src/metadata/watcher/away.rs
+++ b/crates/daemon/src/metadata/watcher/away.rs
@@ -49,7 +49,7 @@
     /// Takes the copy of a peer, where it is newer: of one that announced so, else of a random one.
     pub(super) async fn ask_peer(&mut self) {
         let announcer = announcements::announcer(&self.context, self.kind);
-        let Some(peer) = announcer.or_else(|| peers::any(&self.context)) else { return };
+        let Some(peer) = announcer.or_else(|| peers::random_member(&self.context)) else { return };
         if let Some(copy) = peers::ask(&self.context, &peer, self.kind, self.held()).await {
             self.take_peer_copy(copy);
         }
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -104,6 +104,9 @@
 ///
 /// # Errors
 /// When no answer comes in time.
-pub(crate) async fn is_asked_for(client: &MetadataClient, zone: &str) -> Result<bool, PlatformError> {
+pub(crate) async fn is_evacuation_requested(
+    client: &MetadataClient,
+    zone: &str,
+) -> Result<bool, PlatformError> {
     client.read(objects::EVACUATIONS, zone).await.map(|object| object.is_some())
 }
--- a/crates/daemon/src/operators/zones.rs
+++ b/crates/daemon/src/operators/zones.rs
@@ -53,7 +53,7 @@
     let (written, state) = match change {
         ZoneChange::Evacuate if !zones::is_known(context, zone) => return unknown(zone),
         ZoneChange::Evacuate => (zones::evacuate(&client, zone).await, ZoneState::Evacuated),
-        ZoneChange::Return => match zones::is_asked_for(&client, zone).await {
+        ZoneChange::Return => match zones::is_evacuation_requested(&client, zone).await {
             Ok(true) => (zones::readmit(&client, zone).await, ZoneState::Open),
             Ok(false) => return not_evacuated(zone),
             Err(error) => return unreachable_store(error.to_string(), Execution::NotRun),
--- a/crates/daemon/src/quarantine/spread.rs
+++ b/crates/daemon/src/quarantine/spread.rs
@@ -146,7 +146,7 @@
         } else if written_at.elapsed() >= OWN_RECORD_TIMEOUT {
             log::info!(target: "quarantine", "Record {name} does not come back: the records are listed anew.");
             self.unread = None;
-            self.context.metadata.read_anew(MetadataKind::Quarantine);
+            self.context.metadata.request_relist(MetadataKind::Quarantine);
         }
     }
 
@@ -178,7 +178,7 @@
     /// Asks a peer to write in this node's place: the store may turn away this node alone.
     async fn hand_over_next(&mut self) {
         let Some(next) = self.outbox.front().cloned() else { return };
-        let Some(peer) = peers::any(&self.context) else {
+        let Some(peer) = peers::random_member(&self.context) else {
             return tokio::time::sleep(WRITE_RETRY_PAUSE).await;
         };
         let answered =
--- a/crates/daemon/src/suspension.rs
+++ b/crates/daemon/src/suspension.rs
@@ -47,7 +47,7 @@
     let decision = Decision::new(Component::Membership, "resumed", "was_suspended", &context.node);
     context.decisions.record(decision.with("milliseconds", suspended.as_millis()));
     for kind in MetadataKind::ALL {
-        context.metadata.read_anew(kind);
+        context.metadata.request_relist(kind);
     }
 }
 
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -326,14 +326,14 @@
 async fn lapse_all(system: &System) {
     let nodes = || system.gateways.iter().flatten();
     system.platform.set_condition(Condition::Silent);
-    while !nodes().all(|node| node.context().metadata.is_store_away()) {
+    while !nodes().all(|node| node.context().metadata.is_store_unreachable()) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     for number in 0..system.replicas.len() {
         system.platform.remove(objects::REPLICAS, &format!("replica-{number}"));
     }
     system.platform.set_condition(Condition::Well);
-    while nodes().any(|node| node.context().metadata.is_store_away()) {
+    while nodes().any(|node| node.context().metadata.is_store_unreachable()) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/lab/tests/platform_system/mod.rs
+++ b/crates/lab/tests/platform_system/mod.rs
@@ -375,7 +375,7 @@
         // The last watch that began before is held so long.
         tokio::time::sleep(Duration::from_millis(2_200)).await;
         let nodes = self.gateways.iter().flatten();
-        nodes.filter(|node| node.context().metadata.follows()).count()
+        nodes.filter(|node| node.context().metadata.is_follower()).count()
     }
 
     pub(crate) fn owner(&self) -> usize {
