--- a/crates/daemon/src/metadata/announcements.rs
+++ b/crates/daemon/src/metadata/announcements.rs
@@ -1,5 +1,5 @@
-//! Announcements of metadata revisions that ride on the heartbeats, so that a node whose watch is stuck reads
-//! again.
+//! Metadata revisions announced on the membership protocol's messages. A node whose own watch is stuck learns
+//! from them that it must read again.
 
 use std::time::Duration;
 
@@ -10,13 +10,12 @@
 use crate::context::Context;
 use crate::membership::{self, AnnouncedRevision, AnnouncedRevisions};
 
-/// How long a node that heard of something newer waits for its own watch to bring it. Chosen, not measured:
-/// shorter costs calls for what the watch brings anyway, longer delays a change at a node whose watch is
-/// stuck.
-const OWN_WATCH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time that a node's own watch has to deliver an announced revision before the node asks the announcing
+/// peer.
+const OWN_WATCH_GRACE: Duration = Duration::from_millis(200);
 
-/// The name under which what a node holds of a kind is announced; none for kinds that change too often, or
-/// matter to few.
+/// Returns the name under which revisions of a kind are announced; `None` for kinds that change too often or
+/// that only few nodes read.
 const fn announced_name(kind: MetadataKind) -> Option<&'static str> {
     match kind {
         MetadataKind::Configuration => Some("routes"),
@@ -26,9 +25,9 @@
     }
 }
 
-/// What this node holds of a kind, in the numbers that are announced: the configuration has versions of its
-/// own. 0 where it holds nothing, which is below every announced number and is never announced.
-fn held(context: &Context, kind: MetadataKind) -> u64 {
+/// Returns the revision that this node holds of a kind, as announced: for the configuration its own version.
+/// 0 means that nothing is held; it is lower than any announced revision and is never announced.
+fn held_revision(context: &Context, kind: MetadataKind) -> u64 {
     let metadata = &context.metadata;
     match kind {
         MetadataKind::Configuration => metadata.routes.load().as_ref().map_or(0, |table| table.version),
@@ -36,35 +35,39 @@
     }
 }
 
-/// Tells the peers what this node holds of a kind.
+/// Announces to the peers which revision of a kind this node holds.
 pub(super) fn announce(context: &Context, kind: MetadataKind) {
-    let revision = held(context, kind);
+    let revision = held_revision(context, kind);
     if let Some(name) = announced_name(kind).filter(|_| revision > 0) {
         membership::announce_revision(context, name, Revision(revision));
     }
 }
 
-/// A peer that has announced something newer than this node has.
+/// Returns a peer that has announced a newer revision than this node holds.
 pub(super) fn announcer(context: &Context, kind: MetadataKind) -> Option<Member> {
     let heard = membership::watch_revisions(context);
-    let newer = newer(context, kind, &heard.borrow());
+    let newer = find_newer(context, kind, &heard.borrow());
     newer.map(|announced| announced.holder)
 }
 
-fn newer(context: &Context, kind: MetadataKind, heard: &AnnouncedRevisions) -> Option<AnnouncedRevision> {
+fn find_newer(
+    context: &Context,
+    kind: MetadataKind,
+    heard: &AnnouncedRevisions,
+) -> Option<AnnouncedRevision> {
     let announced = heard.get(announced_name(kind)?);
-    announced.filter(|announced| announced.revision.0 > held(context, kind)).cloned()
+    announced.filter(|announced| announced.revision.0 > held_revision(context, kind)).cloned()
 }
 
-/// Waits until a peer has announced something newer than this node has, and its own watch had time to bring
-/// it. Returns the peer.
-pub(super) async fn heard_newer(context: &Context, kind: MetadataKind) -> Member {
+/// Waits until a peer has announced a newer revision that this node's own watch has not delivered within
+/// [`OWN_WATCH_GRACE`]. Returns the peer.
+pub(super) async fn wait_for_newer(context: &Context, kind: MetadataKind) -> Member {
     let mut heard = membership::watch_revisions(context);
     loop {
-        if heard.wait_for(|heard| newer(context, kind, heard).is_some()).await.is_err() {
+        if heard.wait_for(|heard| find_newer(context, kind, heard).is_some()).await.is_err() {
             return std::future::pending().await;
         }
-        tokio::time::sleep(OWN_WATCH_TIMEOUT).await;
+        tokio::time::sleep(OWN_WATCH_GRACE).await;
         if let Some(announcer) = announcer(context, kind) {
             return announcer;
         }
--- a/crates/daemon/src/metadata/client.rs
+++ b/crates/daemon/src/metadata/client.rs
@@ -1,6 +1,6 @@
-//! Calls of the platform's metadata store.
+//! Client of the platform's metadata store.
 //!
-//! Owns the address and time-outs; `platform/` decodes what the store answers.
+//! Holds the address and the timeouts; the `platform` crate defines paths and formats.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::http::client::{ClientError, HttpClient};
 use crate::settings::Settings;
 
-/// How many times the usual time a watch of what changes rarely is held: one call in place of four. Chosen, not measured:
-/// more leaves a watch whose connection has fallen silent unnoticed for longer, fewer costs priced calls.
-const RARE_HOLDS: u32 = 4;
+/// Factor by which watches of rarely changing kinds are held longer than others, which saves calls to the
+/// store.
+const RARE_KIND_HOLD_FACTOR: u32 = 4;
 
-/// A client of the metadata store. Cheap to clone.
+/// Client of the metadata store. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct MetadataClient {
     http: HttpClient,
@@ -27,17 +27,17 @@
     watch_hold: Duration,
 }
 
-/// What a watch gave.
+/// Result of a watch.
 #[derive(Debug)]
-pub enum Watched {
-    /// Changes; maybe none.
+pub enum WatchResult {
+    /// Changes, possibly none.
     Events(Events),
-    /// The history from there on is gone: list again.
+    /// The store no longer has the history since the revision; list again.
     HistoryGone,
 }
 
 impl MetadataClient {
-    /// A client by the settings of this node; `None` where no metadata store is named there.
+    /// Creates a client from the node's settings; `None` if they name no metadata store.
     pub fn from_settings(settings: &Settings) -> Option<Self> {
         let address = settings.platform.metadata_store?;
         let http = HttpClient::new(settings.peers.connect_timeout);
@@ -46,7 +46,7 @@
         Some(Self { http, address, timeout, watch_hold })
     }
 
-    /// Reads all objects of a kind; the revision is one that all of them are at least of.
+    /// Reads all objects of a kind. Every object is at least as new as the list's revision.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -54,7 +54,8 @@
         self.list_pages(kind, objects::list_path).await
     }
 
-    /// Reads all objects of a kind as they stood up to some seconds ago, which costs the store little.
+    /// Reads all objects of a kind from the store's cache. The list may be some seconds old, but costs the
+    /// store little.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -75,7 +76,7 @@
             let is_last = !page.has_more || page.items.is_empty();
             match &mut all {
                 Some(list) => {
-                    // Pages may be of different times: the whole is no newer than the oldest.
+                    // Pages may have different revisions; the list is only as new as its oldest page.
                     list.at = list.at.min(page.at);
                     list.items.extend(page.items);
                 }
@@ -87,43 +88,43 @@
         }
     }
 
-    /// Waits for changes after a revision, for as long as watches of the kind are held.
+    /// Waits for changes after a revision, up to the hold time of the kind.
     ///
     /// # Errors
-    /// When the watch breaks off.
-    pub async fn watch(&self, kind: &str, after: u64) -> Result<Watched, PlatformError> {
-        self.watch_for(kind, after, self.hold(kind)).await
+    /// When the watch is interrupted.
+    pub async fn watch(&self, kind: &str, after: u64) -> Result<WatchResult, PlatformError> {
+        self.watch_for(kind, after, self.watch_hold_for(kind)).await
     }
 
-    /// Reads what changed after a revision, without waiting.
+    /// Reads the changes after a revision without waiting for new ones.
     ///
     /// # Errors
     /// When no answer comes in time.
-    pub async fn changes(&self, kind: &str, after: u64) -> Result<Watched, PlatformError> {
+    pub async fn changes(&self, kind: &str, after: u64) -> Result<WatchResult, PlatformError> {
         self.watch_for(kind, after, Duration::ZERO).await
     }
 
-    async fn watch_for(&self, kind: &str, after: u64, hold: Duration) -> Result<Watched, PlatformError> {
+    async fn watch_for(&self, kind: &str, after: u64, hold: Duration) -> Result<WatchResult, PlatformError> {
         let path = objects::watch_path(kind, after, hold.as_millis());
         let deadline = hold + self.timeout;
         match self.http.get_json(self.address, &path, deadline).await {
-            Ok(events) => Ok(Watched::Events(events)),
-            Err(error) if error.status() == Some(StatusCode::GONE) => Ok(Watched::HistoryGone),
+            Ok(events) => Ok(WatchResult::Events(events)),
+            Err(error) if error.status() == Some(StatusCode::GONE) => Ok(WatchResult::HistoryGone),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Evacuations and ended replicas are rare, and announced by whoever learns of one: a watch of them that
-    /// is stuck does no harm, so that each is held for longer and costs fewer calls.
-    fn hold(&self, kind: &str) -> Duration {
+    /// Returns how long a watch of a kind is held. Evacuations and quarantine records are rare, and every
+    /// node that learns of one announces it, so a stuck watch of them does no harm and can be held longer.
+    fn watch_hold_for(&self, kind: &str) -> Duration {
         if [objects::EVACUATIONS, QUARANTINE].contains(&kind) {
-            (self.watch_hold * RARE_HOLDS).min(objects::MAX_WATCH_TIME).max(self.watch_hold)
+            (self.watch_hold * RARE_KIND_HOLD_FACTOR).min(objects::MAX_WATCH_TIME).max(self.watch_hold)
         } else {
             self.watch_hold
         }
     }
 
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Asks for an answer that costs the store little, to see whether it can be reached.
+    /// Checks with a cheap read whether the store can be reached.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -172,7 +173,7 @@
         written.map(drop).map_err(classify)
     }
 
-    /// Replaces what stands in an object, whatever its revision.
+    /// Replaces the content of an object, whatever its revision.
     ///
     /// # Errors
     /// As for [`Self::write`].
@@ -212,7 +213,8 @@
     }
 }
 
-/// Invariant: `NotWritten` only where no byte was sent or the platform itself said so.
+/// Classifies a failed write. `NotWritten` is returned only if no byte was sent or the platform refused the
+/// write.
 fn classify(error: ClientError) -> WriteError {
     match error.status() {
         Some(StatusCode::CONFLICT) => WriteError::Conflict { current: None },
--- a/crates/daemon/src/metadata/copy.rs
+++ b/crates/daemon/src/metadata/copy.rs
@@ -1,7 +1,7 @@
-//! From the objects of a kind to the product's own types.
+//! Decodes a copy of the platform's objects and publishes the result through the handle.
 //!
-//! Decodes by `platform/`. An object that can't be read is left out and logged; the configuration in force
-//! never goes back.
+//! The `platform` crate defines the formats. An object that can't be decoded is skipped with a log line. The
+//! version of the configuration in force never decreases.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use super::handle::MetadataHandle;
 use crate::quarantine::records::QuarantineRecords;
 
-/// Replicas whose records did not change keep what was read of them: with thousands of replicas, one changes
-/// at a time.
+/// Applies a copy of the replicas. Records whose text is unchanged are not decoded again, since typically
+/// only one of thousands of replicas changes at a time.
 fn apply_replicas(handle: &MetadataHandle, before: Option<&MetadataCopy>, copy: &MetadataCopy) {
     let held = handle.replicas.load();
     let held: HashMap<&str, &ReplicaRecord> =
@@ -42,13 +42,13 @@
     match record.and_then(|spec| replica::read_record(name, &spec).map_err(|error| error.to_string())) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(target: "metadata", "Entry {name} names no replica: {error}.");
+            log::warn!(target: "metadata", "Entry {name} is not a valid replica and is ignored; correct it in the metadata store: {error}.");
             None
         }
     }
 }
 
-/// Puts a copy into force. An object that can't be read is left out, with a line in the log.
+/// Decodes a copy and publishes it. Objects that can't be decoded are skipped and logged.
 pub(super) fn apply(
     handle: &MetadataHandle,
     kind: MetadataKind,
@@ -61,7 +61,7 @@
     let objects = copy.objects.iter().filter_map(|(name, text)| match serde_json::from_str(text) {
         Ok(spec) => Some((name.as_str(), spec)),
         Err(error) => {
-            log::warn!(target: "metadata", "The object {name} is not JSON: {error}.");
+            log::warn!(target: "metadata", "Object {name} is not JSON and is ignored; correct it in the metadata store: {error}.");
             None
         }
     });
@@ -75,7 +75,7 @@
     }
 }
 
-/// Each object is a zone; it is evacuated for as long as the object is there.
+/// Applies the evacuations. Each object names a zone, which is evacuated while the object exists.
 fn apply_evacuations(handle: &MetadataHandle, objects: &[(&str, Value)]) {
     let zones = objects.iter().map(|(zone, _)| (*zone).to_owned()).collect();
     handle.evacuated.store(Arc::new(EvacuatedZones { zones }));
@@ -88,13 +88,13 @@
             Ok(record) => {
                 records.insert((*name).to_owned(), record);
             }
-            Err(error) => log::warn!(target: "metadata", "Record {name} is left out: {error}."),
+            Err(error) => log::warn!(target: "metadata", "Quarantine record {name} is ignored: {error}."),
         }
     }
     handle.quarantine.store(Arc::new(QuarantineRecords::new(records)));
 }
 
-/// Invariant: the version in force never goes down.
+/// Applies the configuration unless a later version is in force: the version never decreases.
 fn apply_configuration(handle: &MetadataHandle, objects: &[(&str, Value)]) {
     let main = objects.iter().find(|(name, _)| *name == objects::CONFIGURATION_NAME);
     let Some((_, spec)) = main else { return };
@@ -107,7 +107,7 @@
             log::info!(target: "metadata", "Configuration {} is in force.", table.version);
             handle.routes.store(Some(Arc::new(table)));
         }
-        Err(error) => log::error!(target: "metadata", "The configuration is not taken: {error}."),
+        Err(error) => log::error!(target: "metadata", "The invalid configuration is ignored: {error}."),
     }
 }
 
@@ -119,7 +119,7 @@
                 let held = versions.entry(named.model).or_default();
                 *held = named.version.max(*held);
             }
-            Err(error) => log::warn!(target: "metadata", "Version {name} is left out: {error}."),
+            Err(error) => log::warn!(target: "metadata", "Version {name} is ignored: {error}."),
         }
     }
     handle.versions.store(Arc::new(versions));
--- a/crates/daemon/src/metadata/evacuations.rs
+++ b/crates/daemon/src/metadata/evacuations.rs
@@ -1,20 +1,20 @@
-//! When this node learnt of each evacuation that stands, and through whom, for the operators' list.
+//! When and from whom this node learned of each current evacuation, for the operators' list.
 //!
-//! Owns these times; [`super::zones`] notes them once a change is in force on this node.
+//! [`super::zones`] records the times once a change is in force on this node.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tokio::time::Instant;
 
-/// When this node learnt of each evacuation that stands, and through whom, by zone.
+/// For each evacuated zone, when this node learned of the evacuation and from whom.
 #[derive(Debug, Default)]
 pub(super) struct EvacuationTimes {
-    learnt: Mutex<BTreeMap<String, (Instant, String)>>,
+    by_zone: Mutex<BTreeMap<String, (Instant, String)>>,
 }
 
 impl EvacuationTimes {
-    pub(super) fn learnt(&self) -> MutexGuard<'_, BTreeMap<String, (Instant, String)>> {
-        self.learnt.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn by_zone(&self) -> MutexGuard<'_, BTreeMap<String, (Instant, String)>> {
+        self.by_zone.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/metadata/freshness.rs
+++ b/crates/daemon/src/metadata/freshness.rs
@@ -1,6 +1,6 @@
-//! How long ago the platform last confirmed what this node holds.
+//! Tracks how long ago the platform last confirmed each kind of metadata on this node.
 //!
-//! Owns the times of confirmation of all kinds, by a clock that counts suspensions of the machine.
+//! Ages are measured by a clock that keeps counting while the machine is suspended.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering};
 use std::time::Duration;
@@ -10,83 +10,84 @@
 use super::kind_index::kind_index;
 use crate::boot_clock::{BootClock, BootInstant};
 
-/// The age of a copy that was never confirmed.
-const NEVER: u64 = u64::MAX;
+/// Time of confirmation of a copy whose age is not known.
+const UNCONFIRMED: u64 = u64::MAX;
 
-/// Confirmations by kind.
+/// Time of the last confirmation and read state of each kind.
 ///
-/// Invariant: the age is never below the true one. An answer of the platform to a probe confirms only kinds
-/// whose watch stands; a copy that came from a peer is as old as the peer said.
+/// Invariant: the reported age is never less than the true one. A successful probe of the platform confirms
+/// only the kinds with a working watch; a copy from a peer is as old as the peer reported.
 #[derive(Debug)]
 pub(super) struct Freshness {
     clock: BootClock,
     origin: BootInstant,
     confirmed_ms: [AtomicU64; MetadataKind::ALL.len()],
-    reads: [AtomicU8; MetadataKind::ALL.len()],
-    is_away: AtomicBool,
+    read_states: [AtomicU8; MetadataKind::ALL.len()],
+    is_unreachable: AtomicBool,
 }
 
-/// How this node reads one kind.
+/// How this node currently reads one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub(super) enum Reading {
+pub(super) enum ReadState {
     /// From a peer.
     Followed = 0,
-    /// From the platform, which does not answer.
+    /// From the platform, which gives no answer.
     Failing = 1,
-    /// From the platform, by a watch that stands.
+    /// From the platform, with a working watch.
     Watched = 2,
 }
 
 impl Freshness {
-    /// Nothing is confirmed yet. Copies age by this clock while the machine is suspended, too.
+    /// Creates a state in which no kind is confirmed. Ages are measured by `clock`, which counts suspensions.
     pub(super) fn new(clock: BootClock) -> Self {
-        let confirmed_ms = std::array::from_fn(|_| AtomicU64::new(NEVER));
-        let is_away = AtomicBool::new(false);
-        Self { origin: clock.now(), clock, confirmed_ms, reads: Default::default(), is_away }
+        let confirmed_ms = std::array::from_fn(|_| AtomicU64::new(UNCONFIRMED));
+        let is_unreachable = AtomicBool::new(false);
+        Self { origin: clock.now(), clock, confirmed_ms, read_states: Default::default(), is_unreachable }
     }
 
-    /// A copy of this kind was confirmed so long ago.
+    /// Records that the platform confirmed the copy of a kind `age` ago.
     pub(super) fn confirm(&self, kind: MetadataKind, age: Duration) {
-        // A time before this process began can't be noted: such a copy is of unknown age.
+        // A time before the start of this process can't be represented; the age of such a copy counts as
+        // unknown.
         let at = self.clock.since(self.origin).checked_sub(age);
-        let at_ms = at.and_then(|at| u64::try_from(at.as_millis()).ok()).unwrap_or(NEVER);
+        let at_ms = at.and_then(|at| u64::try_from(at.as_millis()).ok()).unwrap_or(UNCONFIRMED);
         self.confirmed_ms[kind_index(kind)].store(at_ms, Ordering::Relaxed);
     }
 
-    /// Whether the platform gave no answer when it was last asked.
-    pub(super) fn is_away(&self) -> bool {
-        self.is_away.load(Ordering::Relaxed)
+    /// Returns whether the last probe of the platform got no answer.
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.is_unreachable.load(Ordering::Relaxed)
     }
 
-    /// The platform was asked, and gave an answer or none.
-    pub(super) fn set_away(&self, is_away: bool) {
-        self.is_away.store(is_away, Ordering::Relaxed);
+    /// Records whether a probe of the platform got no answer.
+    pub(super) fn set_unreachable(&self, is_unreachable: bool) {
+        self.is_unreachable.store(is_unreachable, Ordering::Relaxed);
     }
 
-    /// How this node reads a kind from now on.
-    pub(super) fn set_reading(&self, kind: MetadataKind, reading: Reading) {
-        self.reads[kind_index(kind)].store(reading as u8, Ordering::Relaxed);
+    /// Sets how this node reads a kind from now on.
+    pub(super) fn set_read_state(&self, kind: MetadataKind, state: ReadState) {
+        self.read_states[kind_index(kind)].store(state as u8, Ordering::Relaxed);
     }
 
-    /// Whether this node reads anything from the platform for itself.
+    /// Returns whether this node reads any kind directly from the platform.
     pub(super) fn needs_platform(&self) -> bool {
-        self.reads.iter().any(|kind| kind.load(Ordering::Relaxed) != Reading::Followed as u8)
+        self.read_states.iter().any(|kind| kind.load(Ordering::Relaxed) != ReadState::Followed as u8)
     }
 
-    /// The platform answered: what is watched is as new as `age`.
-    pub(super) fn reached(&self, age: Duration) {
+    /// Confirms all watched kinds after the platform answered a probe that was sent `age` ago.
+    pub(super) fn confirm_watched(&self, age: Duration) {
         for kind in MetadataKind::ALL {
-            if self.reads[kind_index(kind)].load(Ordering::Relaxed) == Reading::Watched as u8 {
+            if self.read_states[kind_index(kind)].load(Ordering::Relaxed) == ReadState::Watched as u8 {
                 self.confirm(kind, age);
             }
         }
     }
 
-    /// How old the copy of a kind may be.
+    /// Returns an upper bound of the age of a kind's copy; [`Duration::MAX`] if it is not known.
     pub(super) fn age(&self, kind: MetadataKind) -> Duration {
         match self.confirmed_ms[kind_index(kind)].load(Ordering::Relaxed) {
-            NEVER => Duration::MAX,
+            UNCONFIRMED => Duration::MAX,
             at_ms => self.clock.since(self.origin).saturating_sub(Duration::from_millis(at_ms)),
         }
     }
--- a/crates/daemon/src/metadata/handle.rs
+++ b/crates/daemon/src/metadata/handle.rs
@@ -1,7 +1,7 @@
-//! What a node knows of the platform's metadata, as its other parts read it: without a lock, at any time.
+//! Lock-free access of a node's other parts to its copy of the platform's metadata.
 //!
-//! Owns the copies of all kinds and what was read from them. Invariant: the copy of a kind never goes back to an earlier
-//! revision.
+//! Holds the copies of all kinds and the tables decoded from them. Invariant: the copy of a kind never goes
+//! back to an earlier revision.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,28 +22,28 @@
 use crate::boot_clock::BootClock;
 use crate::quarantine::records::QuarantineRecords;
 
-/// What this node knows of the platform's metadata. Traffic threads read it without a lock.
+/// This node's copy of the platform's metadata. Traffic threads read it without a lock.
 #[derive(Debug)]
 pub struct MetadataHandle {
-    /// The operator's configuration; none until the first has come.
+    /// The operator's configuration; `None` until the first one is read.
     pub routes: ArcSwapOption<RouteTable>,
-    /// Replicas.
+    /// The replicas.
     pub replicas: ArcSwap<ReplicaTable>,
-    /// Versions that trainers named, by model.
+    /// The latest version published by trainers, by model.
     pub versions: ArcSwap<BTreeMap<String, u64>>,
-    /// Zones that are evacuated.
+    /// The evacuated zones.
     pub evacuated: ArcSwap<EvacuatedZones>,
-    /// What nodes told of requests under which replicas ended.
+    /// Reports of requests during which replicas ended.
     pub(crate) quarantine: ArcSwap<QuarantineRecords>,
     pub(super) evacuation_times: EvacuationTimes,
     copies: [ArcSwapOption<CopyHistory>; MetadataKind::ALL.len()],
     pub(super) freshness: Freshness,
     changes: watch::Sender<u64>,
-    pub(super) rereads: [watch::Sender<u64>; MetadataKind::ALL.len()],
+    pub(super) relist_requests: [watch::Sender<u64>; MetadataKind::ALL.len()],
 }
 
 impl MetadataHandle {
-    /// Nothing is known yet.
+    /// Creates a handle without any metadata.
     pub fn new(clock: BootClock) -> Self {
         Self {
             routes: ArcSwapOption::empty(),
@@ -55,46 +55,48 @@
             copies: Default::default(),
             freshness: Freshness::new(clock),
             changes: watch::Sender::new(0),
-            rereads: std::array::from_fn(|_| watch::Sender::new(0)),
+            relist_requests: std::array::from_fn(|_| watch::Sender::new(0)),
         }
     }
 
-    /// Wakes whenever anything changes.
+    /// Subscribes to changes of any kind.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Wakes whoever waits for a change: what follows from the metadata has changed.
+    /// Wakes all subscribers after a change of the metadata or of state derived from it.
     pub(crate) fn notify(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Has a kind listed anew: what its watch waits for may have been answered, and the answer lost.
+    /// Requests that a kind is listed again, because its watch may have lost an answer.
     pub(crate) fn request_relist(&self, kind: MetadataKind) {
-        self.rereads[kind_index(kind)].send_modify(|count| *count += 1);
+        self.relist_requests[kind_index(kind)].send_modify(|count| *count += 1);
     }
 
-    /// Whether the platform's store gave no answer when this node last asked it.
+    /// Returns whether this node's last probe of the metadata store got no answer.
     pub fn is_store_unreachable(&self) -> bool {
-        self.freshness.is_away()
+        self.freshness.is_unreachable()
     }
 
-    /// Whether this node reads nothing from the platform for itself.
+    /// Returns whether this node reads all kinds from peers and none from the platform.
     pub fn is_follower(&self) -> bool {
         !self.freshness.needs_platform()
     }
 
-    /// Whether this node may send to replicas: it knows which zones are evacuated.
+    /// Returns whether the evacuated zones are known. Until then no request may be sent to a replica.
     pub(crate) fn knows_evacuations(&self) -> bool {
         self.slot(MetadataKind::Evacuations).load().is_some()
     }
 
-    /// Whether a replica must be sent nothing now. A request asks once more by this just before its first byte.
+    /// Returns whether a replica may receive no requests. Checked again just before a request's first byte is
+    /// sent.
     pub(crate) fn is_closed(&self, replica: &ReplicaRecord) -> bool {
         self.evacuated.load().is_evacuated(replica)
     }
 
-    /// How long ago the platform last confirmed what this node holds of a kind; [`Duration::MAX`] where it never did.
+    /// Returns how long ago the platform last confirmed the copy of a kind; [`Duration::MAX`] if it never
+    /// did.
     pub fn age(&self, kind: MetadataKind) -> Duration {
         self.freshness.age(kind)
     }
@@ -111,7 +113,7 @@
         self.history(kind).map(|history| history.copy.revision)
     }
 
-    /// Takes a copy unless a later one is held; tells whether anything changed.
+    /// Stores a copy unless a later one is held. Returns whether any object changed.
     pub(super) fn put(&self, kind: MetadataKind, copy: MetadataCopy) -> bool {
         let held = self.history(kind);
         let held_copy = held.as_ref().map(|held| &held.copy);
@@ -123,8 +125,8 @@
             copy::apply(self, kind, held_copy, &copy);
         }
         let history = match &held {
-            Some(held) => held.followed_by(copy),
-            None => CopyHistory::begin(copy),
+            Some(held) => held.with_copy(copy),
+            None => CopyHistory::new(copy),
         };
         self.slot(kind).store(Some(Arc::new(history)));
         if !is_same {
--- a/crates/daemon/src/metadata/history.rs
+++ b/crates/daemon/src/metadata/history.rs
@@ -1,38 +1,38 @@
-//! A copy of one kind of metadata, with what changed in it lately, so that a follower gets only the changes.
+//! A copy of one kind of metadata with its recent changes, from which followers get incremental updates.
 //!
-//! Owns the copy and the revisions of its last changes; does no I/O. The handle keeps one for each kind.
+//! Does no I/O. The handle keeps one history for each kind.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use lichenpulley_protocol::internal::{MetadataCopy, MetadataUpdate};
 
-/// Revisions remembered; a follower that is further behind gets the whole copy. Chosen, not measured: fewer make a follower
-/// that missed some answers read all objects again, more cost memory for each name that changed.
-const REVISIONS: usize = 256;
+/// Revisions remembered; a follower that is further behind gets the whole copy.
+const MAX_REVISIONS: usize = 256;
 
-/// A copy and the revisions at which this node saw its objects change.
+/// A copy and the revisions at which its objects changed on this node.
 ///
-/// Invariant: what changed is sent only to a follower whose copy is of a revision that this node has held. A follower
-/// may hold an object that came and went between two of this node's revisions, and nothing here knows of it.
+/// Invariant: an incremental update is sent only to a follower whose revision this node has held itself. A
+/// follower at another revision may hold an object that was added and removed between two revisions of this
+/// node, of which the history has no record.
 #[derive(Debug)]
 pub struct CopyHistory {
     /// The copy.
     pub copy: MetadataCopy,
     changed_at: HashMap<String, u64>,
     removed: VecDeque<(u64, String)>,
-    /// Revisions held, in rising order.
+    /// Revisions that this node has held, in ascending order.
     held: VecDeque<u64>,
 }
 
 impl CopyHistory {
-    /// The history that begins with a copy.
-    pub fn begin(copy: MetadataCopy) -> Self {
+    /// Creates a history that begins with a copy.
+    pub fn new(copy: MetadataCopy) -> Self {
         let held = VecDeque::from([copy.revision]);
         Self { copy, changed_at: HashMap::new(), removed: VecDeque::new(), held }
     }
 
-    /// The history with a later copy.
-    pub fn followed_by(&self, copy: MetadataCopy) -> Self {
+    /// Returns the history extended by a later copy.
+    pub fn with_copy(&self, copy: MetadataCopy) -> Self {
         let before: BTreeMap<&str, &str> = pairs(&self.copy).collect();
         let after: BTreeMap<&str, &str> = pairs(&copy).collect();
         let mut changed_at = self.changed_at.clone();
@@ -50,7 +50,7 @@
         if held.back() != Some(&copy.revision) {
             held.push_back(copy.revision);
         }
-        if held.len() > REVISIONS {
+        if held.len() > MAX_REVISIONS {
             held.pop_front();
         }
         let oldest = held.front().copied().unwrap_or_default();
@@ -58,7 +58,7 @@
         Self { changed_at, removed, held, copy }
     }
 
-    /// What turns a copy of revision `held` into this one; `None` where that is as late.
+    /// Returns the update that turns a copy of revision `held` into this one; `None` if that copy is as late.
     pub fn update_since(&self, held: Option<u64>) -> Option<MetadataUpdate> {
         let revision = self.copy.revision;
         if held.is_some_and(|held| held >= revision) {
--- a/crates/daemon/src/metadata/kind_index.rs
+++ b/crates/daemon/src/metadata/kind_index.rs
@@ -1,10 +1,10 @@
-//! The place of each kind of metadata in the arrays that are kept by kind.
+//! Index of each kind of metadata in arrays with one element for each kind.
 //!
-//! The handle, its times of confirmation and the watchers rely on the same order.
+//! The handle, the freshness state and the watchers rely on the same order.
 
 use lichenpulley_protocol::internal::MetadataKind;
 
-/// The place of a kind, below the number of kinds.
+/// Returns the index of a kind, less than the number of kinds.
 pub(super) const fn kind_index(kind: MetadataKind) -> usize {
     match kind {
         MetadataKind::Configuration => 0,
--- a/crates/daemon/src/metadata/mod.rs
+++ b/crates/daemon/src/metadata/mod.rs
@@ -1,10 +1,10 @@
-//! The platform's metadata on this node: the operator's configuration, replicas, and versions that trainers
-//! named.
+//! This node's copy of the platform's metadata: the operator's configuration, replicas, model versions
+//! published by trainers, evacuations and quarantine records.
 //!
-//! In a small deployment every node watches it for itself; in a large one a few do, and the others follow
-//! them (see `lichenpulley_core::relay`). A node that can't reach the platform takes a peer's copy.
-//! Invariant: the copy of a kind never goes back to an earlier revision, nor the configuration to an earlier
-//! version, within the life of a process.
+//! In a small deployment every node watches the platform itself; in a large one a few nodes do, and the
+//! others follow them (see `lichenpulley_core::relay`). A node that can't reach the platform uses a peer's
+//! copy. Invariant: within the life of a process, the copy of a kind never goes back to an earlier revision,
+//! nor the configuration to an earlier version.
 
 mod announcements;
 pub mod client;
@@ -32,8 +32,8 @@
 use crate::quarantine;
 use lichenpulley_core::time::whole_millis;
 
-/// Starts to watch on the current runtime, where a metadata store is named in the settings. Nodes that serve
-/// no callers and own no control work need none of it.
+/// Starts the watchers on the current runtime if the settings name a metadata store. Nodes that are neither
+/// gateway nor coordinator need no metadata and start none.
 pub fn start(context: &Context) {
     let roles = context.settings.roles;
     if !roles.gateway && !roles.coordinator {
@@ -47,11 +47,11 @@
     }
 }
 
-/// The longest that an answer to a peer waits for a change. Above what followers ask for, so that it only
-/// bounds what a faulty peer can hold. It costs one waiting task for each asker.
+/// Maximum time that an answer to a peer waits for a change. It is longer than followers request, and only
+/// limits for how long a faulty peer can occupy a task.
 const MAX_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Answers a peer that follows this node, or can't reach the platform.
+/// Answers a peer that follows this node or that can't reach the platform.
 pub async fn answer(context: &Context, request: &MetadataRequest) -> MetadataResponse {
     let metadata = &context.metadata;
     let until = Instant::now() + MAX_ANSWER_WAIT.min(Duration::from_millis(request.wait_ms));
@@ -62,7 +62,7 @@
         if update.is_some() || Instant::now() >= until {
             break update;
         }
-        // Neither a time-out nor the end of the handle is anything but a reason to look once more.
+        // After a change, a timeout or the end of the handle alike, the history is checked again.
         let _ = tokio::time::timeout_at(until, changes.changed()).await;
     };
     let age = metadata.freshness.age(request.kind);
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -1,7 +1,6 @@
-//! Asking a peer for its copy, beside or in place of the platform.
+//! Requests copies of the metadata from peers, in addition to or instead of the platform.
 //!
-//! Owns nothing; relies on the peers' connections and on the ranking of coordinators for who reads the
-//! platform.
+//! Which nodes read the platform follows from the ranking of the coordinators.
 
 use std::time::Duration;
 
@@ -14,28 +13,26 @@
 use crate::ownership::order;
 use crate::ownership::scope::Scope;
 
-/// How long a peer may take to hand over its copy. Shorter gives up peers that are only slow, longer delays
-/// asking the next one.
+/// Timeout of a request for a peer's copy.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two looks at what another reader of the platform has. Longer lets a silent watch go unnoticed
-/// for longer, shorter costs calls between nodes.
+/// Interval at which this node compares its revision with that of another reader, to detect a silent watch.
 const COMPARE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A watch that stands brings what another reader has well within this time: twice the pause between two
+/// Time within which a working watch delivers what another reader already has: twice the pause between
 /// watches.
 const WATCH_CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What a peer gave.
+/// A peer's answer to a request for its copy.
 pub(super) struct PeerCopy {
     /// The peer.
     pub(super) from: NodeId,
-    /// What it has beyond this node.
+    /// The changes since this node's revision, if any.
     pub(super) update: Option<MetadataUpdate>,
     /// How long ago the platform confirmed its copy.
     pub(super) age: Duration,
 }
 
-/// Asks a peer what it has beyond a revision; `None` where it gives no answer.
-pub(super) async fn ask(
+/// Requests from a peer what has changed since a revision; `None` if it gives no answer.
+pub(super) async fn request_copy(
     context: &Context,
     peer: &Member,
     kind: MetadataKind,
@@ -48,13 +45,13 @@
             Some(PeerCopy { from: peer.node.clone(), update: response.update, age })
         }
         Err(error) => {
-            log::debug!(target: "metadata", "{} gave no {kind:?}: {error}.", peer.node);
+            log::debug!(target: "metadata", "{} did not answer a request for {kind:?}: {error}.", peer.node);
             None
         }
     }
 }
 
-/// Any other node that watches or follows.
+/// Returns a random other node that holds metadata.
 pub(crate) fn random_member(context: &Context) -> Option<Member> {
     let cluster = context.cluster.load();
     let others = cluster.members.iter();
@@ -62,18 +59,19 @@
     others.collect::<Vec<_>>().choose(&mut rand::rng()).map(|member| Member::clone(member))
 }
 
-/// Waits until another reader of the platform has had newer replicas for so long that this node's own watch
-/// can't stand: its connection may be silent while others to the store answer. Kinds that are announced need
-/// none of it.
-pub(super) async fn behind(context: &Context, kind: MetadataKind) -> PeerCopy {
+/// Waits until another reader of the platform has held newer replicas for longer than
+/// [`WATCH_CATCH_UP_TIMEOUT`], and returns its copy. This node's own watch must then be broken, for instance
+/// because its connection is silent while others to the store answer. Other kinds are either announced or not
+/// compared; for them this never returns.
+pub(super) async fn wait_until_behind(context: &Context, kind: MetadataKind) -> PeerCopy {
     if kind != MetadataKind::Replicas {
         return std::future::pending().await;
     }
     loop {
         tokio::time::sleep(COMPARE_POLL_INTERVAL).await;
         let held = context.metadata.revision(kind);
-        let Some(reader) = reader(context) else { continue };
-        let Some(copy) = ask(context, &reader, kind, held).await else { continue };
+        let Some(reader) = other_reader(context) else { continue };
+        let Some(copy) = request_copy(context, &reader, kind, held).await else { continue };
         if copy.update.is_none() {
             continue;
         }
@@ -84,8 +82,8 @@
     }
 }
 
-/// Another node that reads the platform for itself.
-fn reader(context: &Context) -> Option<Member> {
+/// Returns another node that reads the platform directly.
+fn other_reader(context: &Context) -> Option<Member> {
     let count = context.settings.configuration.readers;
     let mut readers = order::first_coordinators(&Scope::main(context), count);
     readers.retain(|member| member.node != context.node);
--- a/crates/daemon/src/metadata/reachability.rs
+++ b/crates/daemon/src/metadata/reachability.rs
@@ -1,8 +1,9 @@
-//! Whether the metadata store can be reached.
+//! Probes whether the metadata store can be reached.
 //!
-//! A watch that was sent while the store was silent is never answered, and looks like one that waits. So each
-//! node asks for a small answer now and then. Where it gets none, its watches are given up and peers are
-//! asked meanwhile; once it gets one again, watches are begun anew.
+//! A watch that was sent while the store was unreachable is never answered and can't be told from one that
+//! waits for a change. Each node that reads the store therefore probes it regularly with a cheap read. When a
+//! probe fails, the node's watches are abandoned and peers are asked instead; when one succeeds again, new
+//! watches are started.
 
 use std::time::Duration;
 
@@ -12,44 +13,44 @@
 use super::client::MetadataClient;
 use crate::context::Context;
 
-/// Time between two probes. Chosen, not measured: longer delays finding out that the store is away, shorter
-/// costs priced calls.
+/// Pause between two probes.
 const STORE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Whether the store gave an answer when it was last asked.
+/// Result of the last probe of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoreReach {
-    /// It did, as before.
-    Reached,
-    /// It gave none.
-    Away,
+    /// The store answered.
+    Reachable,
+    /// The store gave no answer.
+    Unreachable,
 }
 
-/// Tells when the store falls silent for this node, and when it is back.
+/// Receives changes of the store's reachability from this node.
 pub(super) type Reachability = watch::Receiver<StoreReach>;
 
-/// Probes until nobody listens any more, while this node watches anything for itself.
+/// Starts the probing task. It probes while this node reads any kind from the platform, and ends once all
+/// receivers are dropped.
 pub(super) fn start(context: Context, client: MetadataClient) -> Reachability {
-    let (sender, reach) = watch::channel(StoreReach::Reached);
+    let (sender, reach) = watch::channel(StoreReach::Reachable);
     tokio::spawn(async move {
         while !sender.is_closed() {
-            let was_reached = *sender.borrow() == StoreReach::Reached;
+            let was_reached = *sender.borrow() == StoreReach::Reachable;
             if !context.metadata.freshness.needs_platform() {
                 tokio::time::sleep(STORE_PROBE_INTERVAL).await;
                 continue;
             }
             let began = Instant::now();
             let is_reached = client.probe().await.is_ok();
-            context.metadata.freshness.set_away(!is_reached);
+            context.metadata.freshness.set_unreachable(!is_reached);
             if is_reached && was_reached {
-                context.metadata.freshness.reached(began.elapsed());
+                context.metadata.freshness.confirm_watched(began.elapsed());
             }
             if is_reached && !was_reached {
-                sender.send_replace(StoreReach::Reached);
+                sender.send_replace(StoreReach::Reachable);
                 log::info!(target: "metadata", "The metadata store is reached again.");
             }
             if !is_reached && was_reached {
-                sender.send_replace(StoreReach::Away);
+                sender.send_replace(StoreReach::Unreachable);
                 log::warn!(target: "metadata", "The metadata store can't be reached; what was read before stays in force, and peers are asked.");
             }
             tokio::time::sleep(STORE_PROBE_INTERVAL).await;
--- a/crates/daemon/src/metadata/retirements.rs
+++ b/crates/daemon/src/metadata/retirements.rs
@@ -1,7 +1,7 @@
-//! Machines with disks that the operator wants emptied.
+//! Machines with disks that the operator retires and whose data must be moved away.
 //!
-//! Owns the open retirements; writes to the platform once the owner of the stores' log says that a machine is
-//! empty.
+//! Watches the open retirements and writes their status to the platform once the owner of the stores' log
+//! reports that a machine is empty.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,17 +12,16 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use super::client::{MetadataClient, Watched};
+use super::client::{MetadataClient, WatchResult};
 use crate::configuration::platform::PlatformError;
 use crate::context::Context;
 
-/// Pause after the platform gave no answer. Chosen, not measured: shorter loads a platform that is down.
+/// Pause after the platform gave no answer.
 const RETIREMENTS_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause before a status that was written is looked at again. Chosen, not measured: it only spaces out the
-/// writes of statuses.
-const SETTLE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two writes of statuses.
+const STATUS_WRITE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Open retirements, as the owner of the stores' log sees them. Dropping it ends its tasks.
+/// Open retirements, for the owner of the stores' log. Dropping it ends its tasks.
 pub struct Retirements {
     open: Arc<Mutex<BTreeSet<NodeId>>>,
     completed: mpsc::UnboundedSender<NodeId>,
@@ -36,7 +35,7 @@
 }
 
 impl Retirements {
-    /// Begins to watch, where a metadata store is named in the settings.
+    /// Starts the tasks that watch retirements and write their status, if the settings name a metadata store.
     pub fn start(context: &Context) -> Self {
         let open = Arc::default();
         let (completed, received) = mpsc::unbounded_channel();
@@ -44,57 +43,57 @@
         if let Some(client) = MetadataClient::from_settings(&context.settings) {
             let watch = tokio::spawn(watch(client.clone(), Arc::clone(&open)));
             tasks.push(watch.abort_handle());
-            let report = tokio::spawn(report(client, received, Arc::clone(&open)));
+            let report = tokio::spawn(write_statuses(client, received, Arc::clone(&open)));
             tasks.push(report.abort_handle());
         }
         Self { open, completed, tasks }
     }
 
-    /// Machines that are to be emptied and are not known to be.
+    /// Returns the machines that are to be emptied and are not yet reported as empty.
     pub fn nodes(&self) -> BTreeSet<NodeId> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// A machine is empty: the platform is told.
+    /// Reports to the platform that a machine is empty.
     pub fn complete(&self, node: &NodeId) {
-        // An error says that no platform is named, and then nothing is open.
+        // Sending fails only without a metadata store in the settings, and then no retirement is open.
         let _ = self.completed.send(node.clone());
     }
 }
 
-type Open = Arc<Mutex<BTreeSet<NodeId>>>;
+type OpenRetirements = Arc<Mutex<BTreeSet<NodeId>>>;
 
-async fn watch(client: MetadataClient, open: Open) {
+async fn watch(client: MetadataClient, open: OpenRetirements) {
     let mut objects = BTreeMap::new();
     let mut revision = None;
     loop {
-        let round = round(&client, &mut objects, &mut revision).await;
+        let result = watch_or_list(&client, &mut objects, &mut revision).await;
         let nodes = objects.iter().filter(|(_, is_complete)| !**is_complete);
         let nodes = nodes.map(|(name, _): (&String, _)| NodeId::new(name.clone())).collect();
         *open.lock().unwrap_or_else(PoisonError::into_inner) = nodes;
-        if let Err(error) = round {
-            ::log::debug!(target: "metadata", "Retirements can't be watched: {error}.");
+        if let Err(error) = result {
+            ::log::debug!(target: "metadata", "Watching retirements failed, trying again: {error}.");
             tokio::time::sleep(RETIREMENTS_RETRY_PAUSE).await;
         }
     }
 }
 
-async fn round(
+async fn watch_or_list(
     client: &MetadataClient,
     objects: &mut BTreeMap<String, bool>,
     revision: &mut Option<u64>,
 ) -> Result<(), PlatformError> {
     let Some(after) = *revision else {
         let list = client.list(objects::RETIREMENTS).await?;
-        *objects = list.items.into_iter().map(named).collect();
+        *objects = list.items.into_iter().map(name_and_status).collect();
         *revision = Some(list.at);
         return Ok(());
     };
     match client.watch(objects::RETIREMENTS, after).await? {
-        Watched::HistoryGone => *revision = None,
-        Watched::Events(events) => {
+        WatchResult::HistoryGone => *revision = None,
+        WatchResult::Events(events) => {
             for event in events.events {
-                let (name, is_complete) = named(event.object);
+                let (name, is_complete) = name_and_status(event.object);
                 if event.is_removed {
                     objects.remove(&name);
                 } else {
@@ -107,32 +106,36 @@
     Ok(())
 }
 
-fn named(object: Object) -> (String, bool) {
+fn name_and_status(object: Object) -> (String, bool) {
     let is_complete = objects::is_retirement_complete(&object.status);
     (object.metadata.name, is_complete)
 }
 
-/// Writes the statuses of machines that are empty.
-async fn report(client: MetadataClient, mut completed: mpsc::UnboundedReceiver<NodeId>, open: Open) {
+/// Writes the status of each retirement whose machine is empty.
+async fn write_statuses(
+    client: MetadataClient,
+    mut completed: mpsc::UnboundedReceiver<NodeId>,
+    open: OpenRetirements,
+) {
     while let Some(node) = completed.recv().await {
         let is_open = open.lock().unwrap_or_else(PoisonError::into_inner).contains(&node);
         if !is_open {
             continue;
         }
-        match write(&client, &node).await {
+        match write_completion(&client, &node).await {
             Ok(()) => {
-                ::log::info!(target: "metadata", "{node} is empty and may be taken away.");
+                ::log::info!(target: "metadata", "{node} is empty and may be removed.");
                 open.lock().unwrap_or_else(PoisonError::into_inner).remove(&node);
             }
             Err(error) => {
-                ::log::info!(target: "metadata", "The retirement of {node} is not told yet: {error}.")
+                ::log::info!(target: "metadata", "The status of the retirement of {node} could not be written: {error}.")
             }
         }
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(STATUS_WRITE_PAUSE).await;
     }
 }
 
-async fn write(
+async fn write_completion(
     client: &MetadataClient,
     node: &NodeId,
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -1,7 +1,8 @@
 //! Watches one kind of the platform's objects.
 //!
-//! Owns the objects of the kind as last read and where to read next; puts each copy into the handle. Relies
-//! on the core's `relay` for the source and on `lapse` for entries that vanished while the store was away.
+//! Holds the objects of the kind as last read and publishes each copy through the handle. The core's `relay`
+//! decides from which source to read, and its `lapse` which entries are retained after they lapsed while the
+//! store was unreachable.
 
 mod away;
 mod lapsed;
@@ -21,8 +22,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::client::{MetadataClient, Watched};
-use super::freshness::Reading;
+use super::client::{MetadataClient, WatchResult};
+use super::freshness::ReadState;
 use super::kind_index::kind_index;
 use super::peers::PeerCopy;
 use super::reachability::{Reachability, StoreReach};
@@ -34,26 +35,21 @@
 use crate::ownership::order;
 use crate::ownership::scope::Scope;
 
-/// The least pause between two watches, so that a burst of changes costs few calls. Chosen, not measured:
-/// longer delays a change by as much, shorter costs priced calls.
+/// Minimum time between the starts of two watches, so that a burst of changes costs few calls.
 const WATCH_PAUSE: Duration = Duration::from_millis(80);
-/// The least pause between two watches of replicas. A replica that begins to drain is known well within the
-/// time that it goes on serving. Chosen, not measured: longer sends requests to replicas that drain,
-/// shorter costs priced calls.
+/// Minimum time between the starts of two watches of replicas. A draining replica keeps serving for longer
+/// than this.
 const REPLICA_WATCH_PAUSE: Duration = Duration::from_millis(500);
-/// How often a node that may not own the batch jobs looks whether it may now. Chosen, not measured: longer
-/// delays the versions at a node that may own jobs since a moment ago.
+/// Interval at which a node that can't own batch jobs checks whether it has become a candidate.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Through whom what is read from the platform itself is known.
+/// Source recorded for objects read from the platform itself.
 const PLATFORM: &str = "platform";
-/// The longest pause between two tries. Chosen, not measured: longer delays what the store has to say after
-/// an outage, shorter costs refused calls, which are priced too.
-const RETRY_LIMIT: Duration = Duration::from_millis(500);
-/// The least pause between two questions to a peer that has nothing new. Chosen, not measured: it keeps a
-/// follower from asking without end a reader that answers at once.
+/// Maximum pause between two attempts.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Minimum time between two requests to a reader that answers at once without a change.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(250);
 
-/// The platform's name of a kind.
+/// Returns the platform's name of a kind.
 const fn kind_name(kind: MetadataKind) -> &'static str {
     match kind {
         MetadataKind::Configuration => objects::CONFIGURATION,
@@ -64,12 +60,12 @@
     }
 }
 
-/// Watches until the node has stopped.
+/// Watches a kind until the node has stopped.
 pub(super) async fn run(context: Context, client: MetadataClient, kind: MetadataKind, reach: Reachability) {
     let stopped = context.stopped.clone();
     let follower = Follower::new(Arc::clone(&context), kind);
     let lapses = LapsedEntries::new(context.settings.configuration.lapse_grace);
-    let rereads = context.metadata.rereads[kind_index(kind)].subscribe();
+    let relist_requests = context.metadata.relist_requests[kind_index(kind)].subscribe();
     let mut watcher = Watcher {
         lapses,
         origin: Instant::now(),
@@ -77,7 +73,7 @@
         client,
         kind,
         reach,
-        rereads,
+        relist_requests,
         follower,
         objects: BTreeMap::new(),
         revision: None,
@@ -94,33 +90,33 @@
     client: MetadataClient,
     kind: MetadataKind,
     reach: Reachability,
-    /// Changes when the kind is to be listed anew.
-    rereads: watch::Receiver<u64>,
+    /// Changes when the kind is to be listed again.
+    relist_requests: watch::Receiver<u64>,
     follower: Follower,
     objects: BTreeMap<String, String>,
-    /// What `objects` is of; none where it must be listed anew.
+    /// Revision of `objects`; `None` if they must be listed again.
     revision: Option<u64>,
     failures: u32,
-    /// Entries of replicas that vanished while the store was away.
+    /// Entries of replicas that lapsed while the store was unreachable.
     lapses: LapsedEntries,
     origin: Instant,
 }
 
 impl Watcher {
     async fn watch(&mut self) {
-        self.begin().await;
-        self.settle().await;
+        self.list_initial().await;
+        self.wait_for_members().await;
         loop {
             let began = Instant::now();
             if self.kind == MetadataKind::Versions && !order::is_candidate(&Scope::main(&self.context)) {
-                // Only the owner of the batch jobs has versions loaded.
-                self.context.metadata.freshness.set_reading(self.kind, Reading::Followed);
+                // Only an owner of batch jobs needs the versions.
+                self.context.metadata.freshness.set_read_state(self.kind, ReadState::Followed);
                 tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
             match self.follower.source() {
                 ReadSource::Peer => {
-                    self.context.metadata.freshness.set_reading(self.kind, Reading::Followed);
+                    self.context.metadata.freshness.set_read_state(self.kind, ReadState::Followed);
                     self.follow().await;
                     continue;
                 }
@@ -130,14 +126,14 @@
                 }
                 ReadSource::Platform => {}
             }
-            if *self.reach.borrow_and_update() == StoreReach::Away {
+            if *self.reach.borrow_and_update() == StoreReach::Unreachable {
                 self.wait_for_store().await;
                 continue;
             }
-            match self.round().await {
-                Ok(RoundEnd::Confirmed) => self.succeeded(),
+            match self.watch_or_list().await {
+                Ok(RoundEnd::Confirmed) => self.watch_succeeded(),
                 Ok(RoundEnd::Unconfirmed) => {}
-                Err(error) => self.failed(&error).await,
+                Err(error) => self.watch_failed(&error).await,
             }
             let pause = match self.kind {
                 MetadataKind::Replicas => REPLICA_WATCH_PAUSE,
@@ -152,35 +148,36 @@
         }
     }
 
-    /// Takes what changed from a peer that reads the platform.
+    /// Applies the changes from a peer that reads the platform.
     async fn follow(&mut self) {
         let began = Instant::now();
         let response = tokio::select! {
-            response = self.follower.ask(self.revision) => response,
-            Ok(()) = self.rereads.changed() => {
+            response = self.follower.poll_reader(self.revision) => response,
+            Ok(()) = self.relist_requests.changed() => {
                 if let Err(error) = self.list().await {
-                    log::info!(target: "metadata", "{:?} can't be listed anew: {error}.", self.kind);
+                    log::info!(target: "metadata", "Listing {:?} again failed: {error}.", self.kind);
                 }
                 return;
             }
-            holder = announcements::heard_newer(&self.context, self.kind) => {
-                if let Err(error) = self.take_announced(&holder).await {
-                    log::info!(target: "metadata", "{:?} can't be listed: {error}.", self.kind);
-                    tokio::time::sleep(RETRY_LIMIT).await;
+            holder = announcements::wait_for_newer(&self.context, self.kind) => {
+                if let Err(error) = self.pull_announced(&holder).await {
+                    log::info!(target: "metadata", "Listing {:?} failed: {error}.", self.kind);
+                    tokio::time::sleep(MAX_RETRY_PAUSE).await;
                 }
                 return;
             }
         };
         let Some((reader, response)) = response else { return };
         let Some(update) = response.update else {
-            // A peer that answers at once, as one does that is itself without a copy, is not asked without end.
+            // Limits the rate of requests to a peer that answers at once, such as one without a copy of its
+            // own.
             let rest = FOLLOW_PAUSE.saturating_sub(began.elapsed());
             return tokio::time::sleep(rest).await;
         };
-        self.take(update, &reader);
+        self.apply_update(update, &reader);
     }
 
-    fn take(&mut self, update: MetadataUpdate, from: &NodeId) {
+    fn apply_update(&mut self, update: MetadataUpdate, from: &NodeId) {
         if update.is_whole {
             self.objects.clear();
         }
@@ -192,55 +189,55 @@
         self.publish(update.revision, from.as_str());
     }
 
-    /// One watch, or one list where the revision is not known.
-    async fn round(&mut self) -> Result<RoundEnd, PlatformError> {
+    /// Performs one watch, or one list if the revision is not known.
+    async fn watch_or_list(&mut self) -> Result<RoundEnd, PlatformError> {
         let Some(revision) = self.revision else { return self.list_all().await };
         match self.wait_for_change(revision).await? {
-            WatchEnd::Answered(watched) => self.take_watched(watched).await,
+            WatchEnd::Answered(watched) => self.apply_watch_result(watched).await,
             WatchEnd::ReachChanged => Ok(RoundEnd::Unconfirmed),
-            WatchEnd::RereadWanted => self.list_all().await,
-            WatchEnd::LapsesOver => {
-                self.drop_lapsed();
+            WatchEnd::RelistRequested => self.list_all().await,
+            WatchEnd::LapsesExpired => {
+                self.remove_expired_lapses();
                 Ok(RoundEnd::Unconfirmed)
             }
-            WatchEnd::Announced(holder) => self.take_announced(&holder).await.map(|()| RoundEnd::Unconfirmed),
+            WatchEnd::Announced(holder) => self.pull_announced(&holder).await.map(|()| RoundEnd::Unconfirmed),
             WatchEnd::PeerAhead(copy) => {
-                log::info!(target: "metadata", "A peer has had newer {:?} for long: its copy is taken, and watched anew.", self.kind);
-                self.take_peer_copy(copy);
+                log::info!(target: "metadata", "The watch of {:?} has missed changes that a peer has: using the peer's copy and starting a new watch.", self.kind);
+                self.apply_peer_copy(copy);
                 Ok(RoundEnd::Unconfirmed)
             }
         }
     }
 
-    /// Watches until the store answers or something else asks for another step.
+    /// Watches until the store answers or another event ends the watch.
     async fn wait_for_change(&mut self, revision: u64) -> Result<WatchEnd, PlatformError> {
         let lapses_end =
             self.lapses.deadline().map(|at| self.origin + at.saturating_since(Timestamp::ORIGIN));
         let end = tokio::select! {
             watched = watch_once(&self.client, self.kind, revision, self.failures) => WatchEnd::Answered(watched?),
             Ok(()) = self.reach.changed() => WatchEnd::ReachChanged,
-            Ok(()) = self.rereads.changed() => WatchEnd::RereadWanted,
-            () = sleep_until(lapses_end) => WatchEnd::LapsesOver,
-            holder = announcements::heard_newer(&self.context, self.kind) => WatchEnd::Announced(holder),
-            copy = peers::behind(&self.context, self.kind) => WatchEnd::PeerAhead(copy),
+            Ok(()) = self.relist_requests.changed() => WatchEnd::RelistRequested,
+            () = sleep_until(lapses_end) => WatchEnd::LapsesExpired,
+            holder = announcements::wait_for_newer(&self.context, self.kind) => WatchEnd::Announced(holder),
+            copy = peers::wait_until_behind(&self.context, self.kind) => WatchEnd::PeerAhead(copy),
         };
         Ok(end)
     }
 
-    async fn take_watched(&mut self, watched: Watched) -> Result<RoundEnd, PlatformError> {
+    async fn apply_watch_result(&mut self, watched: WatchResult) -> Result<RoundEnd, PlatformError> {
         match watched {
-            Watched::HistoryGone => {
-                log::info!(target: "metadata", "The history of {:?} is gone: listing again.", self.kind);
+            WatchResult::HistoryGone => {
+                log::info!(target: "metadata", "The store no longer has the history of {:?}: listing again.", self.kind);
                 self.list_all().await
             }
-            Watched::Events(events) => {
-                self.take_events(events);
+            WatchResult::Events(events) => {
+                self.apply_events(events);
                 Ok(RoundEnd::Confirmed)
             }
         }
     }
 
-    fn take_events(&mut self, events: Events) {
+    fn apply_events(&mut self, events: Events) {
         self.store_answered();
         let has_changes = !events.events.is_empty();
         for event in events.events {
@@ -258,7 +255,7 @@
         }
     }
 
-    /// Lists anew. Where that fails the next round lists again, since the revision is unknown until then.
+    /// Lists all objects again. If that fails, the revision stays unset and the next round lists again.
     async fn list_all(&mut self) -> Result<RoundEnd, PlatformError> {
         self.revision = None;
         self.list().await.map(|()| RoundEnd::Confirmed)
@@ -290,65 +287,65 @@
         if self.kind == MetadataKind::Evacuations && has_changed {
             zones::record_changes(&self.context, &evacuated, revision, through);
         }
-        // A copy that says nothing new is not worth asking for.
+        // Peers need not fetch a copy of a rare kind that contains no change.
         let is_rare = matches!(self.kind, MetadataKind::Evacuations | MetadataKind::Quarantine);
         if !is_rare || has_changed {
             announcements::announce(&self.context, self.kind);
         }
     }
 
-    fn held(&self) -> Option<u64> {
+    fn held_revision(&self) -> Option<u64> {
         self.context.metadata.revision(self.kind)
     }
 
-    fn succeeded(&mut self) {
-        self.context.metadata.freshness.set_reading(self.kind, Reading::Watched);
+    fn watch_succeeded(&mut self) {
+        self.context.metadata.freshness.set_read_state(self.kind, ReadState::Watched);
         self.context.metadata.freshness.confirm(self.kind, Duration::ZERO);
         if self.failures > 0 {
-            log::info!(target: "metadata", "{:?} is watched again after {} failures.", self.kind, self.failures);
+            log::info!(target: "metadata", "Watching {:?} works again after {} failures.", self.kind, self.failures);
         }
         self.failures = 0;
     }
 }
 
-/// What stands in each object, as text.
+/// Returns the content of each object as text, by name.
 fn by_name(objects: Vec<Object>) -> BTreeMap<String, String> {
     objects.into_iter().map(|object| (object.metadata.name, object.spec.to_string())).collect()
 }
 
-/// Why a watch ended.
+/// Reason for the end of a watch.
 enum WatchEnd {
-    /// The store answered it.
-    Answered(Watched),
-    /// The store fell silent or is back: this watch hears nothing, whether it was sent before or since.
+    /// The store answered.
+    Answered(WatchResult),
+    /// The store became unreachable or reachable again; in both cases this watch may never be answered.
     ReachChanged,
-    /// The kind is to be listed anew.
-    RereadWanted,
-    /// Entries that lapsed while the store was away had their time to come back.
-    LapsesOver,
-    /// A peer announced something newer.
+    /// Another part of the node requested a new list.
+    RelistRequested,
+    /// The time in which lapsed entries may come back is over.
+    LapsesExpired,
+    /// A peer announced a newer revision.
     Announced(Member),
-    /// Another reader has had something newer for too long.
+    /// Another reader has held a newer copy for longer than a working watch takes.
     PeerAhead(PeerCopy),
 }
 
-/// How a round of watching ended.
+/// Result of one watch or list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoundEnd {
-    /// The platform answered: the copy is as new as can be.
+    /// The platform answered, which confirms the copy.
     Confirmed,
-    /// Something else came first.
+    /// The watch ended without an answer of the platform.
     Unconfirmed,
 }
 
-/// Waits for changes. After failures the first answer is asked for at once: until one came the copy counts as
-/// unconfirmed, and followers would leave a reader that is well.
+/// Waits for changes. After failures the store is asked to answer at once: the copy counts as unconfirmed
+/// until an answer arrives, and meanwhile followers would leave a healthy reader.
 async fn watch_once(
     client: &MetadataClient,
     kind: MetadataKind,
     revision: u64,
     failures: u32,
-) -> Result<Watched, PlatformError> {
+) -> Result<WatchResult, PlatformError> {
     let kind = kind_name(kind);
     if failures > 0 { client.changes(kind, revision).await } else { client.watch(kind, revision).await }
 }
--- a/crates/daemon/src/metadata/watcher/lapsed.rs
+++ b/crates/daemon/src/metadata/watcher/lapsed.rs
@@ -1,38 +1,37 @@
-//! Entries of replicas that vanished while the store was away: they are kept for a while, since they may come back.
-//!
-//! Extends the watcher; the core's `lapse` decides which are kept and for how long.
+//! Watcher's handling of replica entries that lapsed while the store was unreachable. They are retained for a
+//! while, since they may come back; the core's `lapse` decides which ones and for how long.
 
 use lichenpulley_protocol::internal::MetadataKind;
 
 use super::Watcher;
 
 impl Watcher {
-    /// The store answered: from now on entries that lapsed meanwhile may come back.
+    /// Records that the store answered, which starts the time in which lapsed entries may come back.
     pub(super) fn store_answered(&mut self) {
         if self.kind == MetadataKind::Replicas {
-            let was_away = self.failures > 0 || self.context.metadata.freshness.is_away();
+            let was_away = self.failures > 0 || self.context.metadata.freshness.is_unreachable();
             self.lapses.store_answered(self.now(), was_away);
         }
     }
 
-    /// An object is gone, unless it lapsed while the store was away.
+    /// Removes an object unless it is a replica's entry that lapsed while the store was unreachable.
     pub(super) fn remove(&mut self, name: &str) {
         if self.lapses.retains(name) {
             return;
         }
         if self.objects.contains_key(name) && self.lapses.entry_removed(name) {
-            log::info!(target: "metadata", "The entry of {name} vanished while the store was away: it is kept for now.");
+            log::info!(target: "metadata", "The entry of {name} lapsed while the store was unreachable; it is retained for now.");
             return;
         }
         self.objects.remove(name);
     }
 
-    /// Entries that did not come back are gone. All are listed anew, so that this is told under a later
-    /// revision: followers ask for what came after the one they have.
-    pub(super) fn drop_lapsed(&mut self) {
+    /// Removes lapsed entries that did not come back in time. The kind is then listed again, so that the
+    /// removal gets a later revision: followers ask only for changes after the revision that they hold.
+    pub(super) fn remove_expired_lapses(&mut self) {
         let gone = self.lapses.expire(self.now());
         if !gone.is_empty() {
-            log::info!(target: "metadata", "{} entries did not come back after the store did: they are gone.", gone.len());
+            log::info!(target: "metadata", "{} lapsed entries did not come back after the store did and are removed.", gone.len());
             self.revision = None;
         }
     }
--- a/crates/daemon/src/metadata/zones.rs
+++ b/crates/daemon/src/metadata/zones.rs
@@ -1,6 +1,6 @@
-//! Zones that are evacuated, as this node knows them, and the operator's way to change that.
+//! Evacuated zones as known to this node, and the operator's changes of them.
 //!
-//! Relies on the node's metadata for the evacuations in force, and on the platform's client for changes.
+//! Reads the evacuations in force from the node's metadata and writes changes to the metadata store.
 
 use std::collections::BTreeMap;
 
@@ -16,20 +16,21 @@
 use crate::context::Context;
 use lichenpulley_core::time::whole_millis;
 
-/// Shows which zones are evacuated or given back, once that is in force on this node.
+/// Records decisions and metrics for zones that have been evacuated or returned, once that is in force on
+/// this node.
 pub(super) fn record_changes(context: &Context, before: &EvacuatedZones, revision: u64, through: &str) {
     let after = context.metadata.evacuated.load();
     context.metrics.set_evacuated_zones(after.zones.len());
     let times = &context.metadata.evacuation_times;
     for zone in after.zones.difference(&before.zones) {
-        times.learnt().insert(zone.clone(), (Instant::now(), through.to_owned()));
+        times.by_zone().insert(zone.clone(), (Instant::now(), through.to_owned()));
         record(context, "zone_evacuated", zone, revision, through);
         if !is_known(context, zone) {
-            log::warn!(target: "metadata", "Zone {zone} is to be evacuated, but neither a replica nor a node stands there: check its name.");
+            log::warn!(target: "metadata", "Zone {zone} is evacuated, but no replica or node is in it: check the zone's name.");
         }
     }
     for zone in before.zones.difference(&after.zones) {
-        times.learnt().remove(zone);
+        times.by_zone().remove(zone);
         record(context, "zone_returned", zone, revision, through);
     }
 }
@@ -47,13 +48,13 @@
     replicas.records.values().filter(|record| record.zone == zone).count()
 }
 
-/// Whether replicas or nodes stand in a zone.
+/// Returns whether any replica or node is in a zone.
 pub(crate) fn is_known(context: &Context, zone: &str) -> bool {
     let cluster = context.cluster.load();
     replicas_in(context, zone) > 0 || cluster.members.iter().any(|member| member.zone.as_str() == zone)
 }
 
-/// All zones that this node knows, each as it stands here.
+/// Returns the status of all zones that this node knows.
 pub fn list(context: &Context) -> Vec<ZoneStatus> {
     let metadata = &context.metadata;
     let (evacuated, replicas) = (metadata.evacuated.load(), metadata.replicas.load());
@@ -62,9 +63,9 @@
     names.extend(replicas.records.values().map(|record| record.zone.clone()));
     names.extend(context.cluster.load().members.iter().map(|member| member.zone.to_string()));
     let age = u64::try_from(metadata.age(MetadataKind::Evacuations).as_millis()).ok();
-    let learnt = metadata.evacuation_times.learnt();
+    let learned = metadata.evacuation_times.by_zone();
     for name in names {
-        let since = learnt.get(&name);
+        let since = learned.get(&name);
         let state = if !metadata.knows_evacuations() {
             ZoneState::Unknown
         } else if evacuated.zones.contains(&name) {
@@ -84,15 +85,15 @@
     zones.into_values().collect()
 }
 
-/// Asks the platform that a zone be evacuated.
+/// Writes an evacuation of a zone to the metadata store.
 ///
 /// # Errors
-/// As for [`MetadataClient::write`]; a conflict says that it is asked for already.
+/// As for [`MetadataClient::write`]; a conflict means that the evacuation exists already.
 pub async fn evacuate(client: &MetadataClient, zone: &str) -> Result<(), WriteError> {
     client.write(objects::EVACUATIONS, zone, None, objects::evacuation_spec()).await
 }
 
-/// Takes an evacuation back.
+/// Removes the evacuation of a zone from the metadata store.
 ///
 /// # Errors
 /// As for [`MetadataClient::delete`].
@@ -100,7 +101,7 @@
     client.delete(objects::EVACUATIONS, zone).await
 }
 
-/// Whether the platform holds an evacuation of a zone.
+/// Returns whether the metadata store holds an evacuation of a zone.
 ///
 /// # Errors
 /// When no answer comes in time.
--- a/crates/daemon/tests/metadata_history.rs
+++ b/crates/daemon/tests/metadata_history.rs
@@ -1,4 +1,4 @@
-//! Whatever a follower holds, an update of a copy's history gives it the later copy.
+//! Tests that an update from a copy's history brings a follower from any revision to the latest copy.
 
 use std::collections::BTreeMap;
 
@@ -23,12 +23,12 @@
 }
 
 proptest! {
-    /// Whatever copy of an earlier revision a follower holds, and whichever revisions the reader saw, an update gives it
-    /// the reader's copy.
+    /// An update turns the copy of any earlier revision into the reader's copy, whichever revisions the
+    /// reader has held.
     #[test]
-    fn an_update_gives_the_later_copy(
+    fn update_yields_the_latest_copy(
         changes in prop::collection::vec((0_u8..6, prop::option::of(0_u8..4)), 1..60),
-        seen in prop::collection::vec(any::<bool>(), 60),
+        held_by_reader in prop::collection::vec(any::<bool>(), 60),
         held_at in 0_usize..60,
     ) {
         let mut states = vec![BTreeMap::new()];
@@ -40,10 +40,10 @@
             };
             states.push(state);
         }
-        let mut history = CopyHistory::begin(copy(0, &states[0]));
+        let mut history = CopyHistory::new(copy(0, &states[0]));
         for revision in 1..states.len() {
-            if seen[revision % seen.len()] {
-                history = history.followed_by(copy(revision as u64, &states[revision]));
+            if held_by_reader[revision % held_by_reader.len()] {
+                history = history.with_copy(copy(revision as u64, &states[revision]));
             }
         }
         let held_at = held_at % states.len();
@@ -52,36 +52,37 @@
             Some(update) => prop_assert_eq!(apply(states[held_at].clone(), update), states[latest].clone()),
             None => prop_assert!(held_at >= latest),
         }
-        let whole = history.update_since(None).expect("a whole copy");
-        prop_assert_eq!(apply(states[held_at].clone(), whole), states[latest].clone());
+        let full = history.update_since(None).expect("a full copy");
+        prop_assert_eq!(apply(states[held_at].clone(), full), states[latest].clone());
     }
 }
 
 #[test]
-fn a_follower_from_before_the_history_gets_the_whole_copy() {
+fn follower_older_than_the_history_gets_a_full_copy() {
     let objects = BTreeMap::from([("a".to_owned(), "1".to_owned())]);
-    let history = CopyHistory::begin(copy(10, &objects));
+    let history = CopyHistory::new(copy(10, &objects));
     let update = history.update_since(Some(4)).expect("an update");
     assert!(update.is_whole);
     assert_eq!(history.update_since(Some(10)), None);
 }
 
-/// Found by the property above: an object that came and went between two revisions of the reader.
+/// Guards against an object that is added and removed between two revisions of the reader and stays at the
+/// follower.
 #[test]
-fn a_follower_of_a_revision_that_the_reader_never_held_gets_the_whole_copy() {
+fn follower_at_a_revision_unknown_to_the_reader_gets_a_full_copy() {
     let nothing = BTreeMap::new();
-    let passing = BTreeMap::from([("passing".to_owned(), "1".to_owned())]);
-    let history = CopyHistory::begin(copy(0, &nothing)).followed_by(copy(2, &nothing));
+    let transient = BTreeMap::from([("passing".to_owned(), "1".to_owned())]);
+    let history = CopyHistory::new(copy(0, &nothing)).with_copy(copy(2, &nothing));
     let update = history.update_since(Some(1)).expect("an update");
     assert!(update.is_whole);
-    assert_eq!(apply(passing, update), nothing);
+    assert_eq!(apply(transient, update), nothing);
 }
 
 #[test]
-fn a_follower_that_was_here_gets_what_changed_alone() {
+fn follower_at_a_known_revision_gets_only_the_changes() {
     let first = BTreeMap::from([("a".to_owned(), "1".to_owned()), ("b".to_owned(), "1".to_owned())]);
     let second = BTreeMap::from([("a".to_owned(), "1".to_owned()), ("c".to_owned(), "1".to_owned())]);
-    let history = CopyHistory::begin(copy(3, &first)).followed_by(copy(5, &second));
+    let history = CopyHistory::new(copy(3, &first)).with_copy(copy(5, &second));
     let update = history.update_since(Some(3)).expect("an update");
     assert!(!update.is_whole);
     assert_eq!((update.objects.len(), update.removed.clone()), (1, vec!["b".to_owned()]));
