--- a/crates/daemon/src/configuration/change.rs
+++ b/crates/daemon/src/configuration/change.rs
@@ -1,7 +1,7 @@
-//! Settles an operator's change of the settings tree.
+//! Applies an operator's change of the settings tree.
 //!
-//! Drives the core's change writer against the object API, then waits until the revision is in force on this
-//! node.
+//! Runs the core's change writer against the object API, then waits until the new revision is in force on
+//! this node.
 
 use std::time::{Duration, Instant};
 
@@ -16,31 +16,29 @@
 
 use super::handle::Event;
 use super::platform::{ObjectClient, WriteError};
-use super::source::register_of;
+use super::source::decode_register;
 use crate::context::Context;
 
-/// How long an accepted change may take until a majority of the quorum set holds it. Chosen, not measured:
-/// too short tells an operator that a change is not in force yet which soon is; too long keeps the call
-/// waiting while the set can't be reached.
+/// How long the call waits until a majority of the quorum set holds the change and it is in force here.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// It is wrong, or it lost a race. Nothing was written.
+    /// The change is invalid or lost a race. Nothing was written.
     #[error(transparent)]
     Refused(#[from] ChangeRefused),
-    /// Proved: nothing was written.
+    /// The object API gave no answer, and certainly nothing was written.
     #[error(
         "the object API gives no answer and nothing was written; what is in force stays, try again later"
     )]
     Unavailable,
-    /// The settings of this node name no object API.
+    /// This node's settings name no object API.
     #[error(
         "this node knows no object API; set `platform.object_api` in its settings file, or ask another node"
     )]
     NoObjectApi,
-    /// Whether it was written is not known.
+    /// It is not known whether the change was written.
     #[error(
         "the object API did not tell whether change `{change_id}` took effect; repeat it with the same change id, \
          which takes effect at most once"
@@ -49,7 +47,7 @@
         /// The change's id.
         change_id: String,
     },
-    /// It is written, and too few nodes hold it yet.
+    /// The change is written, but too few nodes hold it yet.
     #[error(
         "change `{change_id}` is written as revision {revision}, but too few nodes have confirmed it; repeat it with \
          the same change id to learn when it is in force"
@@ -63,7 +61,7 @@
 }
 
 impl ChangeError {
-    /// A stable word for programs, the error's kind and the decision's reason.
+    /// Returns the stable code of the error, used in answers to programs and as the decision's reason.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Refused(ChangeRefused::Conflict { .. }) => "conflict",
@@ -77,14 +75,14 @@
     }
 }
 
-/// Writes a change and waits until it is in force on this node. The answer is the revision that the change made.
+/// Writes a change and waits until it is in force on this node. Returns the revision that the change created.
 ///
 /// # Errors
-/// When the change is refused, can't be written, or is in doubt.
+/// When the change is refused, can't be written, is in doubt or is not in force in time.
 pub async fn change(context: &Context, change: Change) -> Result<Revision, ChangeError> {
     let subject = format!("{} {}", change.path, change.key);
     let change_id = change.change_id.clone();
-    let result = settle(context, change).await;
+    let result = apply_change(context, change).await;
     let (action, reason) = match &result {
         Ok(_) => ("change_accepted", "proved_by_reply"),
         Err(error) => ("change_not_accepted", error.kind()),
@@ -94,7 +92,7 @@
     result
 }
 
-async fn settle(context: &Context, change: Change) -> Result<Revision, ChangeError> {
+async fn apply_change(context: &Context, change: Change) -> Result<Revision, ChangeError> {
     change.check()?;
     let client = ObjectClient::from_settings(&context.settings).ok_or(ChangeError::NoObjectApi)?;
     let change_id = change.change_id.clone();
@@ -132,7 +130,7 @@
             }
             Some(Action::Wait(until)) => tokio::time::sleep(until.saturating_since(now())).await,
             Some(Action::Finish(outcome)) => return outcome,
-            // Every call has been finished above, so there is always something to do.
+            // Every action is completed before the next poll, so the writer always has one.
             None => return ChangeOutcome::InDoubt,
         }
     }
@@ -142,7 +140,7 @@
     let object = match client.read(OBJECT_KEY).await {
         Ok(object) => object,
         Err(error) => {
-            log::warn!(target: "configuration", "The settings tree can't be read: {error}.");
+            log::warn!(target: "configuration", "Reading the settings tree failed: {error}.");
             return None;
         }
     };
@@ -150,10 +148,10 @@
         return Some(StoredRegister { version: None, register: Register::default() });
     };
     let version = Some(object.version);
-    match register_of(object) {
+    match decode_register(object) {
         Ok(register) => Some(StoredRegister { version, register }),
         Err(error) => {
-            log::error!(target: "configuration", "{OBJECT_KEY} is not a settings tree: {error}.");
+            log::error!(target: "configuration", "Object {OBJECT_KEY} is not a valid settings tree; restore an earlier version of it: {error}.");
             None
         }
     }
--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -1,6 +1,8 @@
-//! The task that spreads one document: sockets, timers and the platform round the core's disseminator.
+//! The task that disseminates one document: connects the core's disseminator to peers, timers and the
+//! platform.
 //!
-//! Owns the disseminator and the reader of the platform; publishes what is in force through the handle.
+//! Owns the disseminator and the task that reads the platform; publishes the document in force through the
+//! handle.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,15 +28,12 @@
 use crate::directory::ReplicaDirectory;
 use crate::membership::{self, AnnouncedRevisions};
 
-/// How often the live members are polled. Chosen, not measured: longer delays the choice of readers after a
-/// change of the members.
+/// Interval at which the live members are checked for changes.
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a single read of the platform that gave no answer. Chosen, not measured: shorter loads a
-/// platform that is down, longer delays the start of a node.
+/// Pause after a single read of the platform has failed.
 const READ_ONCE_PAUSE: Duration = Duration::from_secs(1);
-/// A message to a peer is given up after this; the disseminator sends it again. Chosen, not measured: it
-/// bounds tasks that wait for a silent peer.
-const MESSAGE_DEADLINE: Duration = Duration::from_secs(2);
+/// Timeout of a message to a peer; the disseminator then sends it again.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts the task of a document; a second start is ignored.
 pub(super) fn start(context: &Context, document: DocumentName) {
@@ -58,12 +57,12 @@
     disseminator: Disseminator,
     started: Instant,
     source: Source,
-    /// The highest document held, for the reader of the platform.
+    /// The latest document held, for the reader of the platform.
     latest: watch::Sender<Option<Arc<Document>>>,
     members: Arc<ClusterView>,
     reader: Option<JoinHandle<()>>,
-    /// Whether a single read is under way.
-    reads_once: bool,
+    /// Whether a single read is in progress.
+    is_reading_once: bool,
 }
 
 impl Drop for DocumentTask {
@@ -76,7 +75,7 @@
     fn new(context: Context, document: DocumentName) -> Self {
         let mut config = Config::default();
         if context.settings.peers.seeds.is_empty() {
-            // Nobody to wait for: the view is whole from the start.
+            // Without seeds there are no members to wait for.
             config.settle_time = Duration::ZERO;
         }
         Self {
@@ -88,31 +87,31 @@
             latest: watch::Sender::new(None),
             members: Arc::default(),
             reader: None,
-            reads_once: false,
+            is_reading_once: false,
         }
     }
 
     async fn run(mut self, mut events: mpsc::UnboundedReceiver<Event>) {
-        let mut heard = membership::watch_revisions(&self.context);
+        let mut announcements = membership::watch_revisions(&self.context);
         let mut members = tokio::time::interval(MEMBERS_POLL_INTERVAL);
         loop {
             let wake = self.next_wake();
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.take_event(event),
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
                 _ = members.tick() => self.update_members(),
-                Ok(()) = heard.changed() => {
-                    let revisions = heard.borrow_and_update().clone();
-                    self.take_heard(&revisions);
+                Ok(()) = announcements.changed() => {
+                    let revisions = announcements.borrow_and_update().clone();
+                    self.receive_announcements(&revisions);
                 }
                 () = tokio::time::sleep_until(wake) => {
                     let now = self.now();
                     self.disseminator.wake(now);
                 }
             }
-            self.act(None);
+            self.run_actions(None);
         }
     }
 
@@ -126,13 +125,13 @@
         wake.unwrap_or_else(|| Instant::now() + MEMBERS_POLL_INTERVAL)
     }
 
-    fn take_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::Received { from, message, replies } => {
                 self.disseminator.receive(from.clone(), message, now);
-                let answer = self.act(Some(&from));
-                // An error only says that the peer has gone.
+                let answer = self.run_actions(Some(&from));
+                // Sending fails only if the peer no longer waits.
                 let _ = replies.send(answer);
             }
             Event::Answered { from, messages } => {
@@ -141,11 +140,11 @@
                 }
             }
             Event::FromPlatform(document) => self.disseminator.receive_platform_document(document, now),
-            Event::ReadEnded => self.reads_once = false,
+            Event::ReadEnded => self.is_reading_once = false,
         }
     }
 
-    fn take_heard(&mut self, revisions: &AnnouncedRevisions) {
+    fn receive_announcements(&mut self, revisions: &AnnouncedRevisions) {
         let Some(announced) = revisions.get(self.document.as_str()) else { return };
         let now = self.now();
         self.disseminator.receive_announcement(announced.revision, announced.holder.node.clone(), now);
@@ -164,12 +163,12 @@
         self.disseminator.members_changed(&peers, now);
     }
 
-    /// Does what the disseminator asks for; messages to `answered` are returned instead of being sent.
-    fn act(&mut self, answered: Option<&NodeId>) -> Vec<Message> {
+    /// Performs the disseminator's actions. Messages to `reply_to` are returned instead of being sent.
+    fn run_actions(&mut self, reply_to: Option<&NodeId>) -> Vec<Message> {
         let mut replies = Vec::new();
         while let Some(action) = self.disseminator.poll_action() {
             match action {
-                Action::Send { to, message } if Some(&to) == answered => replies.push(message),
+                Action::Send { to, message } if Some(&to) == reply_to => replies.push(message),
                 Action::Send { to, message } => self.send(to, message),
                 Action::PutInForce { document, confirmation } => self.put_in_force(&document, confirmation),
                 Action::ReadOnce => self.read_once(),
@@ -187,13 +186,13 @@
         let document = self.document;
         tokio::spawn(async move {
             let request = ConfigurationRequest { document, from: context.node.clone(), message };
-            match context.peers.configuration(address, request, MESSAGE_DEADLINE).await {
+            match context.peers.configuration(address, request, MESSAGE_TIMEOUT).await {
                 Ok(response) if response.replies.is_empty() => {}
                 Ok(response) => {
                     let answered = Event::Answered { from: to, messages: response.replies };
                     context.documents.send(document, answered);
                 }
-                Err(error) => log::debug!(target: "configuration", "{to} gave no answer: {error}."),
+                Err(error) => log::debug!(target: "configuration", "{to} did not answer: {error}."),
             }
         });
     }
@@ -215,7 +214,7 @@
     }
 
     fn read_once(&mut self) {
-        if std::mem::replace(&mut self.reads_once, true) {
+        if std::mem::replace(&mut self.is_reading_once, true) {
             return;
         }
         let (context, document, source) = (Arc::clone(&self.context), self.document, self.source.clone());
@@ -238,8 +237,8 @@
         let (context, document, source) = (Arc::clone(&self.context), self.document, self.source.clone());
         let latest = self.latest.subscribe();
         self.reader = Some(tokio::spawn(async move {
-            let hand_over = |read| context.documents.send(document, Event::FromPlatform(read));
-            source.follow(|| latest.borrow().clone(), hand_over).await;
+            let deliver = |read| context.documents.send(document, Event::FromPlatform(read));
+            source.follow(|| latest.borrow().clone(), deliver).await;
         }));
     }
 
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -1,6 +1,6 @@
-//! How the other parts of a node reach the tasks that spread the documents.
+//! Handle through which other parts of a node reach the tasks that disseminate the documents.
 //!
-//! Owns the channels of events and what is in force; it imports no other part's tasks.
+//! Holds the event channels and the documents in force; does not depend on the tasks themselves.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,54 +11,54 @@
 use lichenpulley_protocol::internal::configuration::DocumentName;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// What the task of a document is told.
+/// Event for the task of a document.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A peer says something and waits for what this node has to say at once.
+    /// A peer sent a message and waits for immediate replies.
     Received {
         /// The peer.
         from: NodeId,
-        /// What it says.
+        /// Its message.
         message: Message,
-        /// Where the replies go.
+        /// Receives the replies.
         replies: oneshot::Sender<Vec<Message>>,
     },
-    /// A peer answered a message of ours.
+    /// A peer answered a message of this node.
     Answered {
         /// The peer.
         from: NodeId,
-        /// What it says.
+        /// Its replies.
         messages: Vec<Message>,
     },
-    /// The platform gave this document, by a read or by a write of ours.
+    /// The platform holds this document, as learned from a read or from a write of this node.
     FromPlatform(Document),
     /// A single read of the platform has ended, with or without an answer.
     ReadEnded,
 }
 
-/// The way to one document's task.
-struct Line {
+/// Channels to and from the task of one document.
+struct DocumentChannel {
     events: mpsc::UnboundedSender<Event>,
-    pending: Mutex<Option<mpsc::UnboundedReceiver<Event>>>,
-    /// What is in force, `None` until the node knows.
+    unclaimed: Mutex<Option<mpsc::UnboundedReceiver<Event>>>,
+    /// The document in force; `None` until the node knows it.
     in_force: watch::Sender<Option<Arc<Document>>>,
 }
 
-/// A node's way to the tasks of its documents; works before they have started.
+/// Handle to the tasks of a node's documents. It can be used before the tasks have started.
 pub struct ConfigurationHandle {
-    configuration: Line,
-    directory: Line,
+    configuration: DocumentChannel,
+    directory: DocumentChannel,
 }
 
 impl ConfigurationHandle {
-    /// A handle whose tasks have not started.
+    /// Creates a handle whose tasks have not started.
     pub fn new() -> Self {
-        Self { configuration: Line::new(), directory: Line::new() }
+        Self { configuration: DocumentChannel::new(), directory: DocumentChannel::new() }
     }
 
-    /// The document in force, as it changes.
+    /// Subscribes to the document in force.
     pub fn watch(&self, document: DocumentName) -> watch::Receiver<Option<Arc<Document>>> {
-        self.line(document).in_force.subscribe()
+        self.channel(document).in_force.subscribe()
     }
 
     pub(super) async fn receive(
@@ -69,20 +69,20 @@
     ) -> Vec<Message> {
         let (replies, answer) = oneshot::channel();
         self.send(document, Event::Received { from, message, replies });
-        // Without an answer the task has stopped with its node, which sends no replies any more.
+        // Without an answer the task has stopped with its node, and there are no replies.
         answer.await.unwrap_or_default()
     }
 
     pub(super) fn send(&self, document: DocumentName, event: Event) {
-        // An error only says that the node has stopped.
-        let _ = self.line(document).events.send(event);
+        // Sending fails only if the node has stopped.
+        let _ = self.channel(document).events.send(event);
     }
 
     pub(super) fn publish(&self, document: DocumentName, in_force: Arc<Document>) {
-        self.line(document).in_force.send_replace(Some(in_force));
+        self.channel(document).in_force.send_replace(Some(in_force));
     }
 
-    /// Waits until a revision, or a later one, is in force on this node; `false` where that takes too long.
+    /// Waits until a revision or a later one is in force on this node. Returns `false` after `timeout`.
     pub(super) async fn wait_for(
         &self,
         document: DocumentName,
@@ -95,12 +95,12 @@
         matches!(tokio::time::timeout(timeout, reached).await, Ok(Ok(_)))
     }
 
-    /// Where the events arrive; only the first caller gets them.
+    /// Returns the receiver of the events to the first caller, and `None` to any other.
     pub(super) fn take_events(&self, document: DocumentName) -> Option<mpsc::UnboundedReceiver<Event>> {
-        self.line(document).pending.lock().unwrap_or_else(PoisonError::into_inner).take()
+        self.channel(document).unclaimed.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
-    fn line(&self, document: DocumentName) -> &Line {
+    fn channel(&self, document: DocumentName) -> &DocumentChannel {
         match document {
             DocumentName::Configuration => &self.configuration,
             DocumentName::Directory => &self.directory,
@@ -114,9 +114,9 @@
     }
 }
 
-impl Line {
+impl DocumentChannel {
     fn new() -> Self {
-        let (events, pending) = mpsc::unbounded_channel();
-        Self { events, pending: Mutex::new(Some(pending)), in_force: watch::Sender::new(None) }
+        let (events, unclaimed) = mpsc::unbounded_channel();
+        Self { events, unclaimed: Mutex::new(Some(unclaimed)), in_force: watch::Sender::new(None) }
     }
 }
--- a/crates/daemon/src/configuration/platform.rs
+++ b/crates/daemon/src/configuration/platform.rs
@@ -1,6 +1,6 @@
-//! Calls of the platform's object API and machine list.
+//! Clients of the platform's object API and machine list.
 //!
-//! Owns the addresses and time-outs of both; tells apart what was not written from what is in doubt.
+//! Errors of writes distinguish writes that had no effect from writes that may have taken effect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::http::request::percent_encode;
 use crate::settings::Settings;
 
-/// The platform gave no usable answer to a read.
+/// A read to which the platform gave no usable answer.
 #[derive(Debug, thiserror::Error)]
 #[error("the platform gave no answer: {0}; what was read before stays in force, try again later")]
 pub struct PlatformError(#[from] ClientError);
@@ -21,13 +21,13 @@
 /// Why a write was not confirmed.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The base version was not current: nothing was written.
+    /// The base version is not current; nothing was written.
     #[error("the object changed meanwhile; read it again and repeat the change on top of it")]
     Conflict {
-        /// The object as it stands, if there is one.
+        /// The current object, if there is one.
         current: Option<Object>,
     },
-    /// Proved: nothing was written.
+    /// Certainly nothing was written.
     #[error("nothing was written: {0}; try again when the object API answers")]
     NotWritten(ClientError),
     /// The write may have taken effect. Read the object to find out; repeating it on the same base version is
@@ -36,7 +36,7 @@
     InDoubt(ClientError),
 }
 
-/// A client of the object API. Cheap to clone.
+/// Client of the object API. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ObjectClient {
     http: HttpClient,
@@ -46,7 +46,7 @@
 }
 
 impl ObjectClient {
-    /// A client by the settings of this node; `None` where no object API is named there.
+    /// Creates a client from the node's settings; `None` if they name no object API.
     pub fn from_settings(settings: &Settings) -> Option<Self> {
         let address = settings.platform.object_api?;
         let http = HttpClient::new(settings.peers.connect_timeout);
@@ -55,7 +55,7 @@
         Some(Self { http, address, timeout, watch_hold })
     }
 
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -77,11 +77,11 @@
         Ok(self.http.get_json(self.address, &path, self.timeout).await?)
     }
 
-    /// Waits until an object under `prefix` has a version above `after`, and reads those that have. Gives an empty
-    /// list when nothing changed for a while; watch again after its revision.
+    /// Waits until objects under `prefix` have versions above `after`, and returns these objects. Returns an
+    /// empty list if nothing has changed within the hold time; continue the watch from the list's revision.
     ///
     /// # Errors
-    /// When the watch breaks off.
+    /// When the watch is interrupted.
     pub async fn watch(&self, prefix: &str, after: Revision) -> Result<ObjectList, PlatformError> {
         let hold_ms = self.watch_hold.as_millis();
         let prefix = percent_encode(prefix);
@@ -109,7 +109,7 @@
     }
 }
 
-/// A client of the machine list. Cheap to clone.
+/// Client of the machine list. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct MachineListClient {
     http: HttpClient,
@@ -118,14 +118,14 @@
 }
 
 impl MachineListClient {
-    /// A client by the settings of this node; `None` where no machine list is named there.
+    /// Creates a client from the node's settings; `None` if they name no machine list.
     pub fn from_settings(settings: &Settings) -> Option<Self> {
         let address = settings.platform.machine_list?;
         let http = HttpClient::new(settings.peers.connect_timeout);
         Some(Self { http, address, timeout: settings.configuration.platform_timeout })
     }
 
-    /// Reads the list, which lags.
+    /// Reads the machine list, which may lag behind the actual machines.
     ///
     /// # Errors
     /// When no answer comes in time.
@@ -138,7 +138,8 @@
     format!("/objects/{}", percent_encode(key))
 }
 
-/// Invariant: `NotWritten` only where no byte was sent or the platform itself said so.
+/// Classifies a failed write. `NotWritten` is returned only if no byte was sent or the platform refused the
+/// write.
 fn classify(error: ClientError) -> WriteError {
     if let Some(conflict) = error.body::<Conflict>().filter(|_| error.status() == Some(StatusCode::CONFLICT))
     {
--- a/crates/daemon/src/configuration/view.rs
+++ b/crates/daemon/src/configuration/view.rs
@@ -1,6 +1,6 @@
-//! The settings tree as the other parts of a node read it.
+//! Read-only view of the settings tree for the other parts of a node.
 //!
-//! Replaced as a whole when a revision is put in force; readers take no lock.
+//! The view is replaced as a whole when a revision is put in force; readers take no lock.
 
 use lichenpulley_core::configuration::document::Document;
 use lichenpulley_core::configuration::path::LevelPath;
@@ -8,34 +8,35 @@
 use lichenpulley_core::configuration::tree::SettingsTree;
 use lichenpulley_core::identity::{PoolName, Revision};
 
-/// The settings tree in force on this node. Replaced as a whole, never changed in place.
+/// The settings tree in force on this node.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationView {
-    /// Its revision; never goes back.
+    /// Revision of the tree; never decreases.
     pub revision: Revision,
-    /// Whether the node knows what is in force. Before that, defaults are given, and the node is not ready.
+    /// Whether the node knows the tree in force. Until then all settings have their defaults and the node is
+    /// not ready.
     pub known: bool,
-    /// The tree.
+    /// The settings.
     pub tree: SettingsTree,
 }
 
 impl ConfigurationView {
-    /// The view of a document that is in force.
+    /// Creates the view of a document that is in force.
     pub fn new(document: &Document) -> Self {
         Self { revision: document.revision(), known: true, tree: SettingsTree::from_document(document) }
     }
 
-    /// The whole number in force for a pool.
+    /// Returns the value of an integer setting for a pool.
     pub fn for_pool(&self, pool: &PoolName, setting: &'static IntegerSetting) -> u64 {
         self.tree.integer(&self.tree.pool_path(pool), setting)
     }
 
-    /// The whole number in force at a level.
+    /// Returns the value of an integer setting at a level.
     pub fn integer(&self, path: &LevelPath, setting: &'static IntegerSetting) -> u64 {
         self.tree.integer(path, setting)
     }
 
-    /// Whether a setting is on at a level.
+    /// Returns the value of a boolean setting at a level.
     pub(crate) fn boolean(&self, path: &LevelPath, setting: &'static BooleanSetting) -> bool {
         self.tree.boolean(path, setting)
     }
