--- a/crates/daemon/src/configuration/document_task.rs
+++ b/crates/daemon/src/configuration/document_task.rs
@@ -37,7 +37,7 @@
 
 /// Starts the task of a document; a second start is ignored.
 pub(super) fn start(context: &Context, document: DocumentName) {
-    let Some(events) = context.documents.take_events(document) else {
+    let Some(events) = context.documents.claim_events(document) else {
         log::error!(target: "configuration", "The task of {} was started twice; the second start is ignored.", document.as_str());
         return;
     };
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns the receiver of the events to the first caller, and `None` to any other.
-    pub(super) fn take_events(&self, document: DocumentName) -> Option<mpsc::UnboundedReceiver<Event>> {
+    pub(super) fn claim_events(&self, document: DocumentName) -> Option<mpsc::UnboundedReceiver<Event>> {
         self.channel(document).unclaimed.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
--- a/crates/daemon/src/membership/driver.rs
+++ b/crates/daemon/src/membership/driver.rs
@@ -1,4 +1,4 @@
-//! Moves datagrams, timers and commands between the runtime and the protocol's state machine.
+//! Drives the membership protocol's state machine with datagrams, timers and commands.
 //!
 //! Owns the socket and the state machine; publishes the view of the members and the announced revisions.
 
@@ -14,20 +14,18 @@
 use tokio::time::Instant;
 
 use super::handle::{AnnouncedRevision, Command};
-use super::meter::Meter;
+use super::meter::ProtocolMetrics;
 use super::report;
 use crate::cluster::{ClusterView, Member, NodeCapacity, Roles};
 use crate::context::Context;
 
-/// The largest datagram that a UDP socket can hand over, in bytes.
+/// Maximum size of a UDP datagram, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 65_535;
 
-/// Datagrams taken in before timers and commands get their turn. Chosen, not measured: more delay probes
-/// that are due while datagrams flood in.
+/// Maximum number of datagrams processed in a row, so that timers and commands are not starved.
 const RECEIVE_BATCH: usize = 256;
 
-/// How long to wait for a wake-up where the protocol asks for none. Chosen, not measured: it only bounds a
-/// sleep that nothing ends.
+/// Wait while the protocol has no timer set.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// The membership task of one node.
@@ -36,7 +34,7 @@
     socket: UdpSocket,
     membership: Membership,
     commands: mpsc::UnboundedReceiver<Command>,
-    meter: Meter,
+    metrics: ProtocolMetrics,
     origin: Instant,
     published_view: Option<u64>,
     published_documents: Option<u64>,
@@ -49,7 +47,7 @@
         socket: UdpSocket,
         membership: Membership,
         commands: mpsc::UnboundedReceiver<Command>,
-        meter: Meter,
+        metrics: ProtocolMetrics,
         origin: Instant,
     ) -> Self {
         Self {
@@ -57,7 +55,7 @@
             socket,
             membership,
             commands,
-            meter,
+            metrics,
             origin,
             published_view: None,
             published_documents: None,
@@ -74,11 +72,11 @@
         }
     }
 
-    /// Waits for the next thing to happen and does it. Returns whether to go on.
+    /// Waits for the next datagram, command or timer and handles it. Returns whether to continue.
     async fn step(&mut self) -> bool {
         let wake_at = self.wake_at();
-        // Datagrams first: after a pause of this process the answers that wait in the socket must be read before
-        // the timers that wait for them run out.
+        // Datagrams come first: after a pause of this process, answers waiting in the socket must be read
+        // before the timers that wait for them expire.
         tokio::select! {
             biased;
             () = self.context.stopped.cancelled() => false,
@@ -88,7 +86,7 @@
             }
             command = self.commands.recv() => match command {
                 Some(command) => {
-                    self.obey(command).await;
+                    self.handle_command(command).await;
                     true
                 }
                 None => false,
@@ -101,7 +99,7 @@
         }
     }
 
-    /// Takes in one datagram and those that wait behind it.
+    /// Processes a received datagram and those waiting in the socket, up to [`RECEIVE_BATCH`].
     fn receive(&mut self, received: std::io::Result<(usize, SocketAddr)>) {
         let mut received = received;
         for _ in 0..RECEIVE_BATCH {
@@ -111,14 +109,15 @@
                     self.membership.handle_datagram(now, from, &self.buffer[..length]);
                 }
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
-                // Such as an ICMP answer to an earlier datagram; the protocol finds out by itself.
+                // For example an ICMP answer to an earlier datagram; the protocol detects unreachable members
+                // itself.
                 Err(error) => log::debug!(target: "membership", "Receiving failed: {error}."),
             }
             received = self.socket.try_recv_from(&mut self.buffer);
         }
     }
 
-    async fn obey(&mut self, command: Command) {
+    async fn handle_command(&mut self, command: Command) {
         match command {
             Command::Announce { document, revision } => self.membership.announce(&document, revision),
             Command::Leave { done } => self.leave(done).await,
@@ -129,11 +128,11 @@
         let now = self.now();
         self.membership.leave(now);
         self.flush().await;
-        // An error only says that nobody waits any more.
+        // Sending fails only if the caller no longer waits.
         let _ = done.send(());
     }
 
-    /// Sends what waits and records what happened.
+    /// Sends the pending datagrams and records the events and counters.
     async fn flush(&mut self) {
         while let Some(transmit) = self.membership.poll_transmit() {
             if let Err(error) = self.socket.send_to(&transmit.payload, transmit.destination).await {
@@ -144,7 +143,7 @@
         while let Some(event) = self.membership.poll_event() {
             self.record(&event);
         }
-        self.meter.record(self.membership.counters(), self.membership.live_count());
+        self.metrics.record(self.membership.counters(), self.membership.live_count());
     }
 
     fn record(&self, event: &Event) {
@@ -152,7 +151,7 @@
         self.context.decisions.record(report::decision(event));
     }
 
-    /// Publishes the view and the heard revisions where they have changed.
+    /// Publishes the view and the announced revisions if they have changed.
     fn publish(&mut self) {
         let view_version = Some(self.membership.view_version());
         let view_changed = self.published_view != view_version;
@@ -164,7 +163,7 @@
         let documents_version = Some(self.membership.documents_version());
         if view_changed || self.published_documents != documents_version {
             self.published_documents = documents_version;
-            self.context.membership.publish_heard(self.announced_revisions());
+            self.context.membership.publish_revisions(self.announced_revisions());
         }
     }
 
--- a/crates/daemon/src/membership/handle.rs
+++ b/crates/daemon/src/membership/handle.rs
@@ -1,6 +1,6 @@
-//! How the other parts of a node speak to its membership task.
+//! Handle through which other parts of a node reach its membership task.
 //!
-//! Owns the channel of commands and the announced revisions; it imports no other part's tasks.
+//! Holds the command channel and the announced revisions; does not depend on the task itself.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,23 +11,22 @@
 
 use crate::cluster::Member;
 
-/// How long a planned stop waits for the notice of leaving to be sent. Chosen, not measured: the notice is
-/// one datagram to a few members, so a second is ample; longer delays a stop.
-const LEAVE_WAIT: Duration = Duration::from_secs(1);
+/// How long a planned stop waits until the notice of leaving is sent, which is one datagram to a few members.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The highest revision of a document that has been announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnnouncedRevision {
     /// The revision.
     pub revision: Revision,
-    /// A live member that holds it: pull from there.
+    /// A live member that holds it and can be asked for it.
     pub holder: Member,
 }
 
 /// The highest announced revision of each document, by the document's name.
 pub type AnnouncedRevisions = Arc<BTreeMap<String, AnnouncedRevision>>;
 
-/// What the membership task is asked to do.
+/// Command to the membership task.
 #[derive(Debug)]
 pub(super) enum Command {
     /// Announce that this node holds a revision.
@@ -44,53 +43,54 @@
     },
 }
 
-/// A node's way to its membership task; works before the task has started, which then catches up.
+/// Handle to a node's membership task. Commands sent before the task has started are processed once it
+/// starts.
 pub struct MembershipHandle {
     commands: mpsc::UnboundedSender<Command>,
-    pending: Mutex<Option<mpsc::UnboundedReceiver<Command>>>,
-    heard: watch::Sender<AnnouncedRevisions>,
+    unclaimed: Mutex<Option<mpsc::UnboundedReceiver<Command>>>,
+    revisions: watch::Sender<AnnouncedRevisions>,
 }
 
 impl MembershipHandle {
-    /// A handle whose task has not started.
+    /// Creates a handle whose task has not started.
     pub fn new() -> Self {
-        let (commands, pending) = mpsc::unbounded_channel();
-        let (heard, _) = watch::channel(AnnouncedRevisions::default());
-        Self { commands, pending: Mutex::new(Some(pending)), heard }
+        let (commands, unclaimed) = mpsc::unbounded_channel();
+        let (revisions, _) = watch::channel(AnnouncedRevisions::default());
+        Self { commands, unclaimed: Mutex::new(Some(unclaimed)), revisions }
     }
 
     pub(super) fn announce_revision(&self, document: &str, revision: Revision) {
         let command = Command::Announce { document: document.to_owned(), revision };
-        // An error only says that the node has stopped.
+        // Sending fails only if the node has stopped.
         let _ = self.commands.send(command);
     }
 
     pub(super) fn watch_revisions(&self) -> watch::Receiver<AnnouncedRevisions> {
-        self.heard.subscribe()
+        self.revisions.subscribe()
     }
 
-    /// Tells whoever watches, where something has changed.
-    pub(super) fn publish_heard(&self, heard: BTreeMap<String, AnnouncedRevision>) {
-        self.heard.send_if_modified(|published| {
-            let changed = **published != heard;
+    /// Notifies the subscribers if any revision has changed.
+    pub(super) fn publish_revisions(&self, revisions: BTreeMap<String, AnnouncedRevision>) {
+        self.revisions.send_if_modified(|published| {
+            let changed = **published != revisions;
             if changed {
-                *published = Arc::new(heard);
+                *published = Arc::new(revisions);
             }
             changed
         });
     }
 
     pub(super) async fn leave(&self) {
-        let (done, sent) = oneshot::channel();
+        let (done, notice_sent) = oneshot::channel();
         if self.commands.send(Command::Leave { done }).is_ok() {
-            // Leaving is a courtesy: where it takes too long, the others find out by themselves.
-            let _ = tokio::time::timeout(LEAVE_WAIT, sent).await;
+            // The notice is optional: without it the other members detect the stop by probing.
+            let _ = tokio::time::timeout(LEAVE_TIMEOUT, notice_sent).await;
         }
     }
 
-    /// Where the commands arrive; only the first caller gets them.
-    pub(super) fn take_commands(&self) -> Option<mpsc::UnboundedReceiver<Command>> {
-        self.pending.lock().unwrap_or_else(PoisonError::into_inner).take()
+    /// Returns the receiver of the commands to the first caller, and `None` to any other.
+    pub(super) fn claim_commands(&self) -> Option<mpsc::UnboundedReceiver<Command>> {
+        self.unclaimed.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
--- a/crates/daemon/src/membership/meter.rs
+++ b/crates/daemon/src/membership/meter.rs
@@ -1,15 +1,15 @@
-//! The protocol's counters as metrics.
+//! Exports the membership protocol's counters as metrics.
 //!
-//! Owns the counters as last shown, so that metrics grow by the difference.
+//! Keeps the counters last exported, so that metrics grow by the difference.
 
 use lichenpulley_core::membership::Counters;
 use prometheus::{IntCounter, IntGauge, Registry};
 
-/// Bytes of a UDP header and an IPv4 header; IPv6 has 20 more.
-const HEADER_BYTES: u64 = 28;
+/// Size of a UDP and an IPv4 header; IPv6 headers have 20 bytes more.
+const DATAGRAM_HEADER_BYTES: u64 = 28;
 
-/// Counters of one node, registered once.
-pub(super) struct Meter {
+/// Metrics of one node's membership protocol, registered once.
+pub(super) struct ProtocolMetrics {
     live_members: IntGauge,
     bytes_sent: IntCounter,
     bytes_received: IntCounter,
@@ -19,7 +19,7 @@
     last: Counters,
 }
 
-impl Meter {
+impl ProtocolMetrics {
     /// Registers the metrics.
     pub(super) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counter = |name: &str, help: &str| -> Result<IntCounter, prometheus::Error> {
@@ -55,14 +55,15 @@
         })
     }
 
-    /// Adds what has come since the last call.
+    /// Adds the changes since the last call.
     pub(super) fn record(&mut self, counters: Counters, live_members: usize) {
         let last = std::mem::replace(&mut self.last, counters);
         self.live_members.set(i64::try_from(live_members).unwrap_or(i64::MAX));
         let sent = counters.datagrams_sent - last.datagrams_sent;
-        self.bytes_sent.inc_by(counters.bytes_sent - last.bytes_sent + sent * HEADER_BYTES);
+        self.bytes_sent.inc_by(counters.bytes_sent - last.bytes_sent + sent * DATAGRAM_HEADER_BYTES);
         let received = counters.datagrams_received - last.datagrams_received;
-        self.bytes_received.inc_by(counters.bytes_received - last.bytes_received + received * HEADER_BYTES);
+        self.bytes_received
+            .inc_by(counters.bytes_received - last.bytes_received + received * DATAGRAM_HEADER_BYTES);
         self.undecodable.inc_by(counters.undecodable - last.undecodable);
         self.probes_unanswered.inc_by(counters.probes_unanswered - last.probes_unanswered);
         self.stall_credit_ms.inc_by(counters.stall_credit_us / 1_000 - last.stall_credit_us / 1_000);
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -1,7 +1,9 @@
-//! Membership of this node in the cluster: the UDP socket, timers and view round the core's state machine.
+//! Membership of this node in the cluster: runs the core's state machine with a UDP socket and timers, and
+//! publishes the view of the live members.
 //!
-//! Parts of a node reach it through the [`MembershipHandle`] in their context. The revisions of the documents
-//! that every node holds ride on its messages, so that a node which is behind learns from whom to pull.
+//! Other parts of a node use it through the [`MembershipHandle`] in their context. Its messages also carry
+//! the revisions of the documents that every node holds, so that an outdated node learns from which member to
+//! pull.
 
 mod driver;
 pub(crate) mod handle;
@@ -21,43 +23,41 @@
 use tokio::time::Instant;
 
 use self::driver::Driver;
-use self::meter::Meter;
+use self::meter::ProtocolMetrics;
 use crate::cluster::{ClusterView, Member};
 use crate::context::Context;
 use crate::decisions::unix_milliseconds;
 use crate::settings::MembershipSettings;
 
-/// A failed member is tried again once in so many probe intervals. Chosen, not measured: 5 s with the
-/// default interval; longer delays the merging of a healed partition, shorter costs datagrams to dead
-/// nodes.
-const RECONNECT_PROBES: u32 = 10;
+/// Interval between attempts to reconnect to a failed member, in probe intervals: 5 s with the default. Lets
+/// a healed partition merge again.
+const RECONNECT_PROBE_INTERVALS: u32 = 10;
 
-/// Whole tables are compared once in so many probe intervals. Chosen, not measured: 30 s with the default
-/// interval; longer leaves a lost update unrepaired for longer.
-const SYNC_PROBES: u32 = 60;
+/// Interval between full exchanges of the member tables, in probe intervals: 30 s with the default. Repairs
+/// lost updates.
+const SYNC_PROBE_INTERVALS: u32 = 60;
 
-/// A seed that did not answer is followed by the next after so many probe intervals. Chosen, not measured:
-/// 1 s with the default interval; longer delays a start whose first seed is down.
-const JOIN_RETRY_PROBES: u32 = 2;
+/// Wait for a seed's answer before the next seed is tried, in probe intervals: 1 s with the default.
+const JOIN_RETRY_PROBE_INTERVALS: u32 = 2;
 
-/// What a node brings into the cluster.
+/// Parameters with which a node joins the cluster.
 #[derive(Clone, Debug)]
 pub struct StartMembership {
-    /// This node, with the addresses that its sockets have in truth.
+    /// This node, with the addresses to which its sockets are actually bound.
     pub member: Member,
-    /// Peer addresses of nodes that may already be members; its own address is skipped.
+    /// Peer addresses of nodes that may already be members; this node's own address is skipped.
     pub seeds: Vec<SocketAddr>,
 }
 
 /// Joins the cluster and publishes the live members in `context.cluster` until the node has stopped.
 ///
-/// Spawns its task on the current runtime, the one of the control thread. A node whose settings the protocol
-/// can't work with stays alone in its view and says why in the log.
+/// Spawns the membership task on the current runtime, which must be the control thread's. If the protocol
+/// rejects the settings, the node logs the reason and remains the only member of its view.
 pub fn start(context: Context, socket: UdpSocket, start: StartMembership) {
     context.cluster.store(Arc::new(ClusterView { members: vec![start.member.clone()] }));
-    match driver(context, socket, start) {
+    match create_driver(context, socket, start) {
         Ok(driver) => drop(tokio::spawn(driver.run())),
-        Err(error) => log::error!(target: "membership", "This node stays alone: {error}."),
+        Err(error) => log::error!(target: "membership", "This node can't join the cluster: {error}."),
     }
 }
 
@@ -69,12 +69,12 @@
     #[error("{0}; start membership once for each node")]
     Metrics(#[from] prometheus::Error),
     #[error("the membership task was started twice; start it once for each node")]
-    Twice,
+    AlreadyStarted,
 }
 
-fn driver(context: Context, socket: UdpSocket, start: StartMembership) -> Result<Driver, StartError> {
-    let commands = context.membership.take_commands().ok_or(StartError::Twice)?;
-    let meter = Meter::new(context.metrics.registry())?;
+fn create_driver(context: Context, socket: UdpSocket, start: StartMembership) -> Result<Driver, StartError> {
+    let commands = context.membership.claim_commands().ok_or(StartError::AlreadyStarted)?;
+    let meter = ProtocolMetrics::new(context.metrics.registry())?;
     let origin = Instant::now();
     let StartMembership { member, seeds } = start;
     let info = MemberInfo {
@@ -95,26 +95,27 @@
         probe_interval: settings.probe_interval,
         probe_timeout: settings.probe_timeout,
         suspicion_multiplier: settings.suspicion_multiplier,
-        reconnect_interval: settings.probe_interval * RECONNECT_PROBES,
-        sync_interval: settings.probe_interval * SYNC_PROBES,
-        join_retry: settings.probe_interval * JOIN_RETRY_PROBES,
+        reconnect_interval: settings.probe_interval * RECONNECT_PROBE_INTERVALS,
+        sync_interval: settings.probe_interval * SYNC_PROBE_INTERVALS,
+        join_retry: settings.probe_interval * JOIN_RETRY_PROBE_INTERVALS,
         ..Config::default()
     }
 }
 
-/// Tells the other members, on every message from now on, that this node holds `revision` of `document`.
+/// Announces to the other members, with every message from now on, that this node holds `revision` of
+/// `document`.
 pub fn announce_revision(context: &Context, document: &str, revision: Revision) {
     context.membership.announce_revision(document, revision);
 }
 
-/// The highest revision of each document that any member has announced, with the member that holds it.
+/// Subscribes to the highest announced revision of each document, with a member that holds it.
 pub fn watch_revisions(context: &Context) -> watch::Receiver<AnnouncedRevisions> {
     context.membership.watch_revisions()
 }
 
-/// Tells the other members that this node leaves, so that they needn't find out; for a planned stop.
+/// Announces to the other members that this node leaves, so that a planned stop is not treated as a failure.
 ///
-/// Returns when the notice has been sent to a few members, or after a short time.
+/// Returns when the notice has been sent to a few members, or after a short timeout.
 pub async fn leave(context: &Context) {
     context.membership.leave().await;
 }
--- a/crates/daemon/src/membership/report.rs
+++ b/crates/daemon/src/membership/report.rs
@@ -1,11 +1,11 @@
-//! The protocol's events as decisions and log lines.
+//! Reports the protocol's events as decisions and log lines.
 //!
-//! Owns nothing; names of decisions are part of the operators' interface.
+//! The names in decisions are part of the operators' interface.
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::membership::{Cause, Event, EventKind};
 
-/// The decision that an event stands for.
+/// Returns the decision that represents an event.
 pub(super) fn decision(event: &Event) -> Decision {
     let decision =
         Decision::new(Component::Membership, event.kind.as_str(), event.cause.as_str(), &event.node)
@@ -17,7 +17,7 @@
     }
 }
 
-/// Writes the line that an operator should see.
+/// Writes an event to the log.
 pub(super) fn log(event: &Event) {
     let node = &event.node;
     let live = event.live_members;
--- a/crates/daemon/src/peers/connection.rs
+++ b/crates/daemon/src/peers/connection.rs
@@ -1,6 +1,6 @@
-//! One peer's connection: opened on first use, opened again with backoff after it broke.
+//! Connection to one peer, opened on first use and reopened with backoff after a failure.
 //!
-//! Owns the client and the failures in a row; one caller connects, the others wait for it.
+//! Only one caller connects at a time; the others wait for it.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,27 +23,26 @@
 use crate::settings::PeerSettings;
 use lichenpulley_core::time::whole_millis;
 
-/// The pause after failures in a row to connect. A member that restarts is reached again within half a
-/// second.
+/// Pause after consecutive failures to connect. A restarted member is reached again within half a second.
 const CONNECT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(50), Duration::from_millis(500));
 
-/// A peer's connection, or the intention to make one.
+/// Connection to a peer, open or to be opened by the next call.
 pub(super) struct Connection {
     address: SocketAddr,
     runtime: Handle,
     settings: PeerSettings,
     created: Instant,
     client: Arc<ArcSwapOption<PeerClient>>,
-    /// Held by whoever connects; callers that find it open never wait here.
+    /// Locked while connecting; callers that find the connection open don't lock it.
     connecting: Mutex<ConnectFailures>,
-    /// Milliseconds after `created`.
+    /// Time of the last call, in milliseconds since `created`.
     last_used_ms: AtomicU64,
 }
 
-/// When the next try to connect may be made.
+/// Consecutive failures to connect and the time of the next attempt.
 #[derive(Default)]
 struct ConnectFailures {
-    in_row: u32,
+    consecutive: u32,
     next_try: Option<Instant>,
     last_failure: String,
 }
@@ -52,7 +51,7 @@
 pub(super) struct PeerCall {
     address: SocketAddr,
     client: Arc<PeerClient>,
-    limit: Instant,
+    deadline: Instant,
 }
 
 impl Connection {
@@ -68,21 +67,21 @@
         }
     }
 
-    /// Whether a connection is open now.
+    /// Returns whether the connection is open.
     pub(super) fn is_open(&self) -> bool {
         self.client.load().is_some()
     }
 
-    /// Gets a call ready, connecting first where that is needed.
-    pub(super) async fn begin(&self, limit: Instant) -> Result<PeerCall, PeerError> {
+    /// Prepares a call, connecting first if necessary.
+    pub(super) async fn start_call(&self, deadline: Instant) -> Result<PeerCall, PeerError> {
         self.last_used_ms.store(self.age_ms(), Ordering::Relaxed);
-        let connected = tokio::time::timeout_at(limit, self.open()).await;
+        let connected = tokio::time::timeout_at(deadline, self.open()).await;
         let client = connected.unwrap_or_else(|_| Err(self.not_sent("no connection by the deadline")))?;
-        Ok(PeerCall { address: self.address, client, limit })
+        Ok(PeerCall { address: self.address, client, deadline })
     }
 
-    /// Closes the connection where it has not been used for a while; tells whether it was idle. A call that
-    /// runs still ends well.
+    /// Closes the connection if it has been idle for the configured time. Returns whether it was idle. Calls
+    /// in progress still complete.
     pub(super) fn close_if_idle(&self) -> bool {
         let idle_ms = self.age_ms().saturating_sub(self.last_used_ms.load(Ordering::Relaxed));
         let idle = Duration::from_millis(idle_ms) >= self.settings.idle;
@@ -111,7 +110,7 @@
             }
             Err(reason) => {
                 let error = self.not_sent(&reason);
-                failures.add(reason);
+                failures.record(reason);
                 Err(error)
             }
         }
@@ -120,7 +119,7 @@
     async fn connect(&self) -> Result<Arc<PeerClient>, String> {
         let (address, timeout) = (self.address, self.settings.connect_timeout);
         let limits = SocketLimits { stall: self.settings.stall_timeout };
-        // On the control runtime, which drives the connection from then on.
+        // The control runtime drives the connection, so the stream is created there.
         let connecting = self.runtime.spawn(async move {
             let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
             let stream = stream.map_err(|_| "the connection took too long".to_owned())?;
@@ -134,13 +133,13 @@
         let stub = Arc::new(client.client);
         self.client.store(Some(Arc::clone(&stub)));
         let slot = Arc::clone(&self.client);
-        let opened = Arc::downgrade(&stub);
+        let opened_stub = Arc::downgrade(&stub);
         let dispatch = client.dispatch;
         self.runtime.spawn(async move {
             if let Err(error) = dispatch.await {
                 log::info!(target: "peers", "The connection to {address} ended: {error}.");
             }
-            forget(&slot, &opened);
+            clear_slot(&slot, &opened_stub);
         });
         Ok(stub)
     }
@@ -155,9 +154,9 @@
 }
 
 impl ConnectFailures {
-    fn add(&mut self, reason: String) {
-        self.in_row = self.in_row.saturating_add(1);
-        self.next_try = Some(Instant::now() + CONNECT_BACKOFF.pause(self.in_row));
+    fn record(&mut self, reason: String) {
+        self.consecutive = self.consecutive.saturating_add(1);
+        self.next_try = Some(Instant::now() + CONNECT_BACKOFF.pause(self.consecutive));
         self.last_failure = reason;
     }
 }
@@ -167,10 +166,10 @@
         &self.client
     }
 
-    /// The deadline travels with the request, as time remaining.
+    /// Returns the request's context; the deadline is transmitted with the request as time remaining.
     pub(super) fn context(&self) -> tarpc::context::Context {
         let mut context = tarpc::context::current();
-        context.deadline = self.limit.into_std();
+        context.deadline = self.deadline.into_std();
         context
     }
 
@@ -179,7 +178,7 @@
         &self,
         call: impl Future<Output = Result<Answer, RpcError>>,
     ) -> Result<Answer, PeerError> {
-        let answered = tokio::time::timeout_at(self.limit, call).await;
+        let answered = tokio::time::timeout_at(self.deadline, call).await;
         let reason = match answered {
             Ok(Ok(answer)) => return Ok(answer),
             Ok(Err(error)) => error.to_string(),
@@ -189,8 +188,8 @@
     }
 }
 
-/// Empties the slot after a connection ended, unless a newer connection is in it.
-fn forget(slot: &ArcSwapOption<PeerClient>, ended: &std::sync::Weak<PeerClient>) {
+/// Clears the slot after a connection has ended, unless it already holds a newer connection.
+fn clear_slot(slot: &ArcSwapOption<PeerClient>, ended: &std::sync::Weak<PeerClient>) {
     let current = slot.load();
     let is_ended = current.as_ref().is_some_and(|client| Arc::as_ptr(client) == ended.as_ptr());
     if is_ended {
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! Connections to other nodes, opened when first used and closed when idle.
+//! Connections to other nodes, opened on first use and closed when idle.
 //!
-//! Owns one connection for each address and closes idle ones. An error says whether the call may have run.
+//! There is one connection for each address. Errors tell whether the call may have been executed.
 
 mod connection;
 
@@ -22,29 +22,29 @@
 use crate::settings::PeerSettings;
 use connection::Connection;
 
-/// Why a call to a peer gave no answer.
+/// Reason why a call to a peer gave no answer.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum PeerError {
     /// Nothing of the request was written.
-    #[error("peer {address}: nothing was sent: {reason}; ask another node, or come back")]
+    #[error("peer {address}: nothing was sent: {reason}; ask another node, or try again later")]
     NotSent {
         /// The peer.
         address: SocketAddr,
-        /// What stood in the way.
+        /// Cause of the failure.
         reason: String,
     },
     /// The request may have arrived and may have taken effect.
-    #[error("peer {address}: no answer: {reason}; ask again what became of it")]
+    #[error("peer {address}: no answer: {reason}; check whether the request took effect before repeating it")]
     NoAnswer {
         /// The peer.
         address: SocketAddr,
-        /// What broke.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
 impl PeerError {
-    /// Whether it is proved that no byte of the request was written.
+    /// Returns whether certainly no byte of the request was written.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. })
     }
@@ -66,135 +66,135 @@
 }
 
 impl PeerClients {
-    /// No connections yet; they will be driven by `runtime`.
+    /// Creates a set without connections. `runtime` will drive the connections.
     pub fn new(runtime: Handle, settings: PeerSettings) -> Self {
         let shared = Arc::new(Shared { runtime, settings, connections: ArcSwap::default() });
         shared.runtime.spawn(close_idle_connections(Arc::downgrade(&shared)));
         Self { shared }
     }
 
-    /// Asks a node with the store role.
+    /// Sends a request to a node with the store role.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub async fn store(
         &self,
         address: SocketAddr,
         request: StoreRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<StoreResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().store(call.context(), request)).await
     }
 
-    /// Asks the owner of a shard.
+    /// Sends a request to the owner of a shard.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub async fn coordinator(
         &self,
         address: SocketAddr,
         request: CoordinatorRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<CoordinatorResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().coordinator(call.context(), request)).await
     }
 
-    /// Asks for a revision of the documents that every node holds.
+    /// Sends a dissemination message for one of the documents that every node holds.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub async fn configuration(
         &self,
         address: SocketAddr,
         request: ConfigurationRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<ConfigurationResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().configuration(call.context(), request)).await
     }
 
-    /// Asks the owner of the batch jobs.
+    /// Sends a request to the owner of the batch jobs.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub async fn batch(
         &self,
         address: SocketAddr,
         request: BatchRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<BatchResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().batch(call.context(), request)).await
     }
 
-    /// Asks the owner of a shard of batch jobs that is bound to some regions.
+    /// Sends a request to the owner of a shard of batch jobs that is bound to some regions.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub(crate) async fn regional_batch(
         &self,
         address: SocketAddr,
         shard: ShardId,
         request: BatchRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<BatchResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().regional_batch(call.context(), shard, request)).await
     }
 
-    /// Asks for a copy of the platform's metadata.
+    /// Requests a copy of the platform's metadata.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub async fn metadata(
         &self,
         address: SocketAddr,
         request: MetadataRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<MetadataResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().metadata(call.context(), request)).await
     }
 
-    /// Asks a node to keep a report in the platform's store.
+    /// Asks a node to store a report in the platform's metadata store.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub(crate) async fn keep_report(
         &self,
         address: SocketAddr,
         request: KeepReport,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<KeepResponse, PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().keep_report(call.context(), request)).await
     }
 
-    /// Asks a node to bring the end of a batch job to its owner.
+    /// Asks a node to deliver the end of a batch job to the job's owner.
     ///
     /// # Errors
-    /// When no answer comes within `deadline`.
+    /// When no answer arrives within `timeout`.
     pub(crate) async fn hold_end(
         &self,
         address: SocketAddr,
         request: HoldEnd,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<(), PeerError> {
-        let limit = Instant::now() + deadline;
-        let call = self.connection(address).begin(limit).await?;
+        let deadline = Instant::now() + timeout;
+        let call = self.connection(address).start_call(deadline).await?;
         call.finish(call.client().hold_end(call.context(), request)).await
     }
 
-    /// How many peers have an open connection.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         let connections = self.shared.connections.load();
         connections.values().filter(|connection| connection.is_open()).count()
@@ -204,33 +204,29 @@
         if let Some(connection) = self.shared.connections.load().get(&address) {
             return Arc::clone(connection);
         }
-        let fresh =
+        let created =
             Arc::new(Connection::new(address, self.shared.runtime.clone(), self.shared.settings.clone()));
-        // Another thread may have been first: the one that is in the map is used.
+        // Another thread may have inserted a connection first; the one in the map is used.
         self.shared.connections.rcu(|connections| {
             let mut connections = HashMap::clone(connections);
-            connections.entry(address).or_insert_with(|| Arc::clone(&fresh));
+            connections.entry(address).or_insert_with(|| Arc::clone(&created));
             connections
         });
         let connections = self.shared.connections.load();
-        connections.get(&address).map_or(fresh, Arc::clone)
+        connections.get(&address).map_or(created, Arc::clone)
     }
 }
 
-/// Closes connections that nobody used for a while, so that many nodes don't keep all-to-all connections.
+/// Closes idle connections, so that large clusters don't keep connections between all pairs of nodes.
 async fn close_idle_connections(shared: std::sync::Weak<Shared>) {
     loop {
         let Some(idle) = shared.upgrade().map(|shared| shared.settings.idle) else { return };
         tokio::time::sleep(idle / 2).await;
         let Some(shared) = shared.upgrade() else { return };
-        let forgotten = |connection: &Arc<Connection>| connection.close_if_idle();
+        let is_idle = |connection: &Arc<Connection>| connection.close_if_idle();
         let idle_peers: Vec<SocketAddr> = {
             let connections = shared.connections.load();
-            connections
-                .iter()
-                .filter(|(_, connection)| forgotten(connection))
-                .map(|(peer, _)| *peer)
-                .collect()
+            connections.iter().filter(|(_, connection)| is_idle(connection)).map(|(peer, _)| *peer).collect()
         };
         if idle_peers.is_empty() {
             continue;
--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership between whole nodes over loopback: joining, leaving, failing, revisions that ride along.
+//! Tests of membership between complete nodes over loopback: joining, leaving, failing and announced
+//! revisions.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -8,7 +9,7 @@
 use lichenpulley_daemon::node::Node;
 use lichenpulley_daemon::settings::Settings;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn start_node(name: &str, seeds: &[SocketAddr]) -> Node {
     let mut settings = Settings::on_loopback(name, "zone-a");
@@ -28,25 +29,26 @@
     nodes
 }
 
-fn view(node: &Node) -> Vec<String> {
+fn members(node: &Node) -> Vec<String> {
     node.context().cluster.load().members.iter().map(|member| member.node.to_string()).collect()
 }
 
 async fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let waited = tokio::time::timeout(PATIENCE, async {
+    let waited = tokio::time::timeout(TIMEOUT, async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     });
-    assert!(waited.await.is_ok(), "{what} did not come about");
+    assert!(waited.await.is_ok(), "timed out waiting for {what}");
 }
 
 async fn wait_for_views(nodes: &[Node], expected: &[&str]) {
-    wait_until(&format!("the view {expected:?}"), || nodes.iter().all(|node| view(node) == expected)).await;
+    wait_until(&format!("the view {expected:?}"), || nodes.iter().all(|node| members(node) == expected))
+        .await;
 }
 
 #[tokio::test]
-async fn nodes_find_each_other_through_one_seed_and_agree_on_what_each_is() {
+async fn nodes_joining_through_one_seed_agree_on_all_members() {
     let nodes = start_cluster(&["a", "b", "c"]).await;
     wait_for_views(&nodes, &["a", "b", "c"]).await;
     let view = nodes[0].context().cluster.load();
@@ -58,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_takes_a_node_out_of_the_view_without_suspicion() {
+async fn planned_stop_removes_a_node_without_suspicion() {
     let mut nodes = start_cluster(&["a", "b", "c"]).await;
     wait_for_views(&nodes, &["a", "b", "c"]).await;
     let mut decisions = nodes[0].context().decisions.watch();
@@ -76,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_crashed_is_taken_out_and_may_come_back_at_another_address() {
+async fn crashed_node_is_removed_and_may_return_at_another_address() {
     let mut nodes = start_cluster(&["a", "b", "c"]).await;
     wait_for_views(&nodes, &["a", "b", "c"]).await;
     drop(nodes.pop());
@@ -95,11 +97,11 @@
 }
 
 #[tokio::test]
-async fn an_announced_revision_is_heard_with_a_member_that_holds_it() {
+async fn announced_revision_reaches_other_nodes_with_its_holder() {
     let nodes = start_cluster(&["a", "b", "c"]).await;
     membership::announce_revision(nodes[1].context(), "test-document", Revision(7));
     let mut heard = membership::watch_revisions(nodes[2].context());
-    let waited = tokio::time::timeout(PATIENCE, heard.wait_for(|heard| heard.contains_key("test-document")));
+    let waited = tokio::time::timeout(TIMEOUT, heard.wait_for(|heard| heard.contains_key("test-document")));
     let heard = waited.await.expect("in time").expect("the node runs").clone();
     let announced = &heard["test-document"];
     assert_eq!(announced.revision, Revision(7));
@@ -108,17 +110,17 @@
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_message_are_counted_and_dropped() {
+async fn undecodable_datagrams_are_counted_and_dropped() {
     let nodes = start_cluster(&["a", "b"]).await;
     wait_for_views(&nodes, &["a", "b"]).await;
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    let sender = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     for bytes in [&b""[..], &b"GET / HTTP/1.1"[..], &[1, 255, 255, 255, 255][..], &[1; 1_500][..]] {
-        stranger.send_to(bytes, nodes[0].addresses().peers).expect("sent");
+        sender.send_to(bytes, nodes[0].addresses().peers).expect("sent");
     }
     let metrics = nodes[0].context().metrics.clone();
     wait_until("the count of undecodable datagrams", || {
         metrics.encode().is_ok_and(|text| text.contains("lichenpulley_membership_undecodable_total 4"))
     })
     .await;
-    assert_eq!(view(&nodes[0]), ["a", "b"]);
+    assert_eq!(members(&nodes[0]), ["a", "b"]);
 }
