--- a/crates/core/src/request/execution/step.rs
+++ b/crates/core/src/request/execution/step.rs
@@ -41,7 +41,7 @@
     },
     /// Probe the load of these replicas without waiting for them, pass the answers to
     /// [`Pool::observe`](crate::routing::pool::Pool::observe) or
-    /// [`Pool::failed`](crate::routing::pool::Pool::failed), and call `next` again at `until`, or sooner when
+    /// [`Pool::record_failure`](crate::routing::pool::Pool::record_failure), and call `next` again at `until`, or sooner when
     /// one has answered.
     Probe {
         /// The replicas; empty if their probes are already running.
--- a/crates/core/src/retry/drain_rate.rs
+++ b/crates/core/src/retry/drain_rate.rs
@@ -41,7 +41,7 @@
         Self { completions: 0.0, count: 0, since: now, updated_at: now }
     }
 
-    /// Records one completion. The average restarts after a pause longer than [`AVERAGING_TIME`].
+    /// Records one completion. The average restarts after a pause longer than the averaging time.
     pub fn record_completion(&mut self, now: Timestamp) {
         let idle = now.saturating_since(self.updated_at) > AVERAGING_TIME;
         if idle || self.completions == 0.0 {
