--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -239,7 +239,7 @@
         let routes = metadata.routes.load_full();
         let (replicas, versions) = (metadata.replicas.load_full(), metadata.versions.load_full());
         self.controller.set_evacuated(now, metadata.evacuated.load_full());
-        self.controller.set_quarantine(now, self.context.quarantine.verdict());
+        self.controller.set_quarantine(now, self.context.quarantine.current());
         self.controller.update(now, routes, &replicas, &versions);
     }
 
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -47,7 +47,7 @@
     let end = match send(&context, &pool, &start, decided_at).await {
         Ok(exchange) => read(&pool, &start, exchange, &events, &mut traced).await,
         Err(error) => {
-            traced.got_no_answer(error).await;
+            traced.record_send_error(error).await;
             if error == SendError::Withheld { RunEnd::Rejected } else { RunEnd::Broken }
         }
     };
@@ -94,7 +94,7 @@
     }
     if start.tenant.is_some() {
         fields.remove(AUTHORIZATION);
-        callers::put_tenant(fields, start.tenant.as_ref());
+        callers::set_tenant(fields, start.tenant.as_ref());
     }
     fields.insert(HOST, start.host.parse()?);
     fields.insert(headers::REQUEST_ID, start.item.id.parse()?);
@@ -131,11 +131,11 @@
     if let Err(end) = reader.read_all(&mut body, traced).await {
         return end;
     }
-    if reader.splitter.has_rest() || !is_framed(&head.headers) {
-        traced.broke().await;
+    if reader.splitter.has_partial_event() || !is_framed(&head.headers) {
+        traced.record_broken().await;
         return RunEnd::Broken;
     }
-    traced.ended_whole();
+    traced.record_complete();
     pool.give_back(connection, &head.headers);
     RunEnd::Complete
 }
@@ -143,8 +143,8 @@
 /// Notes what an answer without events says of the run.
 fn trace_head(traced: &mut TracedRun, end: &RunEnd) {
     match end {
-        RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
-        RunEnd::Failed | RunEnd::Unprocessable => traced.ended_whole(),
+        RunEnd::Rejected | RunEnd::OtherReplica => traced.record_not_run(),
+        RunEnd::Failed | RunEnd::Unprocessable => traced.record_complete(),
         RunEnd::Broken | RunEnd::Complete => {}
     }
 }
@@ -165,7 +165,7 @@
         while let Some(frame) = body.frame().await {
             // Why the connection broke does not matter: the run is resumed elsewhere.
             let Ok(frame) = frame else {
-                traced.broke().await;
+                traced.record_broken().await;
                 return Err(RunEnd::Broken);
             };
             // Trailers carry no events.
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -63,25 +63,25 @@
     let HttpExchange { response, connection } = match sent {
         Ok(exchange) => exchange,
         Err(error) => {
-            traced.got_no_answer(error).await;
+            traced.record_send_error(error).await;
             return if error == SendError::Withheld { ScoreEnd::Rejected } else { ScoreEnd::Broken };
         }
     };
     let (head, body) = response.into_parts();
-    *busy = fields::reported_busy(&head.headers);
-    if !fields::echoes(&head.headers, Some(&start.request.id)) {
+    *busy = fields::reported_load(&head.headers);
+    if !fields::echoes_request_id(&head.headers, Some(&start.request.id)) {
         return ScoreEnd::Broken;
     }
     // Only a whole answer counts: one that breaks off proves nothing.
     if Limited::new(body, MAX_SCORE_ANSWER_BYTES).collect().await.is_err() {
-        traced.broke().await;
+        traced.record_broken().await;
         return ScoreEnd::Broken;
     }
     pool.give_back(connection, &head.headers);
     let end = classify_answer(head.status, &head.headers);
     match end {
-        ScoreEnd::Rejected => traced.has_not_run(),
-        ScoreEnd::Scored(_) | ScoreEnd::Failed | ScoreEnd::Broken => traced.ended_whole(),
+        ScoreEnd::Rejected => traced.record_not_run(),
+        ScoreEnd::Scored(_) | ScoreEnd::Failed | ScoreEnd::Broken => traced.record_complete(),
     }
     end
 }
@@ -93,8 +93,8 @@
     let head = request.headers_mut();
     head.insert(HOST, start.request.host.parse()?);
     head.insert(headers::REQUEST_ID, start.request.id.parse()?);
-    callers::put_tenant(head, start.tenant.as_ref());
-    fields::address_to(head, &start.replica.name, start.timeout);
+    callers::set_tenant(head, start.tenant.as_ref());
+    fields::set_replica_and_deadline(head, &start.replica.name, start.timeout);
     Ok(request)
 }
 
--- a/crates/daemon/src/ingress/caller_request.rs
+++ b/crates/daemon/src/ingress/caller_request.rs
@@ -100,10 +100,10 @@
     /// lets it through once after [`lichenpulley_core::quarantine::TRIAL_DELAY`].
     pub(super) async fn sends_allowed(&mut self, ingress: &Ingress, route: &Route) -> u32 {
         let quarantine = &ingress.context.quarantine;
-        if !quarantine.holds(&self.fingerprint) {
+        if !quarantine.contains(&self.fingerprint) {
             return route.max_attempts;
         }
-        quarantine.came_again(self.fingerprint);
+        quarantine.record_repeat(self.fingerprint);
         let is_due = quarantine.is_trial_due(&self.fingerprint);
         self.is_trial = is_due && begin_trial(&ingress.context, self.fingerprint).await;
         if self.is_trial {
@@ -121,7 +121,7 @@
     pub(super) fn build(&self, replica: &str, last_event: Option<&str>) -> Request<Full<Bytes>> {
         let mut fields = headers::end_to_end(&self.parts.headers);
         self.caller.replace_identity(&mut fields);
-        headers::address_to(&mut fields, replica, self.remaining());
+        headers::set_replica_and_deadline(&mut fields, replica, self.remaining());
         // Either the caller's own field or a number, both of which are valid field values.
         if let Some(number) = last_event.and_then(|number| number.parse().ok()) {
             fields.insert(names::LAST_EVENT_ID, number);
--- a/crates/daemon/src/ingress/callers.rs
+++ b/crates/daemon/src/ingress/callers.rs
@@ -60,12 +60,12 @@
             return;
         }
         fields.remove(AUTHORIZATION);
-        put_tenant(fields, self.tenant());
+        set_tenant(fields, self.tenant());
     }
 }
 
 /// Names the tenant to a replica, in place of what stood there.
-pub(crate) fn put_tenant(fields: &mut HeaderMap, tenant: Option<&TenantName>) {
+pub(crate) fn set_tenant(fields: &mut HeaderMap, tenant: Option<&TenantName>) {
     fields.remove(TENANT);
     if let Some(name) = tenant.and_then(|tenant| HeaderValue::from_str(tenant.as_str()).ok()) {
         fields.insert(TENANT, name);
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -111,7 +111,7 @@
             Ok(Ok(body)) => body,
             Ok(Err(_)) => {
                 in_flight.was_silent();
-                in_flight.run.broke().await;
+                in_flight.run.record_broken().await;
                 return (SendOutcome::Broken, None);
             }
             Err(_) => {
@@ -119,7 +119,7 @@
                 return (SendOutcome::TimedOut, None);
             }
         };
-        if !headers::echoes(&head.headers, request.request_id.as_deref()) {
+        if !headers::echoes_request_id(&head.headers, request.request_id.as_deref()) {
             return (SendOutcome::Broken, None);
         }
         self.ingress.pool.give_back(connection, &head.headers);
@@ -128,7 +128,7 @@
             in_flight.was_full();
         } else {
             in_flight.answered();
-            in_flight.run.ended_whole();
+            in_flight.run.record_complete();
         }
         let answer = WholeAnswer { status: head.status, headers: head.headers, body: body.to_bytes() };
         (outcome, Some(answer))
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -59,7 +59,7 @@
 }
 
 /// Names the replica and what is left of the time.
-pub(crate) fn address_to(fields: &mut HeaderMap, replica: &str, remaining: Duration) {
+pub(crate) fn set_replica_and_deadline(fields: &mut HeaderMap, replica: &str, remaining: Duration) {
     if let Ok(replica) = HeaderValue::from_str(replica) {
         fields.insert(headers::EXPECT_REPLICA, replica);
     }
@@ -68,7 +68,7 @@
 }
 
 /// Whether an answer belongs to the request with this id.
-pub(crate) fn echoes(fields: &HeaderMap, request_id: Option<&str>) -> bool {
+pub(crate) fn echoes_request_id(fields: &HeaderMap, request_id: Option<&str>) -> bool {
     text(fields, headers::REQUEST_ID) == request_id
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Requests that run and wait at the replica, where it says so.
-pub(crate) fn reported_busy(fields: &HeaderMap) -> Option<u32> {
+pub(crate) fn reported_load(fields: &HeaderMap) -> Option<u32> {
     let mut numbers = text(fields, headers::LOAD)?.split(',').map(|number| number.trim().parse::<u32>());
     let running = numbers.next()?.ok()?;
     let waiting = numbers.next()?.ok()?;
--- a/crates/daemon/src/ingress/in_flight.rs
+++ b/crates/daemon/src/ingress/in_flight.rs
@@ -73,13 +73,13 @@
         let sent = pool.send(&self.replica, message, options.needs_fresh, options.connect_timeout, may_send);
         let exchange = match tokio::time::timeout_at(options.limit, sent).await {
             Ok(Ok(exchange)) => exchange,
-            Ok(Err(error)) => return Err(self.got_no_answer(error).await),
+            Ok(Err(error)) => return Err(self.record_send_error(error).await),
             Err(_) => {
                 self.was_silent();
                 return Err(SendOutcome::TimedOut);
             }
         };
-        if let Some(busy) = headers::reported_busy(exchange.response.headers()) {
+        if let Some(busy) = headers::reported_load(exchange.response.headers()) {
             self.ingress.reported(&self.replica.id, busy);
         }
         Ok(exchange)
@@ -94,7 +94,7 @@
 
     /// The replica stated that it did not run the request.
     pub(super) fn was_full(&mut self) {
-        self.run.has_not_run();
+        self.run.record_not_run();
         self.feedback = ReplicaFeedback::Full;
     }
 
@@ -104,8 +104,8 @@
     }
 
     /// The send failed before the head of an answer.
-    async fn got_no_answer(&mut self, error: SendError) -> SendOutcome {
-        self.run.got_no_answer(error).await;
+    async fn record_send_error(&mut self, error: SendError) -> SendOutcome {
+        self.run.record_send_error(error).await;
         if error != SendError::Withheld {
             self.was_silent();
         }
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -147,7 +147,7 @@
 
     /// Whether a request must reach no replica, since replicas ended under it.
     fn holds(&self, request: &CallerRequest) -> bool {
-        !request.is_trial && self.context.quarantine.holds(&request.fingerprint)
+        !request.is_trial && self.context.quarantine.contains(&request.fingerprint)
     }
 
     /// Selects a replica for a request and counts it there until the returned value is dropped.
--- a/crates/daemon/src/ingress/sse.rs
+++ b/crates/daemon/src/ingress/sse.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether part of an event is left.
-    pub(crate) fn has_rest(&self) -> bool {
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -86,7 +86,7 @@
         Err(refused) => return refused,
     };
     if !exchange.response.status().is_success() {
-        in_flight.run.ended_whole();
+        in_flight.run.record_complete();
         return pass_failure(exchange, &request).await;
     }
     request.record(ingress, &in_flight, "stream_begun", "answered", attempts.sends());
@@ -123,7 +123,7 @@
             Err(outcome) => return (outcome, None),
         };
         let fields = exchange.response.headers();
-        if !headers::echoes(fields, request.request_id.as_deref()) {
+        if !headers::echoes_request_id(fields, request.request_id.as_deref()) {
             return (SendOutcome::Broken, None);
         }
         let outcome = headers::outcome(exchange.response.status(), fields);
@@ -135,7 +135,7 @@
             SendOutcome::Rejected => in_flight.was_full(),
             SendOutcome::Failed => {
                 in_flight.answered();
-                in_flight.run.ended_whole();
+                in_flight.run.record_complete();
             }
             // The events are still to come.
             _ => in_flight.answered(),
@@ -212,10 +212,10 @@
 ) {
     loop {
         match pass_events(&ingress, &mut stream, &mut exchange, &pieces, &mut last_event).await {
-            StreamEnd::Whole => return stream.in_flight.run.ended_whole(),
+            StreamEnd::Whole => return stream.in_flight.run.record_complete(),
             StreamEnd::CallerGone => return,
             StreamEnd::Broken => {
-                stream.in_flight.run.broke().await;
+                stream.in_flight.run.record_broken().await;
                 stream.record_break(&ingress, "broken");
             }
             StreamEnd::Stalled => stream.record_break(&ingress, "stalled"),
@@ -251,7 +251,7 @@
         };
         let frame = match frame {
             Ok(Some(Ok(frame))) => frame,
-            Ok(None) if !splitter.has_rest() => return StreamEnd::Whole,
+            Ok(None) if !splitter.has_partial_event() => return StreamEnd::Whole,
             Ok(None | Some(Err(_))) => {
                 stream.in_flight.was_silent();
                 return StreamEnd::Broken;
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -88,7 +88,7 @@
     }
 
     async fn keep_report(self, _: tarpc::context::Context, request: KeepReport) -> KeepResponse {
-        self.context.quarantine.keep(request)
+        self.context.quarantine.accept_report(request)
     }
 
     async fn hold_end(self, _: tarpc::context::Context, request: HoldEnd) {
--- a/crates/daemon/src/quarantine/handle.rs
+++ b/crates/daemon/src/quarantine/handle.rs
@@ -58,17 +58,17 @@
     }
 
     /// Whether a request must reach no replica.
-    pub fn holds(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.verdict.load().contains(fingerprint)
     }
 
     /// What follows from all that this node knows.
-    pub fn verdict(&self) -> Arc<Quarantine> {
+    pub fn current(&self) -> Arc<Quarantine> {
         self.verdict.load_full()
     }
 
     /// A quarantined request has come again.
-    pub(crate) fn came_again(&self, fingerprint: Fingerprint) {
+    pub(crate) fn record_repeat(&self, fingerprint: Fingerprint) {
         let mut repeated = lock(&self.repeated);
         if repeated.len() < REPEATED_LIMIT {
             repeated.insert(fingerprint);
@@ -76,7 +76,7 @@
     }
 
     /// Takes a report that a peer could not write.
-    pub(crate) fn keep(&self, request: KeepReport) -> KeepResponse {
+    pub(crate) fn accept_report(&self, request: KeepReport) -> KeepResponse {
         match &mut *lock(&self.handed_over) {
             Some(waiting) if waiting.len() < OUTBOX_LIMIT => waiting.push_back(request),
             Some(_) | None => return KeepResponse::Refused,
--- a/crates/daemon/src/quarantine/traced_run.rs
+++ b/crates/daemon/src/quarantine/traced_run.rs
@@ -61,26 +61,26 @@
     }
 
     /// The replica did not run it.
-    pub(crate) const fn has_not_run(&mut self) {
+    pub(crate) const fn record_not_run(&mut self) {
         self.state = RunState::NotRun;
     }
 
-    /// No head of an answer came. Where no byte was written it has not run; otherwise see [`Self::broke`].
-    pub(crate) async fn got_no_answer(&mut self, error: SendError) {
+    /// No head of an answer came. Where no byte was written it has not run; otherwise see [`Self::record_broken`].
+    pub(crate) async fn record_send_error(&mut self, error: SendError) {
         match error {
-            SendError::Withheld | SendError::NotSent => self.has_not_run(),
-            SendError::Broken => self.broke().await,
+            SendError::Withheld | SendError::NotSent => self.record_not_run(),
+            SendError::Broken => self.record_broken().await,
         }
     }
 
     /// The replica gave a whole answer, good or not.
-    pub(crate) const fn ended_whole(&mut self) {
+    pub(crate) const fn record_complete(&mut self) {
         self.state = RunState::Whole;
     }
 
     /// The connection closed before a whole answer. Returns once it is known whether the replica refuses
     /// connections, so that the next sending of the request, here or elsewhere, is decided by that.
-    pub(crate) async fn broke(&mut self) {
+    pub(crate) async fn record_broken(&mut self) {
         self.report_broken(BreakCause::Closed);
         let quarantine = &self.context.quarantine;
         let replica = &self.run.replica;
