--- a/crates/daemon/src/ingress/batch_calls.rs
+++ b/crates/daemon/src/ingress/batch_calls.rs
@@ -1,7 +1,7 @@
 //! Callers' calls for batch jobs: submits them, reads their results and item bodies, through the owner of
 //! their shard.
 //!
-//! Owns nothing beyond one call. Relies on `batch` for the owner, and on [`job_places`] for whether a job can
+//! Owns nothing beyond one call. Relies on `batch` for the owner, and on [`job_placement`] for whether a job can
 //! be kept.
 
 use hyper::body::Incoming;
@@ -18,7 +18,7 @@
 use super::callers::Caller;
 use super::refusal::Refusal;
 use super::request_body::read_body;
-use super::{Ingress, headers, job_places};
+use super::{Ingress, headers, job_placement};
 use crate::batch::JobShard;
 use crate::http::{Body, request, response};
 
@@ -62,7 +62,7 @@
         }
     };
     let regions = table.allowed_regions(route, job.tenant.as_ref());
-    let shard = match job_places::shard(ingress, table, route, &regions, &job) {
+    let shard = match job_placement::shard(ingress, table, route, &regions, &job) {
         Ok(shard) => shard,
         Err(refusal) => return refusal.respond_within(&ingress.context, Some(&id), &regions),
     };
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -16,14 +16,14 @@
 mod forward;
 pub(crate) mod headers;
 mod in_flight;
-mod job_places;
+mod job_placement;
 pub mod pool;
 pub mod readiness;
 mod refusal;
 mod request_body;
+mod selector_update;
 pub mod sse;
 mod stream;
-mod warming;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -86,7 +86,7 @@
         let selection = Arc::new(Mutex::new(SelectionState::new(&context.node)));
         let early_ends = Arc::new(Semaphore::new(ends::MAX_EARLY_ENDS));
         let ingress = Self { context, pool, batch, selection, early_ends, origin: Instant::now() };
-        tokio::spawn(warming::watch(ingress.clone()));
+        tokio::spawn(selector_update::watch(ingress.clone()));
         ingress
     }
 
--- a/crates/daemon/src/quarantine/handle.rs
+++ b/crates/daemon/src/quarantine/handle.rs
@@ -1,6 +1,6 @@
 //! What a node knows of requests under which replicas end, as its other parts reach it.
 //!
-//! Owns the watch of crashes, the verdict in force, and what waits to be written by `spread`. Imports nothing of the
+//! Owns the watch of crashes, the verdict in force, and what waits to be written by `reporter`. Imports nothing of the
 //! node's other parts but its clock; what also changes their state stands in the module above.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! Every sender of this node, for plain requests, streams, items and scores, follows its runs by a
 //! `TracedRun`; the crashes that follow are reported to all nodes through the platform's metadata store by
-//! `spread`. The watch and the verdict in force are the handle's; the rules stand in the core's `quarantine`. Relies
+//! `reporter`. The watch and the verdict in force are the handle's; the rules stand in the core's `quarantine`. Relies
 //! on the node's metadata for replicas and reports.
 
 pub(crate) mod handle;
 pub(crate) mod records;
-mod spread;
+mod reporter;
 mod traced_run;
 
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 
 use self::handle::{QuarantineHandle, lock};
 use crate::context::Context;
-pub(crate) use spread::begin_trial;
-pub use spread::start;
+pub(crate) use reporter::begin_trial;
+pub use reporter::start;
 pub(crate) use traced_run::TracedRun;
 
 impl QuarantineHandle {
--- a/crates/daemon/src/quarantine/records.rs
+++ b/crates/daemon/src/quarantine/records.rs
@@ -1,5 +1,5 @@
 //! What the metadata store holds of the quarantine, as this node has read it: crash reports and trials by
-//! name, with the time at which a request of each last came. [`super::spread`] writes and removes them.
+//! name, with the time at which a request of each last came. [`super::reporter`] writes and removes them.
 
 use std::collections::BTreeMap;
 
