--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -1,9 +1,7 @@
-//! A candidate for the ownership of the batch jobs: asks the stores whether the owner still appends, and
-//! takes over.
+//! A candidate for the ownership of a shard of batch jobs: polls the stores to detect an owner that no longer
+//! appends, takes over the log, runs the [`Owner`], and hands over to the next candidate.
 //!
-//! Owns the polling, the takeover of the log and the hand-over to the next candidate. When to take over is
-//! decided in `core::batch::election`, who comes first in [`crate::ownership::order`]; what follows a takeover is
-//! the [`Owner`]'s.
+//! `core::batch::election` decides when to take over; [`crate::ownership::order`] ranks the candidates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,30 +37,28 @@
 use crate::store::replica_sets;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// Time between two polls of the stores. A quarter of the second of silence after which an owner is taken
-/// over from; longer delays a takeover by as much, shorter asks every store more often.
+/// Interval between two polls of the stores; delays a takeover by at most this much.
 const ELECTION_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A store that has not answered within this time counts as missing. Shorter, and busy stores make an owner
-/// leave; longer, and one that is cut off leaves after others took over.
+/// Timeout of one request to a store, after which the store counts as missing. Bounds how late an owner that
+/// is cut off notices it.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two heartbeats to the stores while the ledger is put together: as often as an owner appends
-/// when it has nothing to record, a fifth of the silence after which others take over.
+/// Interval between heartbeat appends while the ledger is recovered, so that no other candidate takes over.
 const RECOVERY_HEARTBEAT: Duration = Duration::from_millis(200);
-/// How long a successor may take to answer that it was asked to take over. An owner that leaves waits for it;
-/// a successor that does not answer finds the silence by itself.
+/// Timeout of the request to a successor to take over. A successor that misses it detects the silence by
+/// polling.
 const OWNERSHIP_HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks every live store that may keep the shard who leads.
+/// Asks every live store that may hold the shard who leads.
 pub(crate) async fn ask_stores(scope: &Scope) -> LeaderAnswers {
     let answers = join_all(scope.stores().into_iter().map(|store| ask_store(scope, store))).await;
     LeaderAnswers(answers.into_iter().flatten().collect())
 }
 
-/// Asks one store; `None` where it gives no answer in time.
+/// Asks one store; returns `None` if it does not answer in time.
 async fn ask_store(scope: &Scope, store: Member) -> Option<LeaderAnswer> {
     let request = StoreRequest::Leadership(scope.shard.clone());
     let peers = &scope.context.peers;
-    // Why a store gives no answer does not matter here: it counts as missing.
+    // A store that fails in any way counts as missing.
     let Ok(StoreResponse::Leadership(seen)) = peers.store(store.peer_address, request, STORE_TIMEOUT).await
     else {
         return None;
@@ -75,12 +71,12 @@
     Some(LeaderAnswer { store: store.node, leader })
 }
 
-/// A proposer's id is its node's name, a slash, and a random number.
+/// Extracts the node from a proposer's id, which is the node's name, a slash and a random number.
 fn node_of_proposer(proposer: &str) -> NodeId {
     NodeId::new(proposer.split('/').next().unwrap_or_default())
 }
 
-/// Runs until the node has stopped.
+/// Runs a candidate until the node has stopped.
 pub(super) async fn run(scope: Scope, pool: ReplicaPool, traffic: Handle, commands: mpsc::Receiver<Command>) {
     let stopped = scope.context.stopped.clone();
     let follower = LogFollower::spawn(scope.clone());
@@ -96,9 +92,9 @@
     pool: ReplicaPool,
     traffic: Handle,
     commands: mpsc::Receiver<Command>,
-    /// Turns so far at which the stores may have been asked.
+    /// Polls so far, including those at which the stores were not asked.
     polls: u64,
-    /// What an owner that can't reach its stores left.
+    /// Uncommitted progress received from an owner that could not reach its stores.
     offer: Option<ProgressOffer>,
     follower: LogFollower,
 }
@@ -118,7 +114,8 @@
         }
     }
 
-    /// Waits for the next poll; answers commands with who owns meanwhile.
+    /// Waits until the next poll is due or an owner asks this node to take over. Answers all other commands
+    /// with the known owner.
     async fn wait(&mut self) -> PollReason {
         let next = tokio::time::sleep(ELECTION_POLL_INTERVAL);
         tokio::pin!(next);
@@ -140,15 +137,14 @@
         }
     }
 
-    /// Whether to take over now, and how long the owner before has been silent.
+    /// Decides whether to take over now; if so, returns how long the previous owner has been silent.
     async fn poll(&mut self, reason: PollReason) -> Option<Duration> {
         let rank = order::rank(&self.scope);
         self.polls += 1;
         if reason == PollReason::Due && !election::should_poll(rank, self.polls) {
             return None;
         }
-        // The first set of the main shard is waited for; one that can't be made in its regions is not tried
-        // again and again.
+        // A regional shard whose regions have too few stores for a replica set is not attempted.
         if !self.scope.is_main() && self.scope.shortage().is_some() {
             return None;
         }
@@ -171,9 +167,9 @@
         }
     }
 
-    /// The answers that count, and how many are needed: a majority of the set in force, which may be smaller
-    /// or larger than the settings want. Where too few count, the set that this node has met may have been
-    /// replaced since.
+    /// Returns the answers of members of the replica set in force, and the majority that is needed. The set
+    /// may be smaller or larger than the settings require. If too few answers count, the cached set may be
+    /// outdated and is looked up again.
     async fn count_answers(&self, answers: &LeaderAnswers) -> (Vec<Option<ObservedLeader>>, usize) {
         let (context, shard) = (&self.scope.context, &self.scope.shard);
         let least = context.settings.store.set_size.minimum_members();
@@ -186,8 +182,8 @@
         (answers.counted(set.as_ref()), needed_of(set.as_ref()))
     }
 
-    /// Takes over from what was followed. Where nothing was, the outline of a long log is read first; another
-    /// may have taken over meanwhile.
+    /// Takes over, starting from the followed ledger if there is one. Otherwise reads the outline of a long
+    /// log first, and stops if another candidate has taken over meanwhile.
     async fn take_over(&mut self, reason: PollReason, idle: Duration, followed: Option<LedgerFollower>) {
         if followed.is_some() {
             return self.become_owner(reason, idle, followed, None).await;
@@ -218,18 +214,18 @@
         let (mut log, recovered) = match taken {
             Ok(taken) => taken,
             Err(error) => {
-                ::log::warn!(target: "batch", "The batch jobs are not taken over: {error}.");
+                ::log::warn!(target: "batch", "Failed to take over the batch jobs: {error}.");
                 return self.follower.put_back(followed.filter(|_| missing.is_none()));
             }
         };
         self.scope.owner.store(Some(Arc::new(self.scope.context.node.clone())));
-        // A snapshot stands for all that was followed.
+        // A snapshot replaces everything that was followed.
         let followed_bytes = followed.as_ref().filter(|_| recovered.snapshot.is_none());
         let followed_bytes = followed_bytes.map_or(0, LedgerFollower::held_bytes);
         let ledger = match recover_ledger(&mut log, &recovered, followed).await {
             Ok(ledger) => ledger,
             Err(error) => {
-                ::log::error!(target: "batch", "The log of the batch jobs can't be recovered: {error}.");
+                ::log::error!(target: "batch", "Failed to recover the log of the batch jobs: {error}.");
                 return self.scope.owner.store(None);
             }
         };
@@ -240,7 +236,7 @@
         self.run_owner(Takeover { log, ledger, held_bytes, last_epoch, idle, offer, missing }).await;
     }
 
-    /// Owns until the owner ends, and hands over where it left by itself.
+    /// Runs the owner until it ends, and hands over to the next candidate if it left or was cut off.
     async fn run_owner(&mut self, takeover: Takeover) {
         let owner = Owner::new(self.scope.clone(), self.pool.clone(), self.traffic.clone(), takeover);
         let end = owner.run(&mut self.commands).await;
@@ -264,8 +260,8 @@
         self.scope.context.decisions.record(decision.with("milliseconds", began.elapsed().as_millis()));
     }
 
-    /// Asks the next candidate to take over from this node. Without a candidate, or where it gives no answer,
-    /// the others notice by themselves that nobody appends.
+    /// Asks the next candidate to take over from this node. Without a candidate, or without its answer, the
+    /// others detect by polling that nobody appends.
     async fn hand_over(&self, offer: Option<ProgressOffer>) {
         let Some(successor) = order::best_other(&self.scope) else { return };
         let request = BatchRequest::TakeOver(offer);
@@ -277,16 +273,16 @@
     }
 }
 
-/// Why the ledger could not be put together.
+/// Error while the ledger is recovered from the log.
 #[derive(Debug, thiserror::Error)]
 enum RecoveryError {
-    #[error("a record can't be read: {0}; run the version of lichenpulleyd that wrote it")]
+    #[error("a record can't be decoded: {0}; run the version of lichenpulleyd that wrote it")]
     Codec(#[from] speedy::Error),
     #[error(transparent)]
     Log(#[from] ShardLogError),
 }
 
-/// Puts the ledger together, and shows the stores meanwhile that this node leads.
+/// Recovers the ledger from the log, appending heartbeats meanwhile so that the stores see a live leader.
 async fn recover_ledger(
     log: &mut ShardLog,
     recovered: &RecoveredLog,
@@ -296,7 +292,7 @@
     let now = || Timestamp::ORIGIN + began.elapsed();
     let (snapshot, records) = (recovered.snapshot.as_deref(), &recovered.records);
     let mut recovery = match followed {
-        // A snapshot stands for all that was followed.
+        // A snapshot replaces everything that was followed.
         Some(followed) if snapshot.is_none() => {
             LedgerRecovery::resume(followed.into_ledger(), records, RECOVERY_HEARTBEAT, now())
         }
@@ -304,7 +300,7 @@
     };
     loop {
         match recovery.step(now())? {
-            // The node's other tasks go on meanwhile.
+            // Lets the node's other tasks run.
             RecoveryStep::Working => tokio::task::yield_now().await,
             RecoveryStep::HeartbeatDue => log.append(vec![Record::Clock(0).encode()?]).await?,
             RecoveryStep::Done => return Ok(recovery.into_ledger()),
--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -1,9 +1,8 @@
-//! Ends of jobs that this node has read, brought to the owner whatever becomes of their callers.
+//! Delivers ends of jobs to the shards' owners, independently of the callers that requested them.
 //!
-//! An end is held here before it is asked for the first time, and copied to other nodes at once: it outlasts
-//! its caller's connection, owners that are lost before they kept it, and the node that read it. Owns the
-//! ends that are held here and the callers that wait; relies on `core::batch::pending_ends` for when the owner
-//! is asked.
+//! An end is stored here before the owner is first asked, and copied to other nodes at once, so that it
+//! survives its caller's connection, an owner that fails before the end is committed, and this node.
+//! `core::batch::pending_ends` decides when the owner is asked.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,16 +24,15 @@
 use crate::cluster::{Member, rendezvous_weight};
 use crate::context::Context;
 
-/// Other nodes that get a copy of an end: with the one that read it, two may be lost. Each further copy is a
-/// call between nodes for every end.
+/// Number of other nodes that get a copy of an end; with this node's own, two nodes may be lost.
 const COPIES: usize = 2;
-/// How long another node may take to hold an end. Longer delays the copy at a third node.
+/// Timeout of one request to another node to hold an end.
 const COPY_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a caller waits for the owner's answer; the end is held on. Above the 1.5 s for which the owner is
-/// searched.
+/// How long a caller waits for the owner's answer; longer than the search for the owner. The end stays
+/// pending afterwards.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// The ends that a node holds. Cheap to clone; usable from any runtime.
+/// The pending ends of a node. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
 pub(crate) struct EndHolder {
     context: Context,
@@ -46,9 +44,9 @@
 #[derive(Default)]
 struct HeldEnds {
     ends: PendingEnds,
-    /// Callers that wait for the owner's answer.
+    /// Callers that wait for the owner's answer, by end.
     waiting: BTreeMap<EndKey, Vec<oneshot::Sender<BatchResponse>>>,
-    /// Ends that other nodes have no copy of yet.
+    /// Ends that too few other nodes hold.
     uncopied: Vec<EndKey>,
 }
 
@@ -58,8 +56,8 @@
         Self { context, held: Arc::default(), changed: Arc::default(), origin }
     }
 
-    /// Holds an end that a caller asks for; what is returned waits for the owner's answer. The end is held
-    /// also where that is dropped.
+    /// Holds an end that a caller requests, and returns a future that waits for the owner's answer. The end
+    /// stays pending if the future is dropped.
     pub(crate) fn end(&self, key: EndKey) -> impl Future<Output = BatchResponse> + use<> {
         let (reply, answer) = oneshot::channel();
         {
@@ -74,7 +72,7 @@
         self.hold(key, EndSource::Caller);
         async move {
             let answered = tokio::time::timeout(CALLER_TIMEOUT, answer).await;
-            // No answer in time: the end is held on, and the caller may ask again.
+            // Without an answer in time the end stays pending, and the caller may ask again.
             answered.ok().and_then(Result::ok).unwrap_or(BatchResponse::Unavailable)
         }
     }
@@ -93,7 +91,7 @@
         self.changed.notify_one();
     }
 
-    /// The ends that are held, for operators.
+    /// Lists the pending ends for operators.
     pub(crate) fn list(&self) -> Vec<PendingEndStatus> {
         let now = self.now();
         let held = self.lock();
@@ -107,7 +105,7 @@
         held.ends.list(now).map(status).collect()
     }
 
-    /// Brings ends to their owners until the node has stopped.
+    /// Delivers ends to the owners until the node has stopped.
     pub(super) async fn run(self, jobs: BatchJobs) {
         let stopped = self.context.stopped.clone();
         tokio::select! {
@@ -162,7 +160,7 @@
             (held.ends.answered(self.now(), key, answer), held.waiting.remove(key))
         };
         for reply in waiting.into_iter().flatten() {
-            // A caller that has left is no matter.
+            // Sending fails only if the caller no longer waits.
             let _ = reply.send(response.clone());
         }
         if let Some(settled) = settled {
@@ -170,7 +168,7 @@
         }
     }
 
-    /// Tells why an end is not held any more.
+    /// Records why an end is no longer pending.
     fn settled(&self, settled: &SettledEnd) {
         let decision =
             Decision::new(Component::Rollout, "end_settled", settled.outcome.as_str(), &settled.key.batch);
@@ -178,7 +176,7 @@
         self.context.decisions.record(decision.with("questions", settled.attempts));
     }
 
-    /// An end that too few nodes hold is sent to others again, as long as it is held here.
+    /// Schedules another copy of an end that too few nodes hold, while it is still pending here.
     fn copy_finished(&self, key: EndKey, copies: usize) {
         let mut held = self.lock();
         if copies < COPIES && held.ends.holds(&key) {
@@ -186,11 +184,11 @@
         }
     }
 
-    /// Tells other nodes of an end; returns how many hold it.
+    /// Copies an end to other nodes; returns how many of them hold it.
     async fn copy_to_peers(&self, key: EndKey) -> (EndKey, usize) {
         let others = self.others(&key);
         if others.is_empty() {
-            // Nobody else is known yet, or ever.
+            // No other node is known.
             tokio::time::sleep(COPY_TIMEOUT).await;
             return (key, 0);
         }
@@ -214,13 +212,13 @@
         let request = HoldEnd { batch: key.batch.clone(), caller: key.caller.clone() };
         let copied = self.context.peers.hold_end(member.peer_address, request, COPY_TIMEOUT).await;
         if let Err(error) = &copied {
-            ::log::info!(target: "batch", "{} was not told of the end of {}: {error}.", member.node, key.batch);
+            ::log::info!(target: "batch", "Failed to copy the end of job {1} to node {0}: {error}.", member.node, key.batch);
         }
         copied.is_ok()
     }
 
-    /// Other nodes that can hold an end, in an order that differs from job to job: gateways of this region,
-    /// whose callers could have asked them as well.
+    /// Returns the other nodes that may hold an end: the gateways of this region, in an order that depends on
+    /// the job.
     fn others(&self, key: &EndKey) -> Vec<Member> {
         let context = &self.context;
         let region = |zone: &str| context.settings.places.zones.region(zone).cloned();
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -1,8 +1,7 @@
 //! Follows the log of the batch jobs on the node that would own them next.
 //!
-//! Reading the whole log is the longest part of a takeover. The first coordinator beside the owner reads what
-//! is decided as it comes, a quarter of a second behind, from one store after another; the others read
-//! nothing.
+//! Reading the complete log is the longest part of a takeover. The coordinator next in rank after the owner
+//! therefore reads decided entries continuously, from one store at a time; other candidates read nothing.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,15 +20,14 @@
 use crate::ownership::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
-/// Time between two readings once all that is decided was read. A takeover goes on from what was read: 16 ms
-/// after 6,709 records, where reading all took 1.5 s. Chosen, not measured: longer leaves more to read,
-/// shorter asks the stores more.
+/// Interval between two reads once all decided entries have been read. Bounds how much is left to read at a
+/// takeover.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(250);
-/// The part of the machine's memory that the followed log may take, in percent. Chosen, not measured: below
-/// the owner's bound of 35, so that what is followed here can also be owned here.
+/// Share of the machine's memory for the followed log, in percent. Lower than the owner's share, so that a
+/// log that can be followed here can also be owned here.
 const FOLLOWED_MEMORY_PERCENT: usize = 30;
 
-/// The follower's task, as the candidate sees it.
+/// Handle of the follower's task, held by the candidate.
 pub(super) struct LogFollower {
     shared: Arc<Shared>,
     task: AbortHandle,
@@ -38,7 +36,7 @@
 #[derive(Default)]
 struct Shared {
     followed: Mutex<Option<LedgerFollower>>,
-    /// Whether this node takes over or owns.
+    /// Whether this node is taking over or owns the shard.
     is_owning: AtomicBool,
 }
 
@@ -49,7 +47,7 @@
 }
 
 impl LogFollower {
-    /// Begins to follow whenever this node would own next.
+    /// Spawns a task that follows the log whenever this node would own the shard next.
     pub(super) fn spawn(scope: Scope) -> Self {
         let shared = Arc::<Shared>::default();
         let task =
@@ -57,18 +55,18 @@
         Self { shared, task: task.abort_handle() }
     }
 
-    /// What was followed so far; nothing more is followed until [`Self::resume`].
+    /// Takes what was followed so far, if it is complete. Following is paused until [`Self::resume`].
     pub(super) fn take(&self) -> Option<LedgerFollower> {
         self.shared.is_owning.store(true, Ordering::Relaxed);
         self.shared.lock().take().filter(LedgerFollower::is_complete)
     }
 
-    /// The takeover failed: what was followed is followed on.
+    /// Puts back what was followed, after a takeover has failed.
     pub(super) fn put_back(&self, followed: Option<LedgerFollower>) {
         *self.shared.lock() = followed;
     }
 
-    /// This node owns no longer.
+    /// Resumes following, once this node no longer owns the shard.
     pub(super) fn resume(&self) {
         self.shared.is_owning.store(false, Ordering::Relaxed);
     }
@@ -83,28 +81,28 @@
 struct Task {
     scope: Scope,
     shared: Arc<Shared>,
-    /// Which store is read, in the order of [`nearest`]; another after one that gave nothing.
+    /// Which store is read, in the order of [`nearest`]; advanced when a store returns nothing.
     store_turn: usize,
-    /// The owner that is followed.
+    /// The owner whose log is followed.
     owner: Option<FollowedOwner>,
 }
 
-/// An owner as this node sees it.
+/// An owner whose log is followed.
 struct FollowedOwner {
     node: NodeId,
     since: Instant,
-    /// Whether its log was too long for this node: it is not begun again under the same owner.
+    /// Whether its log was too long for this node; following is not retried under the same owner.
     is_too_long: bool,
 }
 
-/// What to do about the log now.
+/// What the follower does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FollowAction {
-    /// Read on.
+    /// Read the next page.
     Follow,
-    /// Keep what there is, and read nothing.
+    /// Keep what was read, and read nothing.
     Wait,
-    /// Another node follows.
+    /// Discard what was read: another node follows, or this node drains.
     Drop,
 }
 
@@ -148,7 +146,7 @@
         if !seen.is_too_long && (has_begun || has_waited) { FollowAction::Follow } else { FollowAction::Wait }
     }
 
-    /// Reads once; returns whether there is more.
+    /// Reads one page; returns whether there is more to read.
     async fn read_page(&mut self) -> bool {
         let Some(set) = replica_sets::find_among_stores(&self.scope.context, &self.scope.shard).await else {
             return false;
@@ -159,7 +157,7 @@
             return false;
         };
         let mut followed = self.shared.lock();
-        // It may have been taken meanwhile.
+        // The candidate may have taken the follower meanwhile.
         let Some(follower) = followed.as_mut().filter(|follower| follower.next() == next) else {
             return false;
         };
@@ -178,7 +176,7 @@
                 has_more
             }
             Err(error) => {
-                ::log::error!(target: "batch", "The log can't be followed: {error}.");
+                ::log::error!(target: "batch", "Failed to follow the log of the batch jobs: {error}.");
                 *followed = None;
                 false
             }
@@ -200,7 +198,7 @@
                 Some(DecidedPage { entries, base, decided_through })
             }
             Some(_) => {
-                // Another set may be in force.
+                // The cached set may be outdated.
                 self.scope.context.replica_sets.forget(&self.scope.shard);
                 None
             }
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -1,8 +1,8 @@
-//! The way to the owner of one shard of batch jobs, from any node.
+//! Routes requests from any node to the owner of one shard of batch jobs.
 //!
-//! Owns the channel to this node's candidate, where the node may own the shard. Relies on the stores for who
-//! leads where no node names the owner. It differs from `coordinator::forward`, whose requests can all be
-//! repeated: here a request that got no answer may have been taken, and the caller learns so.
+//! Where this node may own the shard, requests to it go to the local candidate. Where no node names the
+//! owner, the stores are asked who leads. All requests of `coordinator::forward` can be repeated; a request
+//! here that got no answer may have been accepted, and the caller receives `InDoubt`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,29 +17,26 @@
 use crate::ingress::pool::ReplicaPool;
 use crate::ownership::scope::Scope;
 
-/// Requests that wait for the owner before senders have to wait. Greater costs memory while the owner stands
-/// still; smaller makes peers wait in a burst.
+/// Capacity of the channel to the owner, in requests.
 const OWNER_COMMAND_BACKLOG: usize = 1_024;
-/// How long a request tries to reach the owner. A takeover after a second of silence fits; longer holds
-/// callers while nobody can own.
+/// How long a request tries to reach the owner; covers a takeover after one second of silence.
 const JOB_OWNER_SEARCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the owner may take, besides what a reader waits. Above the appends of a busy owner; longer delays
-/// the search for the next one.
+/// Timeout of one request to the owner, in addition to the time for which a reader waits.
 const OWNER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before the owner is looked up again. Shorter asks every store more often while nobody owns.
+/// Delay between two attempts to reach the owner.
 const JOB_OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One shard of batch jobs. Cheap to clone; usable from any runtime.
+/// Client of one shard of batch jobs. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
 pub(crate) struct JobShard {
     pub(crate) scope: Scope,
-    /// Where this node may own the shard.
+    /// Channel to the local candidate; `None` if this node may not own the shard.
     commands: Option<mpsc::Sender<Command>>,
 }
 
 impl JobShard {
-    /// Starts this node's part on `control`; runs of items go on `traffic`. A node that may not own only
-    /// asks.
+    /// Starts this node's candidate on `control` if the node may own the shard. Runs of items are spawned on
+    /// `traffic`.
     pub(super) fn start(scope: Scope, pool: ReplicaPool, control: &Handle, traffic: Handle) -> Self {
         let settings = &scope.context.settings;
         let can_own = settings.roles.coordinator && settings.platform.metadata_store.is_some();
@@ -51,19 +48,19 @@
         Self { scope, commands }
     }
 
-    /// Answers a peer, or names the owner.
+    /// Answers a request on this node, or returns `NotOwner` with the owner known here.
     pub(super) async fn answer(&self, request: BatchRequest) -> BatchResponse {
         let (reply, answer) = oneshot::channel();
         let Some(commands) = &self.commands else { return BatchResponse::NotOwner(self.scope.known_owner()) };
         if commands.send(Command { request, reply }).await.is_err() {
             return BatchResponse::NotOwner(self.scope.known_owner());
         }
-        // The owner's task ended before it answered.
+        // Without a reply, the owner's task ended before it answered.
         answer.await.unwrap_or(BatchResponse::InDoubt)
     }
 
-    /// Asks the owner, wherever it is, and waits while the ownership moves. `InDoubt` where the last owner
-    /// asked may have taken the request without an answer.
+    /// Sends a request to the owner on whichever node it is, retrying while the ownership moves. Returns
+    /// `InDoubt` if an owner may have accepted the request without answering.
     pub(crate) async fn ask(&self, request: BatchRequest) -> BatchResponse {
         let search_deadline = Instant::now() + JOB_OWNER_SEARCH_TIMEOUT;
         let wait = match &request {
@@ -92,8 +89,8 @@
         }
     }
 
-    /// Asks one node; `None` where it gave no answer and may have taken the request. Invariant: nothing goes
-    /// to a node where what the shard keeps may not be.
+    /// Sends a request to one node. Returns `None` if it did not answer and may have accepted the request.
+    /// Invariant: no request is sent to a node outside the regions in which the shard may be stored.
     async fn ask_node(
         &self,
         node: &NodeId,
@@ -111,13 +108,14 @@
             Ok(response) => Some(response),
             Err(error) if error.nothing_sent() => Some(BatchResponse::NotOwner(None)),
             Err(error) => {
-                ::log::info!(target: "batch", "The owner of {} gave no answer: {error}.", self.scope.shard);
+                ::log::info!(target: "batch", "The owner of {} did not answer: {error}.", self.scope.shard);
                 None
             }
         }
     }
 
-    /// Takes the owner that another node named, or asks the stores who owns.
+    /// Updates the known owner: to the one that another node named, or else to the one that the stores
+    /// report.
     async fn update_owner(&self, named: Option<NodeId>) {
         let owner = match named {
             Some(named) if Some(&named) != self.scope.known_owner().as_ref() => Some(named),
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -1,8 +1,9 @@
-//! Looks after the stores that keep the log of the batch jobs: has a member replaced whose disk is gone,
-//! which has not been seen for long, or whose machine the operator wants emptied; and has the set grow, or a
-//! member move, where it could tolerate more of the losses that the settings want.
+//! Maintains the replica set that stores the log of the batch jobs.
 //!
-//! Needs no platform: which set follows is decided by the log itself.
+//! A member is replaced when its disk was lost, when it has not answered for long, or when the operator
+//! retires its machine. A set with too few members grows, and a member moves to another store where the set
+//! then tolerates more of the losses that the settings require. Changes of the set are decided through the
+//! log itself and don't depend on the platform.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -24,31 +25,29 @@
 use crate::store::log_writer::Replacement;
 use crate::store::{exchange, placement, replica_sets};
 
-/// Time between two polls of the stores that keep the log. Shorter asks more, longer replaces a lost disk
-/// later.
+/// Interval between two polls of the stores.
 const KEEPER_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// A member that lacks no more decided entries than this is brought into the next set in some tenths of a
-/// second. More make the change of the set wait for the copy.
+/// Maximum number of decided entries that a staying member may lack for a change of the set to start, since
+/// the change waits until the missing entries are copied.
 const MAX_LAG_ENTRIES: u64 = 1_000;
-/// How long a change waits for members that stay to catch up, before it is begun all the same. Above the six
-/// seconds that copying to a member took, in which nothing is decided.
+/// How long a change of the set waits for staying members to catch up before it starts anyway.
 const MEMBER_CATCH_UP_TIMEOUT: Duration = Duration::from_secs(10);
-/// The node answers with another store: the disk was lost.
+/// The node has a new store: its disk was replaced.
 const REASON_DISK_REPLACED: &str = "disk_replaced";
 /// The store has not answered for long.
 const REASON_SILENT: &str = "not_seen";
-/// The operator wants the machine emptied.
+/// The operator retires the machine.
 const REASON_RETIRED: &str = "machine_leaves";
 
-/// The set was smaller than wanted, and another store has come.
+/// The set is smaller than required, and another store is available.
 const REASON_GROWTH: &str = "set_grows";
-/// A store elsewhere lets the set tolerate more losses.
+/// A store at another location lets the set tolerate more losses.
 const REASON_TOLERANCE: &str = "bears_more";
-/// How long the same change must be due before a set that is whole is changed: a store that restarts answers
-/// again within this time.
+/// How long the same improvement must be due before a set is changed whose members all answer. A restarting
+/// store answers again within this time.
 const IMPROVEMENT_DELAY: Duration = Duration::from_secs(3);
 
-/// The keeper's task, as the owner sees it.
+/// Handle of the maintenance task, held by the owner.
 pub(super) struct StoreKeeper {
     scope: Scope,
     sets: watch::Sender<ReplicaSet>,
@@ -59,14 +58,14 @@
 impl Drop for StoreKeeper {
     fn drop(&mut self) {
         self.task.abort();
-        // Another owner shows it from now on.
+        // The next owner reports these metrics from now on.
         let shard = self.sets.borrow().shard.clone();
         self.scope.context.metrics.placement().show(&shard, 0, FaultTolerance::default());
     }
 }
 
 impl StoreKeeper {
-    /// Begins to keep a set whole.
+    /// Starts maintaining a replica set.
     pub(super) fn start(scope: Scope, set: ReplicaSet) -> Self {
         show(&scope, &set);
         let (sets, followed) = watch::channel(set);
@@ -75,7 +74,8 @@
         Self { scope, sets, replacements, task: task.abort_handle() }
     }
 
-    /// The next member to replace. Nothing more comes until [`Self::follow`] names the set that resulted.
+    /// Waits for the next replacement. No further one is returned until [`Self::follow`] sets the resulting
+    /// replica set.
     pub(super) async fn next(&mut self) -> Replacement {
         match self.replacements.recv().await {
             Some(replacement) => replacement,
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Looks after another set from now on.
+    /// Continues with the replica set that resulted from a change.
     pub(super) fn follow(&self, set: ReplicaSet) {
         show(&self.scope, &set);
         self.sets.send_replace(set);
     }
 }
 
-/// The change that an improvement asks for. A set grows where the joining store is named as the leaving one
-/// too.
+/// Converts an improvement into a replacement. A set grows if the joining store is also named as the leaving
+/// one.
 fn to_replacement(step: Improvement) -> Replacement {
     match step {
         Improvement::Grow(joining) => {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Shows which losses a set tolerates.
+/// Reports in metrics and decisions which losses a set tolerates.
 fn show(scope: &Scope, set: &ReplicaSet) {
     let tolerance = placement::policy(&scope.context).fault_tolerance(&set.members);
     scope.context.metrics.placement().show(&set.shard, set.members.len(), tolerance);
@@ -117,11 +117,11 @@
     retirements: Retirements,
     answered_at: HashMap<StoreId, Instant>,
     began: Instant,
-    /// Since when a change has waited for members that stay.
+    /// Since when a change has waited for staying members to catch up.
     waiting_since: Option<Instant>,
-    /// The step by which the set could bear more, and since when it is the same.
+    /// The improvement that is due, and since when it has been the same.
     improvement: Option<(Improvement, Instant)>,
-    /// For which set and stores that step was worked out.
+    /// The set and stores for which the improvement was computed.
     improved_for: Option<(ReplicaSet, Vec<SetMember>)>,
 }
 
@@ -167,9 +167,8 @@
         }
     }
 
-    /// Whether enough members that stay have what is decided, so that the next set can decide without a long
-    /// copy. Nothing is decided while a set is changed: with a member of a majority that lacks the log, a
-    /// change took six seconds.
+    /// Returns whether enough staying members have nearly all decided entries. Nothing is decided during a
+    /// change of the set, so a change that first has to copy the log blocks all appends.
     async fn are_members_current(&self, set: &ReplicaSet, replacement: &Replacement) -> bool {
         let staying = set.members.iter().filter(|member| member.store != replacement.leaving);
         let marks = join_all(staying.map(|member| self.decided_through(set, member))).await;
@@ -178,18 +177,19 @@
         let current = marks.iter().flatten().filter(is_current).count();
         let needed = majority(set.members.len() + usize::from(replacement.reason == REASON_GROWTH));
         if current < needed {
-            ::log::info!(target: "batch", "{current} of {} members that stay have the log: the change waits.", marks.len());
+            ::log::info!(target: "batch", "Only {current} of {} staying members have caught up: the change of the replica set waits.", marks.len());
         }
         current >= needed
     }
 
-    /// The last entry that a member knows to be decided; `None` where it does not take part or answer.
+    /// Returns the last entry that a member knows to be decided, or `None` if it does not answer or is not a
+    /// member.
     async fn decided_through(&self, set: &ReplicaSet, member: &SetMember) -> Option<LogIndex> {
         let request = ReplicaRequest {
             shard: set.shard.clone(),
             generation: set.generation,
             store: member.store.clone(),
-            // No entry lies there: the answer holds the member's marks alone.
+            // No entry has this index, so the answer contains no entries.
             operation: Operation::ReadDecided(LogIndex(u64::MAX)),
         };
         let timeout = self.scope.context.settings.store.call_timeout;
@@ -207,7 +207,7 @@
         self.answered_at.retain(|store, _| set.member(store).is_some());
     }
 
-    /// The next change of the set: a member that must go comes first, then what lets the set bear more.
+    /// Returns the next change of the set: first a member that must leave, then an improvement.
     fn replacement(&mut self, set: &ReplicaSet, stores: &[SetMember]) -> Option<Replacement> {
         let retired = self.retirements.nodes();
         let Some((leaving, reason)) = self.leaving(set, stores, &retired) else {
@@ -224,7 +224,8 @@
         Some(Replacement { leaving: leaving.store.clone(), joining, reason })
     }
 
-    /// What lets the set bear more, where all of its members answer and the same step was due for a while.
+    /// Returns a change by which the set tolerates more losses, if all members answer and the same change has
+    /// been due for [`IMPROVEMENT_DELAY`].
     fn improvement(
         &mut self,
         set: &ReplicaSet,
@@ -252,8 +253,8 @@
         (since.elapsed() >= IMPROVEMENT_DELAY).then(|| to_replacement(step.clone()))
     }
 
-    /// The member that should go first, where all others answer: one change at a time, and none that leaves
-    /// too few.
+    /// Returns the member to replace first and the reason. Returns `None` if fewer than a majority answer. A
+    /// member whose machine is retired leaves only if all members answer.
     fn leaving<'a>(
         &self,
         set: &'a ReplicaSet,
@@ -284,8 +285,8 @@
         leaving.map(|member| (member, REASON_RETIRED))
     }
 
-    /// A machine is empty once none of its stores is a member, in no shard of batch jobs, and every member
-    /// answers. The main shard's owner says so for all.
+    /// Completes the retirement of machines that have no member in any shard of batch jobs, once every member
+    /// of this set answers. Only the main shard's owner does this, for all shards.
     async fn finish_retirements(&self, set: &ReplicaSet, stores: &[SetMember]) {
         let retired = self.retirements.nodes();
         let is_whole =
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -1,12 +1,12 @@
-//! Orders to replicas to load a version.
+//! Load orders: asks replicas to load a weight version and waits until they report it.
 //!
-//! This is the half that talks to replicas. Which replica loads what is decided in `core::batch::weights`,
-//! how many at once in `core::batch::load_limit`. The own interface orders its engines otherwise
-//! (`coordinator::weights_shard`): these report by another interface, know no number of orders, and are
-//! ordered in waves to one version.
+//! `core::batch::weights` decides which replica loads which version, `core::batch::load_limit` how many load
+//! at once. Engines of the native interface are ordered by `coordinator::weights_shard` instead: they report
+//! in another format, don't count orders, and are moved to one version in waves.
 //!
-//! An order that got no answer may be carried out later, so that only the replica's report is believed. Every
-//! order names the replica, the number of orders taken before it, and the owner's epoch as its fencing token.
+//! An order without an answer may be executed later, so only the replica's report proves a load. Every order
+//! carries the replica's name, the number of orders accepted before it, and the owner's epoch as a fencing
+//! token.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,42 +31,37 @@
 use crate::metrics::Latency;
 use lichenpulley_core::time::whole_millis;
 
-/// A call of a replica without an answer within this time is given up. Shorter takes slow replicas for ones
-/// that refused, longer keeps their place among the loads.
+/// Timeout of one call to a replica.
 const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time between two readings of a report once a load should be done: loads take about a second, and the limit
-/// of loads is found from times known to this (`core::batch::load_limit`). Shorter costs calls to replicas,
-/// longer blurs the times of loads.
+/// Interval between two reads of the report once a load may be complete. Limits the precision of the load
+/// times from which `core::batch::load_limit` derives the limit.
 const REPORT_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two readings of a report before that. A load that ends early is seen this late.
+/// Interval between two reads of the report before that; a load that ends early is noticed this late.
 const EARLY_REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// The part of the usual time of a load after which it may be done. Less costs calls.
+/// Fraction of the last load's duration after which a load may be complete.
 const POLL_START_FRACTION: f64 = 0.9;
-/// An order of which the report shows nothing after this time was lost. Reports lag; shorter repeats orders
-/// that were taken, longer blocks the replica.
+/// An order that the replica's report does not show after this time counts as lost. Reports may lag.
 const ORDER_LOST_TIMEOUT: Duration = Duration::from_millis(450);
-/// How often an order that was not taken is given again.
+/// Maximum number of times that a load is ordered.
 const MAX_ORDER_ATTEMPTS: u32 = 4;
-/// A load that is not done within this time is left to the next order. Some times the usual load; longer
-/// blocks a replica that lost its order.
+/// How long to wait for a load before the order is repeated.
 const LOAD_WAIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a load that failed, before the replica can be chosen again. Shorter spends the limit of loads
-/// on replicas that refuse.
+/// Delay after a failed load before the replica can be chosen again.
 const FAILURE_DELAY: Duration = Duration::from_millis(300);
 
-/// A load of a replica has ended.
+/// The end of a load at a replica.
 pub(super) struct LoadEnded {
     pub(super) replica: String,
     pub(super) end: LoadEnd,
 }
 
-/// Gives orders under one epoch.
+/// Sends load orders; every order carries one epoch as its fencing token.
 pub(super) struct LoadOrders {
     context: Context,
     http: HttpClient,
     epoch: Epoch,
     ends: mpsc::UnboundedSender<LoadEnded>,
-    /// How long the last load took, in milliseconds.
+    /// Duration of the last load in milliseconds.
     last_load_ms: Arc<AtomicU64>,
 }
 
@@ -76,7 +71,8 @@
         Self { context, http, epoch, ends, last_load_ms: Arc::default() }
     }
 
-    /// Begins a load; the order goes out only while the authority confirmed at `confirmed_at` holds.
+    /// Starts a load and reports its end on the channel given to [`Self::new`]. An order is sent only while
+    /// the authority confirmed at `confirmed_at` is valid.
     pub(super) fn begin(&self, load: Load, confirmed_at: BootInstant) {
         let record = self.context.metadata.replicas.load().records.get(&load.replica).cloned();
         let order = Order {
@@ -101,19 +97,19 @@
             if end.is_none() {
                 tokio::time::sleep(FAILURE_DELAY).await;
             }
-            // An order that was not taken says nothing of the versions: the next report will.
+            // Without an accepted order the loaded versions are unknown; the next report has them.
             let ended = LoadEnded { replica: order.load.replica, end: end.unwrap_or_default() };
-            // An error only says that the owner has ended.
+            // Sending fails only once the owner has ended.
             let _ = ends.send(ended);
         });
     }
 }
 
-/// Whether a replica took an order.
+/// Whether a replica accepted an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OrderAcceptance {
     Accepted,
-    /// It did not answer, or an earlier order is under way.
+    /// The replica did not answer, or an earlier order is in progress.
     Unknown,
     Rejected,
 }
@@ -129,14 +125,15 @@
 }
 
 impl Order {
-    /// Orders, and waits until the replica reports the version. `None` where the order was not taken.
+    /// Sends the order and waits until the replica reports the version. Returns `None` if the order was not
+    /// accepted.
     async fn run(&self, replica: &ReplicaRecord) -> Option<LoadEnd> {
         for _ in 0..MAX_ORDER_ATTEMPTS {
             let before = self.report(replica).await?;
             if self.is_loaded(&before) {
                 return Some(LoadEnd { versions: before.versions(), time: None });
             }
-            // An order that was given up may have been lost, or is under way after all.
+            // A previous order without a result may have been lost, or may still be in progress.
             let may_order = self.clock.since(self.confirmed_at) < CONFIRMED_FOR;
             let acceptance = if before.num_busy {
                 OrderAcceptance::Unknown
@@ -155,7 +152,8 @@
         None
     }
 
-    /// Waits until a load is done. `None` where the report shows that no order was taken, or after too long.
+    /// Waits until the load is complete. Returns `None` if the report shows that no order was accepted, or
+    /// after [`LOAD_WAIT_TIMEOUT`].
     async fn wait(
         &self,
         replica: &ReplicaRecord,
@@ -175,14 +173,14 @@
                 let took = began.elapsed();
                 self.last_load_ms.store(whole_millis(took), Ordering::Relaxed);
                 let time = LoadTime { at_least: last_seen_busy, at_most: took };
-                // When an order began that was not answered is not known.
+                // The start of a load is unknown if its order was not answered.
                 let time = (acceptance == OrderAcceptance::Accepted).then_some(time);
                 return Some(LoadEnd { versions: report.versions(), time });
             }
             if report.num_busy {
                 last_seen_busy = asked;
             }
-            // Reports lag: only after a while does an unchanged one show that the order was lost.
+            // Reports lag, so an unchanged report proves only after a while that the order was lost.
             let is_lost = !report.num_busy && report.seq == orders_before;
             if is_lost && began.elapsed() >= ORDER_LOST_TIMEOUT {
                 return None;
@@ -201,15 +199,15 @@
         let report: ReplicaReport = match answered {
             Ok(report) => report,
             Err(error) => {
-                ::log::debug!(target: "batch", "Replica {} gave no report: {error}.", replica.id);
+                ::log::debug!(target: "batch", "Failed to read the report of replica {}: {error}.", replica.id);
                 return None;
             }
         };
-        // What a later incarnation reports says nothing of this one: its orders are counted anew.
+        // A later incarnation counts its orders from zero, so its report does not apply.
         replica.is_author(report.started_at_ms()).then_some(report)
     }
 
-    /// Gives the order.
+    /// Sends the order once.
     async fn order(&self, replica: &ReplicaRecord, orders_before: u64) -> OrderAcceptance {
         let load = &self.load;
         let mode = LoadMode::Keep;
@@ -218,7 +216,7 @@
         let body = match serde_json::to_vec(&order) {
             Ok(body) => body,
             Err(error) => {
-                ::log::error!(target: "batch", "An order to {} can't be written: {error}.", replica.id);
+                ::log::error!(target: "batch", "Failed to encode a load order for replica {}: {error}.", replica.id);
                 return OrderAcceptance::Rejected;
             }
         };
@@ -232,7 +230,7 @@
                 if status == StatusCode::OK || status == StatusCode::ACCEPTED {
                     return OrderAcceptance::Accepted;
                 }
-                ::log::info!(target: "batch", "Replica {} refused an order: {status}.", replica.id);
+                ::log::info!(target: "batch", "Replica {} refused a load order: {status}.", replica.id);
                 OrderAcceptance::Rejected
             }
             Err(error) if error.nothing_sent() => OrderAcceptance::Rejected,
@@ -241,20 +239,20 @@
     }
 }
 
-/// A call that no other replica answers. `None` where it can't be built, which a log line tells.
+/// Builds a request that only this replica accepts. Logs the error and returns `None` on failure.
 fn build(replica: &ReplicaRecord, method: Method, path: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
     let mut request = match client::build(method, replica.address, path, body) {
         Ok(request) => request,
         Err(error) => {
-            ::log::error!(target: "batch", "A call of replica {} can't be built: {error}.", replica.id);
+            ::log::error!(target: "batch", "Failed to build a request to replica {}: {error}.", replica.id);
             return None;
         }
     };
     match replica.name.parse() {
         Ok(name) => _ = request.headers_mut().insert(headers::EXPECT_REPLICA, name),
-        // The report names its replica too, so that another's answer is still told apart.
+        // The report also names its replica, so an answer of another replica is still detected.
         Err(error) => {
-            ::log::debug!(target: "batch", "Replica {} has a name that no header can carry: {error}. Rename it.", replica.id)
+            ::log::debug!(target: "batch", "The name of replica {} is not a valid header value: {error}. Rename the replica.", replica.id)
         }
     }
     Some(request)
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -1,9 +1,9 @@
-//! Batch jobs: who owns them, and the way to the owner.
+//! Batch jobs: ownership of their shards, and routing of requests to the owners.
 //!
-//! The jobs of a deployment that may be kept anywhere are one shard of control work, and those bound to a set
-//! of regions another. A shard's owner holds its log under an epoch; that of the main shard is also the
-//! fencing token of the orders to replicas, which its owner alone gives. The candidates for ownership ask the
-//! stores whether the owner still appends.
+//! Jobs that may be stored anywhere form the main shard; the jobs bound to one set of regions form a shard of
+//! their own. The owner of a shard writes its replicated log under an epoch. The epoch of the main shard is
+//! also the fencing token of load orders to replicas, which only the main shard's owner sends. Candidates for
+//! ownership poll the stores to detect an owner that no longer appends.
 
 pub(crate) mod candidate;
 mod end_holder;
@@ -34,20 +34,20 @@
 pub(crate) use job_shard::JobShard;
 use regional_jobs::RegionalJobs;
 
-/// A request to the owner, and where its answer goes.
+/// A request to the owner, with the channel for its response.
 pub(super) struct Command {
     pub(super) request: BatchRequest,
     pub(super) reply: oneshot::Sender<BatchResponse>,
 }
 
 impl Command {
-    /// Answers; a caller that no longer waits is no matter.
+    /// Sends the response. A caller that no longer waits is ignored.
     pub(super) fn answer(self, response: BatchResponse) {
         let _ = self.reply.send(response);
     }
 }
 
-/// The way to the batch jobs. Cheap to clone; usable from any runtime.
+/// Client of the batch jobs. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
 pub struct BatchJobs {
     main: JobShard,
@@ -55,7 +55,7 @@
     regional: Arc<RegionalJobs>,
 }
 
-/// Starts the node's part in batch jobs on the current runtime; runs of items go on `traffic`.
+/// Starts this node's batch-job tasks on the current runtime. Runs of items are spawned on `traffic`.
 pub fn start(context: &Context, pool: ReplicaPool, traffic: Handle) -> BatchJobs {
     let control = Handle::current();
     let main = JobShard::start(Scope::main(context), pool.clone(), &control, traffic.clone());
@@ -70,12 +70,12 @@
 }
 
 impl BatchJobs {
-    /// Answers a peer about the main shard, or names its owner.
+    /// Answers a peer's request to the main shard, or returns `NotOwner` with the owner known here.
     pub async fn answer(&self, request: BatchRequest) -> BatchResponse {
         self.main.answer(request).await
     }
 
-    /// Answers a peer about another shard.
+    /// Answers a peer's request to a regional shard, or returns `NotOwner`.
     pub async fn answer_for(&self, shard: &ShardId, request: BatchRequest) -> BatchResponse {
         match self.regional.shard_by_id(shard) {
             Some(shard) => shard.answer(request).await,
@@ -83,36 +83,36 @@
         }
     }
 
-    /// The ends of jobs that this node holds.
+    /// Returns the holder of the job ends that are pending on this node.
     pub(crate) const fn ends(&self) -> &EndHolder {
         &self.ends
     }
 
-    /// Asks the owner of the main shard, which has the duties.
+    /// Sends a request to the owner of the main shard, which also holds the duties.
     pub async fn ask(&self, request: BatchRequest) -> BatchResponse {
         self.main.ask(request).await
     }
 
-    /// The shard that keeps the jobs of these regions; `None` where there are too many sets of regions.
+    /// Returns the shard for jobs bound to `regions`, or `None` if there are too many sets of regions.
     pub(crate) fn shard(&self, regions: &AllowedRegions) -> Option<JobShard> {
         if regions.is_all() { Some(self.main.clone()) } else { self.regional.shard(regions) }
     }
 
-    /// Every shard that this node has met, the main one first.
+    /// Returns the scopes of all shards known to this node, the main shard first.
     pub(crate) fn scopes(&self) -> Vec<Scope> {
         let regional = self.regional.all().into_iter().map(|shard| shard.scope);
         [self.main.scope.clone()].into_iter().chain(regional).collect()
     }
 
-    /// Remembers where a job was taken.
+    /// Remembers the shard that accepted a job.
     pub(crate) fn remember(&self, batch: &BatchId, shard: &JobShard) {
         if !shard.scope.is_main() {
             self.regional.remember(batch, &shard.scope.shard);
         }
     }
 
-    /// Asks about a job of which only its id is known: the shard where it was met, or else all of them at
-    /// once. It is unknown only where each says so.
+    /// Sends a request about a job whose shard is not given: to the shard remembered for it, or else to all
+    /// shards at once. Returns `Unknown` only if every shard asked does not know the job.
     pub(crate) async fn ask_about(&self, batch: &BatchId, request: BatchRequest) -> BatchResponse {
         let regional = self.regional.all();
         if regional.is_empty() {
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -1,8 +1,7 @@
-//! Reads a long log in two steps: first which events there are, from several stores at a time, then the
-//! texts.
+//! Reads a long log in two steps: first its outline, without the texts, from several stores in parallel; then
+//! the texts.
 //!
-//! This is the half that talks to stores; what an outline is and how it becomes a ledger stands in
-//! `core::batch::outline`.
+//! `core::batch::outline` defines the outline and how it becomes a ledger.
 
 use futures::future::join_all;
 use lichenpulley_core::batch::ledger::Ledger;
@@ -19,33 +18,29 @@
 use crate::ownership::scope::Scope;
 use crate::store::{exchange, replica_sets};
 
-/// A log of fewer entries is read whole at once: some megabytes. Chosen, not measured: the outline of a short
-/// log costs more rounds than it saves.
+/// Minimum number of entries for which the outline is read first; a shorter log is read completely at once.
 const MIN_OUTLINE_ENTRIES: u64 = 1_000;
-/// By how many decided entries a member may be behind another and still serve most of the log. Chosen, not
-/// measured.
+/// Maximum number of decided entries by which a reader may lag behind the most recent member.
 const MAX_READER_LAG: u64 = 500;
-/// How many call timeouts a store may take for a page: all that start after a loss of power read at a time.
-/// Chosen, not measured.
+/// Timeout for one page as a multiple of the call timeout. After a power loss many nodes read from the stores
+/// at the same time.
 const PAGE_ANSWER_TIMEOUTS: u32 = 3;
-/// Rounds of reading in which nothing more came before the log is read in the ordinary way. Chosen, not
-/// measured.
+/// Number of consecutive rounds without progress after which the outline is abandoned.
 const MAX_IDLE_ROUNDS: u32 = 2;
-/// How often the members of the log are asked for: all stores are known within half a second of a start
-/// together, that is five of these polls 100 ms apart.
+/// Maximum number of attempts to read the outline; covers the half second in which a node that has just
+/// started discovers the stores.
 const MAX_READ_ATTEMPTS: u32 = 6;
-/// The pause before a store that gave nothing is asked again. Chosen, not measured: shorter asks stores that
-/// are starting.
+/// Delay before a store that returned nothing is asked again.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What is read of a log.
+/// Which part of the entries is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadMode {
     Outline,
     Full,
 }
 
-/// Reads the outline of a log; `None` where it is short or can't be read this way.
+/// Reads the outline of a log. Returns `None` if the log is short or its outline can't be read.
 pub(super) async fn read(scope: &Scope) -> Option<LedgerFollower> {
     let mut attempts = 0;
     loop {
@@ -55,33 +50,33 @@
         };
         attempts += 1;
         if attempts >= MAX_READ_ATTEMPTS || !cause.is_transient() {
-            log::info!(target: "batch", "The log is not read by its outline: {cause}.");
+            log::info!(target: "batch", "The outline of the log is not used: {cause}.");
             return None;
         }
         tokio::time::sleep(STORE_RETRY_PAUSE).await;
     }
 }
 
-/// Why a log is not read by its outline.
+/// Why the outline of a log is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum OutlineError {
-    #[error("no store knows who keeps it; start a majority of its stores")]
+    #[error("no store knows its replica set; start a majority of its stores")]
     UnknownSet,
-    #[error("no member answered with what is decided; start a majority of its stores")]
+    #[error("no member returned decided entries; start a majority of its stores")]
     NoMember,
-    #[error("{0} entries are read at once")]
+    #[error("the log has only {0} entries and is read completely")]
     Short(u64),
-    #[error("it could be read through {read} of {through} entries")]
+    #[error("reading stopped at entry {read} of {through}; check the stores of the shard")]
     Stuck { read: LogIndex, through: LogIndex },
-    #[error("an entry is none of ours; run one version of lichenpulleyd on all nodes")]
+    #[error("an entry can't be decoded; run one version of lichenpulleyd on all nodes")]
     UnreadableEntry,
-    #[error("its beginning is missing")]
+    #[error("its first entries are missing")]
     Incomplete,
 }
 
 impl OutlineError {
-    /// Whether another try may find what this one did not: a node that has just started learns of the stores
-    /// one by one.
+    /// Returns whether another attempt may succeed. A node that has just started discovers the stores one by
+    /// one.
     const fn is_transient(self) -> bool {
         matches!(self, Self::UnknownSet | Self::NoMember)
     }
@@ -112,24 +107,24 @@
     Some(follower).filter(LedgerFollower::is_complete).ok_or(OutlineError::Incomplete)
 }
 
-/// What is read of a log behind its owner.
+/// Range of a log whose texts are read after the takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct MissingTexts {
-    /// The first position whose texts callers wait for, less one; the beginning where that is not known.
+    /// The position before the first entry of an open job; zero if it is unknown.
     pub(super) open_after: LogIndex,
-    /// The last one whose texts are missing.
+    /// The last position whose texts are missing.
     pub(super) through: LogIndex,
 }
 
 impl MissingTexts {
-    /// What an outline leaves out.
+    /// Returns the range that an outline leaves out.
     pub(super) fn of(outline: &LedgerFollower) -> Self {
         Self { open_after: outline.before_open_jobs().unwrap_or_default(), through: outline.through() }
     }
 }
 
-/// Reads the missing texts and hands them over: those of open jobs first, since their callers wait for them,
-/// then all.
+/// Reads the missing texts and sends them on `texts`: first those from the first open job on, since callers
+/// wait for them, then all.
 pub(super) async fn read_texts(scope: Scope, missing: MissingTexts, texts: mpsc::Sender<Ledger>) {
     for after in [missing.open_after, LogIndex::ZERO] {
         let ledger = read_between(&scope, after, missing.through).await;
@@ -139,7 +134,7 @@
     }
 }
 
-/// Reads a stretch of the log with its texts, however long it takes.
+/// Reads a range of the log with its texts, and retries until it is complete.
 async fn read_between(scope: &Scope, after: LogIndex, through: LogIndex) -> Ledger {
     let began = Instant::now();
     let mut follower = LedgerFollower::beginning_after(after);
@@ -175,13 +170,13 @@
     match follower.apply_page(page) {
         Ok(_) => Some(()),
         Err(error) => {
-            log::error!(target: "batch", "The log can't be read: {error}.");
+            log::error!(target: "batch", "Failed to decode the log of the batch jobs: {error}.");
             None
         }
     }
 }
 
-/// The outlines of a stretch of the log, each store reading a part of it.
+/// Reads the outline of a range of the log, one part of it from each reader.
 async fn read_in_parallel(
     scope: &Scope,
     set: &ReplicaSet,
@@ -219,29 +214,30 @@
     pages
 }
 
-/// Who keeps the log: as a store says that this node has heard of, or else as the platform does. The platform
-/// may name the first set; its members say which one followed.
+/// Returns the replica set of the log as known by a store, or else by the platform. The platform may name the
+/// first set; its members report later ones.
 async fn find_set(scope: &Scope) -> Option<ReplicaSet> {
     if let Some(set) = replica_sets::find_among_stores(&scope.context, &scope.shard).await {
         return Some(set);
     }
-    // Without a set the log is read in the ordinary way, whose error says why.
+    // Without a set the complete log is read, and that read reports the error.
     replica_sets::find(&scope.context, &scope.shard).await.ok()
 }
 
-/// Where the reading of an outline begins.
+/// The first page of an outline, and how to read the rest.
 struct OutlineStart {
     first: DecidedPage,
-    /// Members that have nearly all that is decided.
+    /// Members that have nearly all decided entries.
     readers: Vec<SetMember>,
-    /// What each of them knows to be decided; the rest is recovered with what is not known to be.
+    /// The last entry that every reader knows to be decided. Later ones are recovered together with undecided
+    /// entries.
     through: LogIndex,
 }
 
-/// The first page, and the members that can read on to its mark: a disk that was lost has none of the log,
-/// and a member that was brought in lately not all.
+/// Reads the first page from all members and selects the readers. A member whose disk was replaced has no
+/// entries, and one that joined recently may lack some.
 async fn find_readers(scope: &Scope, set: &ReplicaSet) -> Option<OutlineStart> {
-    // A member that is down is not waited for.
+    // The normal call timeout, so that a member that is down causes no long wait.
     let timeout = scope.context.settings.store.call_timeout;
     let first_page = |member| ask_within(scope, set, member, LogIndex::FIRST, ReadMode::Outline, timeout);
     let asked = set.members.iter().map(first_page);
@@ -263,7 +259,8 @@
     Some(OutlineStart { first, readers, through })
 }
 
-/// A member by its turn, those of this zone first, since bytes between zones are priced.
+/// Returns the member for a turn, counting members of this zone first, since traffic between zones costs
+/// money.
 pub(super) fn nearest<'a>(context: &Context, set: &'a ReplicaSet, turn: usize) -> Option<&'a SetMember> {
     let mut members: Vec<&SetMember> = set.members.iter().collect();
     members.sort_by_key(|member| member.zone != context.settings.zone);
@@ -308,7 +305,7 @@
             None
         }
         Some(_) => {
-            // Another set may be in force, where none that followed was learnt meanwhile.
+            // The cached set may be outdated, unless a newer one was cached meanwhile.
             let known = scope.context.replica_sets.get(&scope.shard);
             if known.is_none_or(|known| known.generation <= set.generation) {
                 scope.context.replica_sets.forget(&scope.shard);
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -1,9 +1,8 @@
-//! Drives the state machine of the batch jobs that this node owns.
+//! Owner of a shard of batch jobs: drives its state machine, `core::batch::controller`.
 //!
-//! Owns the controller, the log, what is under way at replicas, and the callers that wait, from a takeover
-//! until the node drains, a much more capable one can own, or the log is lost. Relies on the controller
-//! (`core::batch::controller`) for all that concerns jobs; the files beside this one each hold one of the
-//! owner's parts.
+//! Holds the controller, the log, the work in progress at replicas and the waiting callers. An owner runs
+//! from a takeover until the node drains, a much more capable node can own the shard, no store answers, or
+//! the log fails or is taken over by another owner.
 
 mod actions;
 mod callers;
@@ -47,31 +46,30 @@
 use crate::store::log_writer::AppendOutcome;
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// The part of the machine's memory that items and results may take, in percent. A follower may hold nearly
-/// as much on the same machine; more, and the machine runs out of memory; less, and hand-ins are refused
-/// early.
+/// Share of the machine's memory for items and results of the main shard, in percent. Leaves room for a
+/// followed log of nearly the same size on the same machine.
 const MAIN_MEMORY_PERCENT: usize = 35;
-/// The same for the jobs that are bound to some regions: a machine may own these beside the main shard.
+/// Share of the machine's memory for items and results of a regional shard, in percent. A machine may own
+/// regional shards in addition to the main shard.
 const REGIONAL_MEMORY_PERCENT: usize = 20;
-/// Margin above the order lease and the time for which an order may leave after its record. Covers clocks
-/// that run unlike; longer, and a new owner orders nothing for as much longer.
+/// Margin added to the order lease and to [`CONFIRMED_FOR`], for clocks that run at different rates.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 
-/// The batch jobs as a new owner takes them over.
+/// State that a new owner takes over.
 pub(super) struct Takeover {
-    /// Their log.
+    /// The log of the shard.
     pub(super) log: ShardLog,
-    /// What it amounts to.
+    /// The state recovered from the log.
     pub(super) ledger: Ledger,
-    /// Bytes of the log.
+    /// Size of the log in bytes.
     pub(super) held_bytes: usize,
     /// The epoch of the last owner that appended.
     pub(super) last_epoch: Epoch,
-    /// How long the owner before had been silent.
+    /// How long the previous owner had been silent.
     pub(super) idle: Duration,
-    /// What the owner before took and its stores don't keep.
+    /// Progress that the previous owner had received but could not commit.
     pub(super) offer: Option<ProgressOffer>,
-    /// Texts that were not read; none where the log was read whole.
+    /// Range of the log whose texts are still to be read; `None` if the log was read completely.
     pub(super) missing: Option<MissingTexts>,
 }
 
@@ -87,25 +85,25 @@
     running: RunningWork,
     calls: FencedCalls,
     callers: WaitingCallers,
-    /// The ledger with the texts that were not read when this owner began.
+    /// Receives ledgers with the texts that were missing at the takeover.
     texts: mpsc::Receiver<Ledger>,
     leave_monitor: LeaveMonitor,
-    /// Why the log can't be written any more.
+    /// The error after which the log can't be written any more.
     failure: Option<ShardLogError>,
 }
 
-/// Why a node owns the batch jobs no longer.
+/// Why an ownership ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum OwnerEnd {
-    /// It left them to another; all that it took is kept.
+    /// The node gave up the ownership after flushing its progress.
     Left,
-    /// It can't reach its stores, and leaves what they don't keep to another.
+    /// No store answers. The progress that is not committed is offered to the next owner.
     CutOff(ProgressOffer),
-    /// The log was lost to another or can't be written.
+    /// Another owner took over the log, or the log can't be written.
     Superseded,
 }
 
-/// What an owner waits for besides its own parts.
+/// Event sources of the owner outside its own fields.
 struct OwnerInputs<'a> {
     commands: &'a mut mpsc::Receiver<Command>,
     metadata: watch::Receiver<u64>,
@@ -113,17 +111,17 @@
     draining: CancellationToken,
 }
 
-/// Why an owner stops by itself.
+/// Why an owner stops while its log can still be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopReason {
-    /// The node drains, or a more capable one can own.
+    /// The node drains, or a much more capable node can own the shard.
     Leaves,
     /// No store answers.
     CutOff,
 }
 
 impl Owner {
-    /// The owner of what it has taken over.
+    /// Creates the owner from the state that it took over.
     pub(super) fn new(scope: Scope, pool: ReplicaPool, traffic: Handle, takeover: Takeover) -> Self {
         let context = scope.context.clone();
         let Takeover { log, ledger, held_bytes, last_epoch, idle, offer, missing } = takeover;
@@ -135,7 +133,7 @@
         let mut controller = Controller::new(controller_config(&scope), ledger, Timestamp::ORIGIN, lease);
         if let Some(offer) = offer {
             let adopted = controller.adopt(offer, last_epoch);
-            ::log::info!(target: "batch", "{adopted} events came from the owner before.");
+            ::log::info!(target: "batch", "Adopted {adopted} events from the previous owner.");
         }
         let missing = missing.filter(|_| controller.ledger().is_outline());
         let epoch = log.epoch();
@@ -155,7 +153,7 @@
         }
     }
 
-    /// Owns until the node drains, a much more capable one can own, or the log fails.
+    /// Runs until the ownership ends, and returns why.
     pub(super) async fn run(mut self, commands: &mut mpsc::Receiver<Command>) -> OwnerEnd {
         let mut ticks = tokio::time::interval(self.context.settings.batch.tick_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -174,7 +172,7 @@
         end
     }
 
-    /// Waits for the next event and takes it in.
+    /// Waits for the next event and handles it.
     async fn step(&mut self, inputs: &mut OwnerInputs<'_>) -> ControlFlow<StopReason> {
         tokio::select! {
             () = inputs.draining.cancelled() => return ControlFlow::Break(StopReason::Leaves),
@@ -185,8 +183,8 @@
             Some(ended) = self.calls.load_ends.recv() => self.handle_load(&ended),
             Some(ended) = self.calls.duty_ends.recv() => self.handle_duty(&ended),
             Some(ledger) = self.texts.recv() => self.fill_texts(ledger),
-            // Beside the reading of a whole log a change of the stores took 9.3 s, in which nothing is
-            // decided; 0.25 s after it.
+            // Nothing is committed while the replica set changes, and reading missing texts at the same
+            // time would make the change slow.
             replacement = self.stores.keeper.next(), if !self.controller.ledger().is_outline() => {
                 self.stores.log.replace(replacement);
             }
@@ -208,7 +206,7 @@
         ControlFlow::Continue(())
     }
 
-    /// How the ownership ends, once the stores keep what an owner that leaves made.
+    /// Determines how the ownership ended. An owner that leaves flushes its progress first.
     async fn end_ownership(&mut self, stop: Option<StopReason>) -> OwnerEnd {
         match stop {
             None => OwnerEnd::Superseded,
@@ -232,7 +230,7 @@
     fn update(&mut self) {
         let now = self.now();
         let metadata = &self.context.metadata;
-        // Nothing is started at replicas before it is known which of them may be sent anything.
+        // Without the evacuated zones it is unknown which replicas may receive requests.
         if !metadata.knows_evacuations() {
             return;
         }
@@ -256,7 +254,7 @@
         self.controller.set_confirmed(self.stores.is_confirmed());
         let now = self.now();
         self.controller.run_event(now, run, event);
-        // A burst is taken in at once.
+        // Handles all queued events before the actions that they cause.
         while let Ok((run, event)) = self.running.run_events.try_recv() {
             self.controller.run_event(now, run, event);
         }
@@ -306,14 +304,14 @@
     fn compact(&mut self) {
         match self.controller.snapshot() {
             Ok(Some(snapshot)) => self.stores.log.compact(snapshot),
-            // Records are on their way: the next append tries again.
+            // Appends are pending; compaction is retried after the next one.
             Ok(None) => {}
-            Err(error) => ::log::error!(target: "batch", "The log can't be compacted: {error}."),
+            Err(error) => ::log::error!(target: "batch", "Failed to compact the log of batch jobs: {error}."),
         }
     }
 }
 
-/// The controller's settings for a shard on this machine. Only the owner of the main shard has duties.
+/// Builds the controller's configuration for a shard on this machine. Only the main shard has duties.
 fn controller_config(scope: &Scope) -> ControllerConfig {
     let settings = &scope.context.settings;
     let config = ControllerConfig::default();
@@ -325,7 +323,7 @@
     ControllerConfig { capacity_bytes, duties, zones, regions, ..config }
 }
 
-/// Begins to read the texts that an owner lacks, where any are missing.
+/// Starts reading the missing texts, if any, and returns the channel on which they arrive.
 fn read_missing(scope: &Scope, missing: Option<MissingTexts>) -> mpsc::Receiver<Ledger> {
     let (sender, texts) = mpsc::channel(1);
     if let Some(missing) = missing {
@@ -334,7 +332,7 @@
     texts
 }
 
-/// Reads the texts that an owner lacks and hands them to it, unless it ends before.
+/// Reads the missing texts and sends them to the owner; stops when the owner ends.
 async fn read_texts(scope: Scope, missing: MissingTexts, texts: mpsc::Sender<Ledger>) {
     tokio::select! {
         () = outline::read_texts(scope, missing, texts.clone()) => {}
--- a/crates/daemon/src/batch/owner/actions.rs
+++ b/crates/daemon/src/batch/owner/actions.rs
@@ -1,11 +1,11 @@
-//! Carries out the actions of the state machine of the batch jobs.
+//! Executes the actions that the controller of the batch jobs emits.
 
 use lichenpulley_core::batch::controller::Action;
 
 use super::Owner;
 
 impl Owner {
-    /// Carries out all actions that are due.
+    /// Executes all pending actions of the controller.
     pub(super) fn execute_actions(&mut self) {
         while let Some(action) = self.controller.poll_action() {
             match action {
--- a/crates/daemon/src/batch/owner/callers.rs
+++ b/crates/daemon/src/batch/owner/callers.rs
@@ -1,9 +1,9 @@
-//! What callers and other nodes ask of the owner.
+//! Handles requests of callers and other nodes at the owner.
 //!
-//! Invariants: what was asked is answered only under a confirmed authority; that there is no such job is said
-//! only under one that was confirmed after the question came, since a later owner may have taken the job while
-//! the last confirmation still holds. Those who have to wait are kept by
-//! [`WaitingCallers`](super::waiting::WaitingCallers).
+//! Invariants: requests are answered only while the owner's authority is confirmed. `Unknown` for a job that
+//! is absent is returned only after a confirmation that began after the request arrived, since a later owner
+//! may have accepted the job while the previous confirmation is still valid.
+//! [`WaitingCallers`](super::waiting::WaitingCallers) holds the requests that have to wait.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::batch::Command;
 
 impl Owner {
-    /// Answers a command, or lets its caller wait.
+    /// Answers a command, or queues it until its response is available.
     pub(super) fn handle_command(&mut self, command: Command) {
         if !self.stores.is_confirmed() {
             return command.answer(BatchResponse::Unavailable);
@@ -52,7 +52,7 @@
                 self.callers.add_usage(source, through, command);
                 self.answer_writers();
             }
-            // It is owned already.
+            // This node owns the shard already.
             BatchRequest::TakeOver(_) => command.answer(BatchResponse::Ended),
         }
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether a job is another tenant's: to this caller it is as if it weren't there.
+    /// Returns whether a job belongs to another tenant; the caller is then told that it is unknown.
     fn is_hidden(&self, batch: &BatchId, caller: Option<&TenantName>) -> bool {
         self.controller.ledger().job(batch).is_some_and(|state| !state.job.is_open_to(caller))
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether a request wants to read of a job that is not kept here.
+    /// Returns whether a request reads a job that is not in the ledger.
     fn lacks_job_of(&self, request: &BatchRequest) -> bool {
         let reads = matches!(request, BatchRequest::Read { .. } | BatchRequest::ItemBody { .. });
         reads && !self.keeps_job_of(request)
@@ -90,7 +90,7 @@
         request.job().is_some_and(|batch| self.controller.ledger().job(batch).is_some())
     }
 
-    /// An append was decided: answers those who asked for unknown jobs before it began.
+    /// Answers lookups of absent jobs that arrived before the last confirmed append began.
     pub(super) fn answer_lookups(&mut self) {
         for command in self.callers.take_confirmed_lookups(self.stores.confirmed_at()) {
             if self.keeps_job_of(&command.request) {
@@ -113,12 +113,12 @@
         body().map_or(BatchResponse::Unknown, BatchResponse::Body)
     }
 
-    /// Answers callers whose writes are kept.
+    /// Answers callers whose writes are committed.
     pub(super) fn answer_writers(&mut self) {
         self.callers.answer_writers(self.controller.ledger());
     }
 
-    /// Answers readers whose results are there, and those who have waited long enough.
+    /// Answers readers whose results are available or whose wait has expired.
     pub(super) fn answer_readers(&mut self) {
         self.callers.answer_readers(self.controller.ledger(), self.stores.is_confirmed());
     }
--- a/crates/daemon/src/batch/owner/fenced_calls.rs
+++ b/crates/daemon/src/batch/owner/fenced_calls.rs
@@ -1,5 +1,5 @@
-//! Calls that carry the owner's epoch as their fencing token: orders to replicas to load a version, and the
-//! duties towards the platform.
+//! Calls that carry the owner's epoch as a fencing token: load orders to replicas, and duty calls to the
+//! platform.
 
 use lichenpulley_core::identity::Epoch;
 use tokio::sync::mpsc;
@@ -8,20 +8,20 @@
 use crate::context::Context;
 use crate::duties::{DutyCalls, DutyEnded};
 
-/// Calls under one epoch, and how they ended.
+/// Clients for fenced calls of one epoch, with the channels on which outcomes arrive.
 pub(super) struct FencedCalls {
-    /// Begins loads.
+    /// Sends load orders.
     pub(super) loads: LoadOrders,
-    /// Loads that have ended.
+    /// Receives the outcomes of load orders.
     pub(super) load_ends: mpsc::UnboundedReceiver<LoadEnded>,
-    /// Begins calls of duties.
+    /// Sends duty calls.
     pub(super) duties: DutyCalls,
-    /// Calls of duties that have ended.
+    /// Receives the outcomes of duty calls.
     pub(super) duty_ends: mpsc::UnboundedReceiver<DutyEnded>,
 }
 
 impl FencedCalls {
-    /// Nothing is under way yet.
+    /// Creates the clients; no call is in progress.
     pub(super) fn new(context: &Context, epoch: Epoch) -> Self {
         let (load_sender, load_ends) = mpsc::unbounded_channel();
         let (duty_sender, duty_ends) = mpsc::unbounded_channel();
--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -1,7 +1,7 @@
-//! How an owner leaves the batch jobs.
+//! Orderly end of an ownership: flushing progress and stopping all work.
 //!
-//! When it leaves is decided in `core::batch::leaving` (a more capable node) and `core::batch::cut_off` (no
-//! store answers).
+//! `core::batch::leaving` decides when to leave for a more capable node, `core::batch::cut_off` when no store
+//! can be reached.
 
 use std::time::Duration;
 
@@ -10,12 +10,11 @@
 use super::Owner;
 use crate::ownership::order;
 
-/// How long an owner that leaves waits for the stores to keep its progress. Chosen, not measured: shorter,
-/// and runs begin again further back; longer, and nobody works meanwhile.
+/// How long an owner that leaves waits until its progress is committed.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Owner {
-    /// Has the stores keep all progress, within bounds.
+    /// Appends all progress and waits until it is committed, up to [`FLUSH_TIMEOUT`].
     pub(super) async fn flush(&mut self) {
         self.controller.set_confirmed(false);
         self.controller.flush_progress(self.now());
@@ -30,23 +29,24 @@
         }
     }
 
-    /// Whether a machine that is much more capable has been there for long enough to own in this one's place.
+    /// Returns whether a much more capable machine has been available for long enough to own the shard
+    /// instead.
     pub(super) fn should_leave(&mut self) -> bool {
         let own = self.context.settings.machine.capacity();
         let better = order::best_other(&self.scope).filter(|other| own.is_worth_leaving_for(other.capacity));
         let node = better.as_ref().map(|better| &better.node);
         let is_due = self.leave_monitor.poll(node, self.stores.is_confirmed(), self.now());
         if let Some(better) = better.filter(|_| is_due) {
-            ::log::info!(target: "batch", "The batch jobs are left to {} ({} against {own}).", better.node, better.capacity);
+            ::log::info!(target: "batch", "Leaving the batch jobs to {}, whose capacity is {}; this node's is {own}.", better.node, better.capacity);
         }
         is_due
     }
 
-    /// Ends all that is under way.
+    /// Stops all runs and score requests, and answers all waiting callers.
     pub(super) fn stop_all_work(mut self) {
         self.context.metrics.set_batch_items(self.scope.metric_label(), 0, 0);
         if let Some(error) = &self.failure {
-            ::log::warn!(target: "batch", "The batch jobs are given up: {error}.");
+            ::log::warn!(target: "batch", "The ownership of the batch jobs ended: {error}.");
         }
         self.running.stop_all();
         self.callers.close();
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -1,8 +1,7 @@
-//! The owner's side of the stores that keep its log: writes, the confirmation of its authority, the
-//! replacement of members, and the suspicion that it is cut off.
+//! The owner's interface to the stores of its log: appends, confirmation of its authority, replacement of
+//! members, and detection that it is cut off.
 //!
-//! Owns the log's writer and the keeper of its replica set. Relies on `core::batch::cut_off` for when to ask
-//! the stores and when to leave.
+//! `core::batch::cut_off` decides when to probe the stores and when to leave.
 
 use std::time::Duration;
 
@@ -18,45 +17,46 @@
 use crate::store::log_writer::{AppendMode, LogWriter, RecordFormat};
 use crate::store::shard_log::ShardLog;
 
-/// What was read under a confirmation may be shown for this long. A later owner began after it as a rule: others
-/// wait for a second of silence (`batch.takeover_after_ms`) and then for the promises of the stores. Two that
-/// waited for the same owner may follow each other sooner, so that what this one lacks proves nothing.
+/// How long a confirmation of the owner's authority is valid. Other candidates usually take over only after
+/// a second of silence (`batch.takeover_after_ms`) and the promises of the stores, which is longer. Two
+/// candidates that waited for the same owner may take over in quicker succession, so a job that is absent
+/// here may still exist at a later owner.
 pub(in crate::batch) const CONFIRMED_FOR: Duration = Duration::from_millis(600);
 
-/// How records of batch jobs become bytes of the log.
+/// Encoding of batch-job records in the log.
 const RECORD_FORMAT: RecordFormat<Record> = RecordFormat { part: "batch", encode };
 
-/// A record that can't be written is left out; those beside it in the append are kept.
+/// Encodes a record. One that can't be encoded is left out of its append; the others are appended.
 fn encode(record: Record) -> Option<Vec<u8>> {
     match record.encode() {
         Ok(bytes) => Some(bytes),
         Err(error) => {
-            ::log::error!(target: "batch", "A record can't be written: {error}.");
+            ::log::error!(target: "batch", "Failed to encode a record of the batch jobs: {error}.");
             None
         }
     }
 }
 
-/// The stores, as the owner deals with them.
+/// Access of an owner to the stores of its log.
 pub(super) struct OwnedStores {
     scope: Scope,
-    /// Writes to the log.
+    /// Writer of the log.
     pub(super) log: LogWriter<Record>,
-    /// Says which member to replace.
+    /// Determines which member of the replica set to replace.
     pub(super) keeper: StoreKeeper,
-    /// Counts the time in which the machine is suspended: others take over meanwhile.
+    /// Includes time in which the machine is suspended, during which others may take over.
     clock: BootClock,
-    /// When the last append that is known to be decided was begun.
+    /// When the last append that is known to be committed began.
     confirmed_at: BootInstant,
     cut_off: CutOffMonitor,
     probe_sender: mpsc::UnboundedSender<ProbeResult>,
-    /// Replies to the question whether any store can be reached.
+    /// Receives results of probes whether any store can be reached.
     pub(super) probe_results: mpsc::UnboundedReceiver<ProbeResult>,
 }
 
 impl OwnedStores {
-    /// The stores of a log that has just been taken over, which confirms the authority. The log holds
-    /// `held_bytes` bytes.
+    /// Creates the access to a log that has just been taken over and holds `held_bytes` bytes. The takeover
+    /// counts as a confirmation of the authority.
     pub(super) fn new(scope: Scope, log: ShardLog, held_bytes: usize) -> Self {
         let (probe_sender, probe_results) = mpsc::unbounded_channel();
         let clock = scope.context.boot_clock.clone();
@@ -72,27 +72,28 @@
         }
     }
 
-    /// The clock by which the authority is confirmed.
+    /// Returns the clock that measures the age of confirmations.
     pub(super) const fn clock(&self) -> &BootClock {
         &self.clock
     }
 
-    /// When the last append that is known to be decided was begun.
+    /// Returns when the last append that is known to be committed began.
     pub(super) const fn confirmed_at(&self) -> BootInstant {
         self.confirmed_at
     }
 
-    /// Invariant: nothing is shown, started or ordered on an authority that was not confirmed lately.
+    /// Returns whether the last confirmation is still valid. Invariant: without a valid confirmation no
+    /// result is returned, no run is started and no order is sent.
     pub(super) fn is_confirmed(&self) -> bool {
         self.clock.since(self.confirmed_at) < CONFIRMED_FOR
     }
 
-    /// An append that was begun at `began` is decided.
+    /// Records that an append that began at `began` is committed.
     pub(super) fn confirm(&mut self, began: BootInstant) {
         self.confirmed_at = self.confirmed_at.max(began);
     }
 
-    /// Asks all stores whether any can be reached, where none has answered for too long.
+    /// Probes all stores if none has answered for too long.
     pub(super) fn probe_if_silent(&mut self) {
         let unconfirmed_for = self.clock.since(self.confirmed_at);
         let is_silent = cut_off::is_silent(unconfirmed_for, self.log.silent_for());
@@ -104,12 +105,12 @@
             let began = Instant::now();
             let answered = candidate::ask_stores(&scope).await.answered();
             let reply = ProbeResult { answered, took: began.elapsed(), timeout: candidate::STORE_TIMEOUT };
-            // An error only says that the owner has ended.
+            // Sending fails only once the owner has ended.
             let _ = probe_results.send(reply);
         });
     }
 
-    /// Whether the stores' reply says that this owner is cut off from them.
+    /// Returns whether the result of a probe shows that this owner is cut off from its stores.
     pub(super) fn is_cut_off_by(&mut self, reply: ProbeResult) -> bool {
         self.cut_off.probe_ended(reply) == CutOffStep::Leave
     }
--- a/crates/daemon/src/batch/owner/waiting.rs
+++ b/crates/daemon/src/batch/owner/waiting.rs
@@ -1,8 +1,8 @@
-//! Callers that wait for the owner's answer.
+//! Callers that wait for a response of the owner.
 //!
-//! Owns their commands. Invariants: a hand-in, an end or counts of usage are answered only once a majority of
-//! stores keeps them; nothing of a job is shown to another tenant, nor while its texts are missing; a job is
-//! unknown only once an append that began after the question is decided.
+//! Invariants: a submission, an end or a usage report is acknowledged only once it is committed. Results of a
+//! job are not returned to another tenant, nor while its texts are missing. A job is reported as unknown only
+//! once an append that began after the lookup is committed.
 
 use std::time::Duration;
 
@@ -15,11 +15,10 @@
 use crate::batch::Command;
 use crate::boot_clock::BootInstant;
 
-/// Longest answer with results, in bytes of text: a page that the link of a weak machine carries in a fraction
-/// of a second; smaller costs callers more calls.
+/// Maximum size of one page of results, in bytes of text.
 const MAX_PAGE_BYTES: usize = 700 << 10;
 
-/// A reader that waits for a result.
+/// A caller that waits for results of a job.
 struct Reader {
     batch: BatchId,
     from: u64,
@@ -28,22 +27,22 @@
     command: Command,
 }
 
-/// Counts of usage that are on their way to the stores.
+/// A caller that waits until its usage report is committed.
 struct UsageWriter {
-    /// The incarnation of the node that counted.
+    /// Incarnation of the node that counted.
     source: String,
-    /// All its entries before this one are kept once these counts are.
+    /// All entries of the source before this position must be committed.
     through: u64,
     command: Command,
 }
 
-/// A question about a job that is not kept here.
+/// A request for a job that is not in the ledger, pending a confirmation of the authority.
 struct PendingLookup {
     asked_at: BootInstant,
     command: Command,
 }
 
-/// Everyone who waits.
+/// All callers that wait for a response.
 #[derive(Default)]
 pub(super) struct WaitingCallers {
     submissions: Vec<(BatchId, Command)>,
@@ -54,33 +53,33 @@
 }
 
 impl WaitingCallers {
-    /// A job was handed in that is on its way to the stores.
+    /// Adds a caller whose submitted job is being appended.
     pub(super) fn add_submission(&mut self, batch: BatchId, command: Command) {
         self.submissions.push((batch, command));
     }
 
-    /// The end of a job is on its way to the stores.
+    /// Adds a caller that ends a job and whose record is being appended.
     pub(super) fn add_end(&mut self, batch: BatchId, command: Command) {
         self.ends.push((batch, command));
     }
 
-    /// Counts of usage are on their way to the stores.
+    /// Adds a caller whose usage report is being appended.
     pub(super) fn add_usage(&mut self, source: String, through: u64, command: Command) {
         self.usages.push(UsageWriter { source, through, command });
     }
 
-    /// A question about a job that is not kept here was asked at `asked_at`.
+    /// Adds a request, received at `asked_at`, for a job that is not in the ledger.
     pub(super) fn add_lookup(&mut self, asked_at: BootInstant, command: Command) {
         self.lookups.push(PendingLookup { asked_at, command });
     }
 
-    /// Takes the questions that were asked before `confirmed_at`.
+    /// Removes and returns the lookups that were received no later than `confirmed_at`.
     pub(super) fn take_confirmed_lookups(&mut self, confirmed_at: BootInstant) -> Vec<Command> {
         let ready = self.lookups.extract_if(.., |lookup| lookup.asked_at <= confirmed_at);
         ready.map(|lookup| lookup.command).collect()
     }
 
-    /// A caller reads results from the position `from` on, and waits for the first of them.
+    /// Adds a caller that reads results from position `from` on and waits up to `wait` for the first one.
     pub(super) fn add_reader(
         &mut self,
         batch: BatchId,
@@ -92,7 +91,7 @@
         self.readers.push(Reader { batch, from, until: Instant::now() + wait, caller, command });
     }
 
-    /// Answers those whose writes are kept.
+    /// Answers callers whose writes are committed.
     pub(super) fn answer_writers(&mut self, ledger: &Ledger) {
         self.answer_submissions(ledger);
         self.answer_usages(ledger);
@@ -130,7 +129,8 @@
         }
     }
 
-    /// Answers readers whose results are there, and those who have waited long enough.
+    /// Answers readers whose results are available or whose wait has expired. Without a confirmed authority,
+    /// answers all readers and lookups with `Unavailable`.
     pub(super) fn answer_readers(&mut self, ledger: &Ledger, is_confirmed: bool) {
         if !is_confirmed {
             self.refuse_lookups();
@@ -151,14 +151,15 @@
         }
     }
 
-    /// Nobody can say now whether there are such jobs.
+    /// Answers all lookups with `Unavailable`, since the owner's ledger may be outdated.
     fn refuse_lookups(&mut self) {
         for lookup in self.lookups.drain(..) {
             lookup.command.answer(BatchResponse::Unavailable);
         }
     }
 
-    /// The owner has ended: what was to be kept may or may not be, and readers ask the next owner.
+    /// Answers all callers when the ownership ends: writers with `InDoubt`, since their records may or may
+    /// not be committed, and readers and lookups with `Unavailable`.
     pub(super) fn close(&mut self) {
         let jobs = self.submissions.drain(..).chain(self.ends.drain(..)).map(|(_, command)| command);
         let usages = self.usages.drain(..).map(|waiting| waiting.command);
@@ -173,7 +174,7 @@
 }
 
 impl Reader {
-    /// The answer; `None` while the reader goes on waiting.
+    /// Returns the response, or `None` while the reader should wait.
     fn response(&self, ledger: &Ledger, now: Instant) -> Option<BatchResponse> {
         let may_wait = now < self.until;
         let Some(job) = ledger.job(&self.batch) else { return Some(BatchResponse::Unknown) };
@@ -191,7 +192,7 @@
     }
 }
 
-/// The tenant that hands a job in.
+/// Returns the tenant that submits a job.
 const fn submitting_tenant(command: &Command) -> Option<&TenantName> {
     match &command.request {
         BatchRequest::Submit(job) => job.tenant.as_ref(),
@@ -199,7 +200,7 @@
     }
 }
 
-/// Results from a position on, as many as fit an answer.
+/// Returns results from position `from` on, up to [`MAX_PAGE_BYTES`] but at least one if there is any.
 fn results(job: &JobState, from: u64) -> BatchResponse {
     let mut bytes = 0;
     let mut results = Vec::new();
@@ -214,7 +215,7 @@
     BatchResponse::Results { total: job.job.items.len() as u64, results }
 }
 
-/// A result with its item's id. Only items of the job are listed, so that there always is one.
+/// Converts a result for the response, adding its item's id. Every result refers to an item of the job.
 fn to_listed(job: &JobState, result: &ItemResult) -> ListedResult {
     let item = job.job.items.get(result.item as usize).map(|item| item.id.clone()).unwrap_or_default();
     ListedResult { item, result: result.clone() }
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -1,8 +1,8 @@
-//! The shards of the batch jobs that may be kept in some regions only.
+//! Shards of batch jobs that may be stored only in certain regions.
 //!
-//! A node takes part in those whose regions hold it, from when a configuration names them until it stops, so
-//! that jobs outlast a change of their route's regions. A deployment whose settings name no regions starts
-//! nothing of this.
+//! A node takes part in the shards whose regions include it, from when a configuration first names them until
+//! the node stops, so that jobs survive a change of their route's regions. Without regions in the settings,
+//! no configuration is followed.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,11 +19,10 @@
 use crate::ingress::pool::ReplicaPool;
 use crate::ownership::scope::Scope;
 
-/// Jobs whose shard is remembered; of others every shard is asked. Chosen, not measured: fewer cost a
-/// question to every shard for each call of a job.
+/// Maximum number of jobs whose shard is remembered. Requests for other jobs go to every shard.
 const MAX_REMEMBERED_JOBS: usize = 1_024;
 
-/// All shards of some regions that this node has met.
+/// All regional shards known to this node.
 pub(super) struct RegionalJobs {
     context: Context,
     pool: ReplicaPool,
@@ -36,7 +35,7 @@
 struct KnownShards {
     shards: BTreeMap<ShardId, JobShard>,
     by_job: HashMap<BatchId, ShardId>,
-    /// Jobs in the order in which they were met, the oldest first.
+    /// Remembered jobs, the oldest first, for eviction.
     job_order: VecDeque<BatchId>,
 }
 
@@ -45,7 +44,7 @@
         Self { context, pool, control, traffic, known: Mutex::default() }
     }
 
-    /// Takes part in what each configuration names, until the node has stopped.
+    /// Joins the shards that each new configuration names, until the node has stopped.
     pub(super) async fn follow(&self) {
         let mut changes = self.context.metadata.watch();
         let mut seen = None;
@@ -64,19 +63,20 @@
 
     fn join_shards(&self, table: &RouteTable) {
         for region in regional::unknown_regions(table, &self.context.settings.places.zones) {
-            log::warn!(target: "batch", "`allowed_regions` names {region}, where no zone of `places.zones` lies: what is bound to it alone is refused.");
+            log::warn!(target: "batch", "`allowed_regions` names {region}, which has no zone in `places.zones`: requests and jobs bound to it alone are refused. Add its zones or remove the region.");
         }
         let sets = regional::region_sets(table);
         let count = sets.len();
         if count > MAX_SHARDS {
-            log::error!(target: "batch", "The configuration binds batch jobs to {count} sets of regions; {MAX_SHARDS} are kept: name fewer sets in `allowed_regions`.");
+            log::error!(target: "batch", "The configuration binds batch jobs to {count} sets of regions, but at most {MAX_SHARDS} are supported: name fewer sets in `allowed_regions`.");
         }
         for regions in sets.into_iter().take(MAX_SHARDS) {
             self.shard(&regions);
         }
     }
 
-    /// The shard of these regions; `None` where there are too many already.
+    /// Returns the shard of these regions, starting it if it is new. Returns `None` if there are already
+    /// [`MAX_SHARDS`].
     pub(super) fn shard(&self, regions: &AllowedRegions) -> Option<JobShard> {
         let mut known = self.known();
         let id = regional::shard_of(regions);
@@ -96,23 +96,23 @@
         Some(shard)
     }
 
-    /// The shard of this name, where this node has met it.
+    /// Returns the shard with this id, if it is known to this node.
     pub(super) fn shard_by_id(&self, id: &ShardId) -> Option<JobShard> {
         self.known().shards.get(id).cloned()
     }
 
-    /// All shards that this node has met.
+    /// Returns all regional shards known to this node.
     pub(super) fn all(&self) -> Vec<JobShard> {
         self.known().shards.values().cloned().collect()
     }
 
-    /// The shard in which a job was met; `None` where it is not remembered, and the main one's name for the
-    /// main one.
+    /// Returns the shard in which a job was last found, which may be the main shard, or `None` if it is not
+    /// remembered.
     pub(super) fn shard_of_job(&self, batch: &BatchId) -> Option<ShardId> {
         self.known().by_job.get(batch).cloned()
     }
 
-    /// Remembers where a job is kept.
+    /// Remembers the shard of a job.
     pub(super) fn remember(&self, batch: &BatchId, shard: &ShardId) {
         let mut known = self.known();
         if known.by_job.insert(batch.clone(), shard.clone()).is_some() {
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -1,7 +1,7 @@
 //! Runs one item of a batch job at one replica.
 //!
-//! Owns the connection from the request to the last event. What becomes of an item whose run ended is the
-//! controller's choice.
+//! Owns the connection from the request to the last event. The controller decides how an item continues after
+//! its run has ended.
 
 use std::time::Duration;
 
@@ -25,15 +25,13 @@
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
 
-/// A connection to a replica that is not made within this time is given up. Chosen, not measured: some round
-/// trips of a busy machine; longer holds an item at a replica that is gone.
+/// Timeout for connecting to a replica.
 const RUN_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An item that leaves this long after it was decided gets a log line: its job may have ended since. Chosen,
-/// not measured.
+/// An item that is sent this long after the controller started it is logged, since its job may have ended.
 const LATE_SEND_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Runs an item and tells the owner of its events. Dropping it closes the connection, by which the replica
-/// drops the item.
+/// Runs an item and sends its events to the owner. Dropping the future closes the connection, which makes the
+/// replica drop the item.
 pub(super) async fn run(
     context: Context,
     pool: ReplicaPool,
@@ -51,13 +49,13 @@
             if error == SendError::Withheld { RunEnd::Rejected } else { RunEnd::Broken }
         }
     };
-    // What it ended with is known before the owner starts the item anew.
+    // Records the outcome for quarantine before the owner may start the item again.
     drop(traced);
     if end == RunEnd::Broken {
-        ::log::debug!(target: "batch", "{}: the run of {} at {} broke off.", context.node, start.item.id, start.replica.id);
+        ::log::debug!(target: "batch", "{}: the run of {} at {} ended early.", context.node, start.item.id, start.replica.id);
     }
     context.metrics.observe(Latency::ItemRun, end.as_str(), began.elapsed());
-    // An error only says that the owner has ended.
+    // Sending fails only once the owner has ended.
     let _ = events.send((run, RunEvent::Ended(end))).await;
 }
 
@@ -68,15 +66,14 @@
     decided_at: BootInstant,
 ) -> Result<HttpExchange, SendError> {
     let request = build(start).map_err(|error| {
-        // The ingress has parsed each part of the item, so that a retry elsewhere fails in the same way: this
-        // line says why.
-        ::log::error!(target: "batch", "{} can't be sent: {error}. Hand it in again with a valid path and headers.", start.item.id);
+        // The ingress has already parsed each part of the item, so a retry elsewhere fails in the same way.
+        ::log::error!(target: "batch", "Item {} can't be sent: {error}. Submit it again with a valid path and headers.", start.item.id);
         SendError::NotSent
     })?;
     let may_send = || {
         let waited = context.boot_clock.since(decided_at);
         if waited >= LATE_SEND_THRESHOLD {
-            ::log::warn!(target: "batch", "{} is sent to {} {} ms after that was decided.", start.item.id, start.replica.id, waited.as_millis());
+            ::log::warn!(target: "batch", "Item {} is sent to replica {} {} ms after it was started.", start.item.id, start.replica.id, waited.as_millis());
         }
         !context.metadata.is_closed(&start.replica)
     };
@@ -108,9 +105,9 @@
     Ok(request)
 }
 
-/// The version of events for which the replica names none.
+/// Weight version of events for which the replica names none.
 const UNKNOWN_VERSION: u64 = 0;
-/// The urgency that a replica takes where none is named.
+/// Urgency that a replica assumes without the header.
 const NEUTRAL_URGENCY: u8 = 5;
 
 async fn read(
@@ -140,7 +137,7 @@
     RunEnd::Complete
 }
 
-/// Notes what an answer without events says of the run.
+/// Records in the trace how a run ended whose answer has no events.
 fn trace_head(traced: &mut TracedRun, end: &RunEnd) {
     match end {
         RunEnd::Rejected | RunEnd::OtherReplica => traced.has_not_run(),
@@ -149,26 +146,26 @@
     }
 }
 
-/// Passes the events of one answer on to the owner.
+/// Forwards the events of one answer to the owner.
 struct EventReader<'a> {
     start: &'a RunStart,
     events: &'a mpsc::Sender<(RunId, RunEvent)>,
-    /// The version that the newest event, or else the head, names.
+    /// Weight version named by the newest event, or else by the response head.
     version: u64,
     splitter: EventSplitter,
 }
 
 impl EventReader<'_> {
-    /// Reads until the body ends. The error is the run's end, where the connection or an event broke or the
-    /// owner has ended.
+    /// Reads until the body ends. Returns the run's end as the error if the connection breaks, an event can't
+    /// be parsed, or the owner has ended.
     async fn read_all(&mut self, body: &mut Incoming, traced: &mut TracedRun) -> Result<(), RunEnd> {
         while let Some(frame) = body.frame().await {
-            // Why the connection broke does not matter: the run is resumed elsewhere.
+            // The cause is irrelevant: the run is resumed elsewhere.
             let Ok(frame) = frame else {
                 traced.broke().await;
                 return Err(RunEnd::Broken);
             };
-            // Trailers carry no events.
+            // Trailers contain no events.
             let Ok(bytes) = frame.into_data() else { continue };
             self.splitter.push(&bytes);
             self.forward_events().await?;
@@ -176,21 +173,21 @@
         Ok(())
     }
 
-    /// Passes on the events that are whole.
+    /// Forwards all complete events.
     async fn forward_events(&mut self) -> Result<(), RunEnd> {
         loop {
             let event = match self.splitter.next_event() {
                 Ok(Some(event)) => event,
                 Ok(None) => return Ok(()),
                 Err(error) => {
-                    ::log::info!(target: "batch", "{} at {}: the events can't be read: {error}.", self.start.item.id, self.start.replica.id);
+                    ::log::info!(target: "batch", "Failed to parse the events of item {} from replica {}: {error}.", self.start.item.id, self.start.replica.id);
                     return Err(RunEnd::Broken);
                 }
             };
             self.version = event.version.unwrap_or(self.version);
             let Some(number) = event.number else { continue };
             let output = OutputEvent { number, version: self.version, data: event.data };
-            // An error says that the owner has ended.
+            // Sending fails only once the owner has ended.
             if self.events.send((self.start.run, RunEvent::Event(output))).await.is_err() {
                 return Err(RunEnd::Broken);
             }
@@ -198,18 +195,18 @@
     }
 }
 
-/// The version that the answer's head names; events that name their own go before it. Without either an event
-/// counts as made by version 0, which no job accepts that asks for a version.
+/// Returns the weight version named by the response head, which applies to events that name none themselves.
+/// Without either, an event counts as made by version 0, which jobs that require a version don't accept.
 fn version_of_head(fields: &hyper::HeaderMap, start: &RunStart) -> u64 {
     let Some(value) = fields.get(headers::WEIGHT_VERSION) else { return UNKNOWN_VERSION };
     let version = value.to_str().ok().and_then(|version| version.trim().parse().ok());
     version.unwrap_or_else(|| {
-        ::log::warn!(target: "batch", "{} at {}: the version {value:?} can't be read. Mend what the replica names.", start.item.id, start.replica.id);
+        ::log::warn!(target: "batch", "Item {} at replica {}: invalid weight version {value:?}. Correct the header that the replica sends.", start.item.id, start.replica.id);
         UNKNOWN_VERSION
     })
 }
 
-/// The end of a run whose answer's head says it all; `None` where events follow.
+/// Returns the end of a run if the response head determines it, or `None` if events follow.
 fn end_by_head(response: &Response<Incoming>, item: &str) -> Option<RunEnd> {
     let fields = response.headers();
     let status = response.status();
@@ -232,7 +229,7 @@
     }
 }
 
-/// Whether the end of the body differs from a connection that broke.
+/// Returns whether the end of the body can be distinguished from a broken connection.
 fn is_framed(fields: &hyper::HeaderMap) -> bool {
     fields.contains_key(hyper::header::CONTENT_LENGTH)
         || fields.contains_key(hyper::header::TRANSFER_ENCODING)
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -1,7 +1,7 @@
 //! Sends one score request to one replica.
 //!
-//! Owns the connection until the whole answer has come. When a request is sent again is decided in
-//! `core::batch::score_plan`.
+//! Owns the connection until the complete answer is received. `core::batch::score_plan` decides when a
+//! request is repeated.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -19,19 +19,18 @@
 use crate::metrics::Latency;
 use crate::quarantine::TracedRun;
 
-/// Longest answer of a scorer that is read, in bytes. Chosen, not measured: its body is not used, only that
-/// it is whole; smaller refuses scores of wordy scorers.
+/// Maximum size of a scorer's answer, in bytes. The body is not used; it only has to be complete.
 const MAX_SCORE_ANSWER_BYTES: usize = 8 << 20;
 
 /// The end of a score request.
 pub(super) struct ScoreEnded {
     pub(super) id: ScoreId,
     pub(super) end: ScoreEnd,
-    /// Requests in hand at the replica, where it said so.
+    /// Requests in progress at the replica, if it reported them.
     pub(super) busy: Option<u32>,
 }
 
-/// Sends a score request and tells the owner how it ended. Dropping it closes the connection.
+/// Sends a score request and reports its end to the owner. Dropping the future closes the connection.
 pub(super) async fn score(
     context: Context,
     pool: ReplicaPool,
@@ -41,10 +40,10 @@
     let began = Instant::now();
     let mut busy = None;
     let answer = tokio::time::timeout(start.timeout, send(&context, &pool, &start, &mut busy)).await;
-    // An answer that is not whole within the timeout counts like one that broke off.
+    // An answer that is incomplete at the timeout counts as broken off.
     let end = answer.unwrap_or(ScoreEnd::Broken);
     context.metrics.observe(Latency::Score, end.as_str(), began.elapsed());
-    // An error only says that the owner has ended.
+    // Sending fails only once the owner has ended.
     let _ = ends.send(ScoreEnded { id: start.id, end, busy });
 }
 
@@ -52,7 +51,7 @@
     let request = match build(start) {
         Ok(request) => request,
         Err(error) => {
-            ::log::error!(target: "batch", "{} can't be sent: {error}. Hand its job in again with a valid path and host of the scorer.", start.request.id);
+            ::log::error!(target: "batch", "Score request {} can't be sent: {error}. Submit its job again with a valid path and host of the scorer.", start.request.id);
             return ScoreEnd::Broken;
         }
     };
@@ -72,7 +71,7 @@
     if !fields::echoes(&head.headers, Some(&start.request.id)) {
         return ScoreEnd::Broken;
     }
-    // Only a whole answer counts: one that breaks off proves nothing.
+    // An incomplete answer does not prove that the request was scored.
     if Limited::new(body, MAX_SCORE_ANSWER_BYTES).collect().await.is_err() {
         traced.broke().await;
         return ScoreEnd::Broken;
@@ -98,7 +97,7 @@
     Ok(request)
 }
 
-/// What a whole answer to its own request says.
+/// Classifies a complete answer by its status and headers.
 fn classify_answer(status: StatusCode, head: &hyper::HeaderMap) -> ScoreEnd {
     if head.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
         return ScoreEnd::Rejected;
--- a/crates/daemon/src/duties/mod.rs
+++ b/crates/daemon/src/duties/mod.rs
@@ -1,7 +1,7 @@
-//! Duties towards the platform: the calls of their holder, and what each node counts for it.
+//! HTTP calls to the platform for its duties (usage reports and replica scaling), and the usage counts that
+//! each node collects for them.
 //!
-//! This is the half that makes calls. What a duty is stands in `core::duties`, when one is due in
-//! `core::batch::controller`.
+//! `core::duties` defines the duties; `core::batch::controller` decides when a call is due.
 
 pub(crate) mod node_usage;
 mod usage;
@@ -21,17 +21,16 @@
 pub use usage::RunCount;
 pub(crate) use usage::{report_usage, wall_time};
 
-/// A call without an answer within this time is made again. The platform answers calm calls within some
-/// milliseconds. Chosen, not measured: shorter repeats calls that were taken, longer reports a window late.
+/// Timeout of one call to the platform, after which the call is repeated.
 const DUTY_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A call has ended.
+/// A call that has ended, with its outcome.
 pub(crate) struct DutyEnded {
     pub(crate) call: DutyCall,
     pub(crate) end: DutyOutcome,
 }
 
-/// Makes calls under one epoch.
+/// Client for duty calls; every call carries one epoch as its fencing token.
 pub(crate) struct DutyCalls {
     context: Context,
     http: HttpClient,
@@ -45,7 +44,8 @@
         Self { context, http, epoch, ends }
     }
 
-    /// Begins a call; it leaves only while `may_call`, the authority of its holder, holds.
+    /// Starts a call and reports its outcome on the channel given to [`Self::new`]. Where `may_call` is
+    /// false, because the holder's authority is not confirmed, nothing is sent and the call counts as missed.
     pub(crate) fn begin(&self, call: DutyCall, may_call: bool) {
         let ends = self.ends.clone();
         let request_future = self.make(&call).filter(|_| may_call);
@@ -54,7 +54,7 @@
                 Some(request_future) => request_future.await,
                 None => DutyOutcome::Missed,
             };
-            // An error only says that the holder has ended.
+            // Sending fails only once the holder has stopped.
             let _ = ends.send(DutyEnded { call, end });
         });
     }
@@ -64,7 +64,7 @@
         let body = match cloud::body(call) {
             Ok(body) => body,
             Err(error) => {
-                log::error!(target: "duties", "A call can't be written: {error}.");
+                log::error!(target: "duties", "Failed to encode a duty call: {error}.");
                 return None;
             }
         };
@@ -93,7 +93,7 @@
     }
 }
 
-/// A call that can't be built counts as missed, and is made again: the line says why it never arrives.
+/// Logs why a call could not be built. Such a call counts as missed and is repeated.
 fn log_unbuildable(error: &impl std::fmt::Display) {
-    log::error!(target: "duties", "A call can't be built: {error}. Mend the platform's address or the node's name.");
+    log::error!(target: "duties", "Failed to build a duty call: {error}. Correct the platform's address or the node's name.");
 }
--- a/crates/daemon/src/duties/node_usage.rs
+++ b/crates/daemon/src/duties/node_usage.rs
@@ -1,6 +1,5 @@
-//! What this node counts of requests that began to run, until a holder of the duty has taken it.
-//!
-//! Owns the meter. Usable from any thread; the counts are handed over by [`super::usage`].
+//! Usage counts of this node: requests that began to run and are not yet acknowledged by the holder of the
+//! usage duty. [`super::usage`] reports them.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,23 +10,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time between two looks at whether all is handed over.
+/// Interval at which a stopping node checks whether all counts are reported.
 const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Counts requests that began to run on this node. Usable from any thread; the lock is held for a moment
-/// only.
+/// Counts the requests that began to run on this node. Thread-safe; the lock is held only for short,
+/// non-blocking operations.
 #[derive(Debug)]
 pub struct NodeUsage {
     meter: Mutex<UsageMeter>,
     pub(super) counted: Notify,
     pub(super) origin: Instant,
-    /// This incarnation of this node.
+    /// Identifies this incarnation of the node in reports.
     pub(super) source: String,
     pub(super) is_enabled: bool,
 }
 
 impl NodeUsage {
-    /// Nothing is counted yet. Where usage `is_wanted` by nobody nothing ever is.
+    /// Creates an empty count. Nothing is ever counted unless usage `is_enabled`.
     pub fn new(node: &str, is_enabled: bool) -> Self {
         let incarnation: u32 = rand::random();
         Self {
@@ -39,14 +38,14 @@
         }
     }
 
-    /// A request of a tenant began to run at `at`.
+    /// Counts a request of a tenant that began to run at `at`.
     pub(super) fn count(&self, at: Instant, tenant: TenantName) {
         let at = Timestamp::ORIGIN + at.saturating_duration_since(self.origin);
         self.meter().count(at, tenant);
         self.counted.notify_one();
     }
 
-    /// Waits at most `limit` until all that was counted is handed over; a line says what is left.
+    /// Waits up to `limit` until all counts are reported, and logs how many are left.
     pub(crate) async fn wait_until_reported(&self, limit: Duration) {
         let deadline = Instant::now() + limit;
         while !self.meter().is_empty() && Instant::now() < deadline {
@@ -54,7 +53,7 @@
         }
         let left = self.meter().len();
         if left > 0 {
-            log::warn!(target: "duties", "{left} requests are missing from the usage: no holder took them before this node stopped. Stop nodes one after the other.");
+            log::warn!(target: "duties", "{left} requests are missing from the usage: no holder accepted them before this node stopped. Stop nodes one at a time.");
         }
     }
 
--- a/crates/daemon/src/duties/usage.rs
+++ b/crates/daemon/src/duties/usage.rs
@@ -1,7 +1,5 @@
-//! Which requests count, and how the counts reach the holder of the duty.
-//!
-//! Owns the hand-over; what was counted and not yet taken is [`super::node_usage`]'s. Relies on the batch jobs for the
-//! way to the holder.
+//! Counts requests for the usage duty and reports the counts to its holder, the owner of the main shard of
+//! batch jobs. [`super::node_usage`] holds the counts that are not yet acknowledged.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -14,15 +12,14 @@
 use crate::batch::BatchJobs;
 use crate::context::Context;
 
-/// How long counts are gathered before they are reported: one report for a busy node, and a loss of power
-/// loses no more. A node that stops gathers none.
+/// Delay between the first unreported count and its report, so that a busy node sends few reports. A power
+/// loss loses at most the counts of this time. A draining node reports at once.
 const REPORT_DELAY: Duration = Duration::from_millis(250);
-/// The pause after a report that did not arrive: shorter storms a new owner, longer loses more counts with the
-/// node.
+/// Delay before a report that was not acknowledged is repeated.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// A request that was sent to a replica. It counts as begun when this is dropped, unless it is known not to
-/// have run: a request whose caller left, or whose answer was lost, has run.
+/// Counts a request that was sent to a replica when it is dropped, unless [`Self::has_not_run`] was called.
+/// A request whose caller disconnected, or whose answer was lost, counts as run.
 pub struct RunCount {
     context: Context,
     at: Instant,
@@ -30,13 +27,13 @@
 }
 
 impl RunCount {
-    /// The request of a tenant is sent now.
+    /// Starts counting a request of a tenant that is sent now.
     pub fn begin(context: &Context, tenant: Option<&TenantName>) -> Self {
         let tenant = tenant.filter(|_| context.usage.is_enabled).cloned();
         Self { context: Context::clone(context), at: Instant::now(), tenant }
     }
 
-    /// It has not run.
+    /// Marks the request as not run, so that it is not counted.
     pub fn has_not_run(&mut self) {
         self.tenant = None;
     }
@@ -50,14 +47,14 @@
     }
 }
 
-/// The time of day by this machine's clock.
+/// Returns the wall-clock time of this machine.
 pub(crate) fn wall_time() -> WallTime {
-    // A clock before 1970 counts as 1970: the holder of the duty goes by the clock in the middle.
+    // A clock before 1970 counts as 1970; the holder of the duty uses the median of the nodes' clocks.
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     WallTime(whole_millis(since))
 }
 
-/// Hands over what was counted until the node has stopped.
+/// Reports usage counts to the holder of the duty until the node has stopped.
 pub(crate) async fn report_usage(context: Context, batch: BatchJobs) {
     if !context.usage.is_enabled {
         return;
@@ -90,7 +87,7 @@
         let dropped_now = usage.meter().dropped();
         if dropped_now > dropped {
             let lost = dropped_now - dropped;
-            log::warn!(target: "duties", "{lost} requests are missing from the usage: no holder took them in time.");
+            log::warn!(target: "duties", "{lost} requests are missing from the usage: no holder accepted them in time. Check that the batch jobs have an owner.");
             dropped = dropped_now;
         }
     }
