--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -46,7 +46,7 @@
     pub(super) fn stop_all_work(mut self) {
         self.context.metrics.set_batch_items(self.scope.metric_label(), 0, 0);
         if let Some(error) = &self.failure {
-            ::log::warn!(target: "batch", "The ownership of the batch jobs ended: {error}.");
+            ::log::warn!(target: "batch", "The batch jobs are given up: {error}.");
         }
         self.running.stop_all();
         self.callers.close();
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -73,7 +73,7 @@
     let may_send = || {
         let waited = context.boot_clock.since(decided_at);
         if waited >= LATE_SEND_THRESHOLD {
-            ::log::warn!(target: "batch", "Item {} is sent to replica {} {} ms after it was started.", start.item.id, start.replica.id, waited.as_millis());
+            ::log::warn!(target: "batch", "Item {} is sent to {} {} ms after that was decided.", start.item.id, start.replica.id, waited.as_millis());
         }
         !context.metadata.is_closed(&start.replica)
     };
