--- a/crates/daemon/src/batch/end_holder.rs
+++ b/crates/daemon/src/batch/end_holder.rs
@@ -86,7 +86,7 @@
         let displaced = self.lock().ends.hold(self.now(), key, source);
         if let Some(displaced) = displaced {
             self.lock().waiting.remove(&displaced.key);
-            self.settled(&displaced);
+            self.record_settled(&displaced);
         }
         self.changed.notify_one();
     }
@@ -131,7 +131,7 @@
             };
             tokio::select! {
                 () = self.changed.notified() => {}
-                Some((key, response)) = requests.next() => self.answered(&key, response),
+                Some((key, response)) = requests.next() => self.handle_answer(&key, response),
                 Some((key, copies)) = copied.next() => self.copy_finished(key, copies),
                 () = wait => {}
             }
@@ -149,7 +149,7 @@
         (due, uncopied, deadline)
     }
 
-    fn answered(&self, key: &EndKey, response: BatchResponse) {
+    fn handle_answer(&self, key: &EndKey, response: BatchResponse) {
         let answer = match response {
             BatchResponse::Ended => EndAnswer::Committed,
             BatchResponse::Unknown => EndAnswer::Unknown,
@@ -164,12 +164,12 @@
             let _ = reply.send(response.clone());
         }
         if let Some(settled) = settled {
-            self.settled(&settled);
+            self.record_settled(&settled);
         }
     }
 
     /// Records why an end is no longer pending.
-    fn settled(&self, settled: &SettledEnd) {
+    fn record_settled(&self, settled: &SettledEnd) {
         let decision =
             Decision::new(Component::Rollout, "end_settled", settled.outcome.as_str(), &settled.key.batch);
         let decision = decision.with("held_ms", settled.held_for.as_millis());
@@ -186,7 +186,7 @@
 
     /// Copies an end to other nodes; returns how many of them hold it.
     async fn copy_to_peers(&self, key: EndKey) -> (EndKey, usize) {
-        let others = self.others(&key);
+        let others = self.copy_holders(&key);
         if others.is_empty() {
             // No other node is known.
             tokio::time::sleep(COPY_TIMEOUT).await;
@@ -219,7 +219,7 @@
 
     /// Returns the other nodes that may hold an end: the gateways of this region, in an order that depends on
     /// the job.
-    fn others(&self, key: &EndKey) -> Vec<Member> {
+    fn copy_holders(&self, key: &EndKey) -> Vec<Member> {
         let context = &self.context;
         let region = |zone: &str| context.settings.places.zones.region(zone).cloned();
         let own_region = region(context.zone.as_str());
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -152,7 +152,7 @@
             return false;
         };
         let next = self.shared.lock().get_or_insert_default().next();
-        let Some(page) = self.ask(&set, next).await else {
+        let Some(page) = self.request_page(&set, next).await else {
             self.store_turn += 1;
             return false;
         };
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn ask(&self, set: &ReplicaSet, next: LogIndex) -> Option<DecidedPage> {
+    async fn request_page(&self, set: &ReplicaSet, next: LogIndex) -> Option<DecidedPage> {
         let member = nearest(&self.scope.context, set, self.store_turn)?;
         let request = ReplicaRequest {
             shard: self.scope.shard.clone(),
--- a/crates/daemon/src/batch/keeper.rs
+++ b/crates/daemon/src/batch/keeper.rs
@@ -26,7 +26,7 @@
 use crate::store::{exchange, placement, replica_sets};
 
 /// Interval between two polls of the stores.
-const KEEPER_POLL_INTERVAL: Duration = Duration::from_millis(300);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Maximum number of decided entries that a staying member may lack for a change of the set to start, since
 /// the change waits until the missing entries are copied.
 const MAX_LAG_ENTRIES: u64 = 1_000;
@@ -48,14 +48,14 @@
 const IMPROVEMENT_DELAY: Duration = Duration::from_secs(3);
 
 /// Handle of the maintenance task, held by the owner.
-pub(super) struct StoreKeeper {
+pub(super) struct SetMaintainer {
     scope: Scope,
     sets: watch::Sender<ReplicaSet>,
     replacements: mpsc::UnboundedReceiver<Replacement>,
     task: AbortHandle,
 }
 
-impl Drop for StoreKeeper {
+impl Drop for SetMaintainer {
     fn drop(&mut self) {
         self.task.abort();
         // The next owner reports these metrics from now on.
@@ -64,7 +64,7 @@
     }
 }
 
-impl StoreKeeper {
+impl SetMaintainer {
     /// Starts maintaining a replica set.
     pub(super) fn start(scope: Scope, set: ReplicaSet) -> Self {
         show(&scope, &set);
@@ -147,7 +147,7 @@
 
     async fn run(mut self) {
         loop {
-            tokio::time::sleep(KEEPER_POLL_INTERVAL).await;
+            tokio::time::sleep(STORE_POLL_INTERVAL).await;
             let set = self.sets.borrow_and_update().clone();
             let stores = replica_sets::candidates(&self.scope.context, &set.shard).await;
             self.record_answers(&set, &stores);
--- a/crates/daemon/src/batch/load.rs
+++ b/crates/daemon/src/batch/load.rs
@@ -138,14 +138,14 @@
             let acceptance = if before.num_busy {
                 OrderAcceptance::Unknown
             } else if may_order {
-                self.order(replica, before.seq).await
+                self.send_order(replica, before.seq).await
             } else {
                 OrderAcceptance::Rejected
             };
             if acceptance == OrderAcceptance::Rejected {
                 return None;
             }
-            if let Some(end) = self.wait(replica, before.seq, acceptance).await {
+            if let Some(end) = self.wait_until_loaded(replica, before.seq, acceptance).await {
                 return Some(end);
             }
         }
@@ -154,7 +154,7 @@
 
     /// Waits until the load is complete. Returns `None` if the report shows that no order was accepted, or
     /// after [`LOAD_WAIT_TIMEOUT`].
-    async fn wait(
+    async fn wait_until_loaded(
         &self,
         replica: &ReplicaRecord,
         orders_before: u64,
@@ -167,7 +167,7 @@
         while began.elapsed() < LOAD_WAIT_TIMEOUT {
             let until_poll_start = poll_start.saturating_sub(began.elapsed());
             tokio::time::sleep(until_poll_start.clamp(REPORT_INTERVAL, EARLY_REPORT_INTERVAL)).await;
-            let asked = began.elapsed();
+            let asked_at = began.elapsed();
             let Some(report) = self.report(replica).await else { continue };
             if self.is_loaded(&report) {
                 let took = began.elapsed();
@@ -178,7 +178,7 @@
                 return Some(LoadEnd { versions: report.versions(), time });
             }
             if report.num_busy {
-                last_seen_busy = asked;
+                last_seen_busy = asked_at;
             }
             // Reports lag, so an unchanged report proves only after a while that the order was lost.
             let is_lost = !report.num_busy && report.seq == orders_before;
@@ -208,7 +208,7 @@
     }
 
     /// Sends the order once.
-    async fn order(&self, replica: &ReplicaRecord, orders_before: u64) -> OrderAcceptance {
+    async fn send_order(&self, replica: &ReplicaRecord, orders_before: u64) -> OrderAcceptance {
         let load = &self.load;
         let mode = LoadMode::Keep;
         let order =
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -31,7 +31,7 @@
 /// started discovers the stores.
 const MAX_READ_ATTEMPTS: u32 = 6;
 /// Delay before a store that returned nothing is asked again.
-const STORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Which part of the entries is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
             log::info!(target: "batch", "The outline of the log is not used: {cause}.");
             return None;
         }
-        tokio::time::sleep(STORE_RETRY_PAUSE).await;
+        tokio::time::sleep(STORE_RETRY_DELAY).await;
     }
 }
 
@@ -144,7 +144,7 @@
             Some(set) => {
                 let member = nearest(&scope.context, &set, turn).cloned();
                 match member {
-                    Some(member) => ask(scope, &set, &member, follower.next(), ReadMode::Full).await,
+                    Some(member) => read_page(scope, &set, &member, follower.next(), ReadMode::Full).await,
                     None => None,
                 }
             }
@@ -153,7 +153,7 @@
         let before = follower.through();
         if page.is_none_or(|page| apply(&mut follower, page).is_none()) || follower.through() <= before {
             turn += 1;
-            tokio::time::sleep(STORE_RETRY_PAUSE).await;
+            tokio::time::sleep(STORE_RETRY_DELAY).await;
         }
     }
     record(scope, "texts_read", &follower, began);
@@ -204,7 +204,7 @@
 ) -> Vec<DecidedPage> {
     let (mut pages, mut next) = (Vec::new(), first);
     while next <= last {
-        let Some(page) = ask(scope, set, member, next, ReadMode::Outline).await else { break };
+        let Some(page) = read_page(scope, set, member, next, ReadMode::Outline).await else { break };
         let Some(end) = page.entries.last().map(|entry| entry.index).filter(|end| *end >= next) else {
             break;
         };
@@ -239,9 +239,10 @@
 async fn find_readers(scope: &Scope, set: &ReplicaSet) -> Option<OutlineStart> {
     // The normal call timeout, so that a member that is down causes no long wait.
     let timeout = scope.context.settings.store.call_timeout;
-    let first_page = |member| ask_within(scope, set, member, LogIndex::FIRST, ReadMode::Outline, timeout);
-    let asked = set.members.iter().map(first_page);
-    let pages = join_all(asked).await;
+    let first_page =
+        |member| read_page_within(scope, set, member, LogIndex::FIRST, ReadMode::Outline, timeout);
+    let requests = set.members.iter().map(first_page);
+    let pages = join_all(requests).await;
     let highest = pages.iter().flatten().map(|page| page.decided_through).max()?;
     let is_current = |page: &Option<DecidedPage>| {
         page.as_ref().is_some_and(|page| page.decided_through.0 + MAX_READER_LAG >= highest.0)
@@ -267,7 +268,7 @@
     members.get(turn.checked_rem(members.len())?).copied()
 }
 
-async fn ask(
+async fn read_page(
     scope: &Scope,
     set: &ReplicaSet,
     member: &SetMember,
@@ -275,10 +276,10 @@
     mode: ReadMode,
 ) -> Option<DecidedPage> {
     let timeout = scope.context.settings.store.call_timeout * PAGE_ANSWER_TIMEOUTS;
-    ask_within(scope, set, member, next, mode, timeout).await
+    read_page_within(scope, set, member, next, mode, timeout).await
 }
 
-async fn ask_within(
+async fn read_page_within(
     scope: &Scope,
     set: &ReplicaSet,
     member: &SetMember,
