--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -9,13 +9,13 @@
 mod end_holder;
 mod follower;
 mod job_shard;
-mod keeper;
 mod load;
 mod outline;
 mod owner;
 mod regional_jobs;
 mod run;
 mod score;
+mod set_maintenance;
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -185,7 +185,7 @@
             Some(ledger) = self.texts.recv() => self.fill_texts(ledger),
             // Nothing is committed while the replica set changes, and reading missing texts at the same
             // time would make the change slow.
-            replacement = self.stores.keeper.next(), if !self.controller.ledger().is_outline() => {
+            replacement = self.stores.maintainer.next(), if !self.controller.ledger().is_outline() => {
                 self.stores.log.replace(replacement);
             }
             Ok(()) = inputs.metadata.changed() => self.update(),
@@ -296,7 +296,7 @@
                     self.compact();
                 }
             }
-            AppendOutcome::Replaced(set) => self.stores.keeper.follow(set),
+            AppendOutcome::Replaced(set) => self.stores.maintainer.follow(set),
             AppendOutcome::Failed(error) => self.failure = Some(error),
         }
     }
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::batch::candidate;
-use crate::batch::keeper::SetMaintainer;
+use crate::batch::set_maintenance::SetMaintainer;
 use crate::boot_clock::{BootClock, BootInstant};
 use crate::ownership::scope::Scope;
 use crate::store::log_writer::{AppendMode, LogWriter, RecordFormat};
@@ -43,7 +43,7 @@
     /// Writer of the log.
     pub(super) log: LogWriter<Record>,
     /// Determines which member of the replica set to replace.
-    pub(super) keeper: SetMaintainer,
+    pub(super) maintainer: SetMaintainer,
     /// Includes time in which the machine is suspended, during which others may take over.
     clock: BootClock,
     /// When the last append that is known to be committed began.
@@ -61,7 +61,7 @@
         let (probe_sender, probe_results) = mpsc::unbounded_channel();
         let clock = scope.context.boot_clock.clone();
         Self {
-            keeper: SetMaintainer::start(scope.clone(), log.set().clone()),
+            maintainer: SetMaintainer::start(scope.clone(), log.set().clone()),
             log: LogWriter::start(log, RECORD_FORMAT, AppendMode::Gathered, held_bytes, clock.clone()),
             scope,
             confirmed_at: clock.now(),
--- a/crates/daemon/src/store/replacement.rs
+++ b/crates/daemon/src/store/replacement.rs
@@ -3,7 +3,7 @@
 //! machine leaves. Has a set grow that was made while fewer stores stood than were wanted.
 //!
 //! One member a round, by the first of the others whose node is seen, so that two stores don't replace the
-//! same. Where a metadata store is named, the owner of the log replaces members instead (`batch/keeper`).
+//! same. Where a metadata store is named, the owner of the log replaces members instead (`batch/set_maintenance`).
 
 use std::collections::{HashMap, HashSet};
 
