--- a/crates/daemon/src/metadata/watcher.rs
+++ b/crates/daemon/src/metadata/watcher.rs
@@ -4,8 +4,8 @@
 //! decides from which source to read, and its `lapse` which entries are retained after they lapsed while the
 //! store was unreachable.
 
-mod away;
 mod lapsed;
+mod outage;
 mod starting;
 
 use std::collections::BTreeMap;
