--- a/crates/daemon/src/membership/driver.rs
+++ b/crates/daemon/src/membership/driver.rs
@@ -168,11 +168,11 @@
     }
 
     fn announced_revisions(&self) -> BTreeMap<String, AnnouncedRevision> {
-        let heard = self.membership.announced_revisions().iter();
-        let reachable = heard.filter_map(|(document, heard)| {
-            let record = self.membership.member(&heard.holder)?;
+        let announced = self.membership.announced_revisions().iter();
+        let reachable = announced.filter_map(|(document, announced)| {
+            let record = self.membership.member(&announced.holder)?;
             let holder = member(&record.info);
-            Some((document.clone(), AnnouncedRevision { revision: heard.revision, holder }))
+            Some((document.clone(), AnnouncedRevision { revision: announced.revision, holder }))
         });
         reachable.collect()
     }
--- a/crates/daemon/src/metadata/peers.rs
+++ b/crates/daemon/src/metadata/peers.rs
@@ -15,7 +15,7 @@
 
 /// Timeout of a request for a peer's copy.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval at which this node compares its revision with that of another reader, to detect a silent watch.
+/// Interval at which this node compares its revision with that of another reader, to detect a broken watch.
 const COMPARE_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time within which a working watch delivers what another reader already has: twice the pause between
 /// watches.
--- a/crates/daemon/src/metadata/watcher/lapsed.rs
+++ b/crates/daemon/src/metadata/watcher/lapsed.rs
@@ -9,8 +9,8 @@
     /// Records that the store answered, which starts the time in which lapsed entries may come back.
     pub(super) fn store_answered(&mut self) {
         if self.kind == MetadataKind::Replicas {
-            let was_away = self.failures > 0 || self.context.metadata.freshness.is_unreachable();
-            self.lapses.store_answered(self.now(), was_away);
+            let was_unreachable = self.failures > 0 || self.context.metadata.freshness.is_unreachable();
+            self.lapses.store_answered(self.now(), was_unreachable);
         }
     }
 
@@ -29,9 +29,9 @@
     /// Removes lapsed entries that did not come back in time. The kind is then listed again, so that the
     /// removal gets a later revision: followers ask only for changes after the revision that they hold.
     pub(super) fn remove_expired_lapses(&mut self) {
-        let gone = self.lapses.expire(self.now());
-        if !gone.is_empty() {
-            log::info!(target: "metadata", "{} lapsed entries did not come back after the store did and are removed.", gone.len());
+        let expired = self.lapses.expire(self.now());
+        if !expired.is_empty() {
+            log::info!(target: "metadata", "{} lapsed entries did not come back after the store did and are removed.", expired.len());
             self.revision = None;
         }
     }
--- a/crates/daemon/src/metadata/watcher/starting.rs
+++ b/crates/daemon/src/metadata/watcher/starting.rs
@@ -11,8 +11,7 @@
 /// Interval between two counts of the members, a few rounds of gossip; an unchanged count is taken as
 /// complete.
 const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// Minimum wait. When hundreds of nodes start together, each learns of its first members only after some 0.7
-/// s.
+/// Minimum wait, so that hundreds of nodes that start together learn of their first members.
 const MIN_MEMBERS_WAIT: Duration = Duration::from_millis(1_000);
 /// Maximum wait, for deployments whose members keep changing.
 const MAX_MEMBERS_WAIT: Duration = Duration::from_millis(2_000);
@@ -37,17 +36,18 @@
     /// them; without the wait, every starting node would rank itself first. Meanwhile requests a peer's copy.
     pub(super) async fn wait_for_members(&mut self) {
         let began = Instant::now();
-        let mut nodes = 0;
+        let mut previous_count = 0;
         loop {
             tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
-            let heard = self.context.cluster.load().members.len();
+            let count = self.context.cluster.load().members.len();
             // With at least `follow_from_nodes` members, further ones change nothing; with fewer, more may
             // still join.
-            let is_known = heard == nodes || heard >= self.context.settings.configuration.follow_from_nodes;
-            if (is_known && began.elapsed() >= MIN_MEMBERS_WAIT) || began.elapsed() >= MAX_MEMBERS_WAIT {
+            let is_complete =
+                count == previous_count || count >= self.context.settings.configuration.follow_from_nodes;
+            if (is_complete && began.elapsed() >= MIN_MEMBERS_WAIT) || began.elapsed() >= MAX_MEMBERS_WAIT {
                 return;
             }
-            nodes = heard;
+            previous_count = count;
             if self.revision.is_none() {
                 self.ask_peer().await;
             }
