--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -70,11 +70,11 @@
     Handler: Fn(Request<Incoming>) -> Answer + Clone + Send + Sync + 'static,
     Answer: Future<Output = Response<Body>> + Send + 'static,
 {
-    serve_within(listener, stop, SocketLimits::default(), HeadLimits::default, handler).await;
+    serve_with_limits(listener, stop, SocketLimits::default(), HeadLimits::default, handler).await;
 }
 
 /// Like [`serve`], with limits of its own; those of heads are read for each connection anew.
-pub async fn serve_within<Heads, Handler, Answer>(
+pub async fn serve_with_limits<Heads, Handler, Answer>(
     listener: TcpListener,
     stop: ServerStop,
     limits: SocketLimits,
--- a/crates/daemon/src/http/socket.rs
+++ b/crates/daemon/src/http/socket.rs
@@ -20,12 +20,12 @@
 pub struct SocketLimits {
     /// A connection whose peer acknowledges or takes nothing for this time is closed. Without this limit a
     /// caller that stopped reading could hold up a planned stop for ever.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 impl Default for SocketLimits {
     fn default() -> Self {
-        Self { stall: DEFAULT_STALL }
+        Self { stall_timeout: DEFAULT_STALL }
     }
 }
 
@@ -39,10 +39,10 @@
     let socket = SockRef::from(stream);
     // Covers data that is sent and not acknowledged, and data that waits for a peer to make room.
     #[cfg(target_os = "linux")]
-    socket.set_tcp_user_timeout(Some(limits.stall))?;
+    socket.set_tcp_user_timeout(Some(limits.stall_timeout))?;
     // Covers a connection on which nothing is sent, such as one that waits for its answer.
-    let interval = (limits.stall / 3).max(SHORTEST_KEEPALIVE);
-    let time = limits.stall.max(SHORTEST_KEEPALIVE);
+    let interval = (limits.stall_timeout / 3).max(SHORTEST_KEEPALIVE);
+    let time = limits.stall_timeout.max(SHORTEST_KEEPALIVE);
     let keepalive = TcpKeepalive::new().with_time(time).with_interval(interval);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -127,7 +127,7 @@
 /// Serves one connection. Whatever is wrong with it ends this connection and nothing else.
 async fn serve_connection(stream: TcpStream, service: PeerService, closing: CancellationToken) {
     let peer = stream.peer_addr().map_or_else(|_| "a lost peer".to_owned(), |address| address.to_string());
-    let limits = SocketLimits { stall: service.context.settings.peers.stall_timeout };
+    let limits = SocketLimits { stall_timeout: service.context.settings.peers.stall_timeout };
     if let Err(error) = socket::prepare(&stream, limits) {
         log::debug!(target: "peers", "The connection of {peer} was lost before it began: {error}.");
         return;
--- a/crates/daemon/src/node/servers.rs
+++ b/crates/daemon/src/node/servers.rs
@@ -68,7 +68,7 @@
     ingress: Option<Ingress>,
     stop: &StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
-    let limits = SocketLimits { stall: context.settings.gateway.stall_timeout };
+    let limits = SocketLimits { stall_timeout: context.settings.gateway.stall_timeout };
     let stop = stop.callers.clone();
     if let Some(ingress) = ingress {
         return serve_ingress(listener, traffic, stop, limits, ingress);
@@ -98,7 +98,7 @@
             }
         }
     };
-    Ok(traffic.spawn(server::serve_within(listener, stop, limits, HeadLimits::default, answer)))
+    Ok(traffic.spawn(server::serve_with_limits(listener, stop, limits, HeadLimits::default, answer)))
 }
 
 /// Callers in the platform's form.
@@ -122,7 +122,7 @@
         })
     };
     let answer = move |request| ingress.handle(request);
-    Ok(traffic.spawn(server::serve_within(listener, stop, limits, head_limits, answer)))
+    Ok(traffic.spawn(server::serve_with_limits(listener, stop, limits, head_limits, answer)))
 }
 
 /// Load balancers that ask whether the node is ready.
--- a/crates/daemon/tests/http.rs
+++ b/crates/daemon/tests/http.rs
@@ -8,7 +8,7 @@
 use lichenpulley_daemon::http::client::{ClientError, HttpClient};
 use lichenpulley_daemon::http::events::{EventStreamError, event_stream};
 use lichenpulley_daemon::http::request::{percent_decode, percent_encode, read_json};
-use lichenpulley_daemon::http::server::{HeadLimits, ServerStop, serve, serve_within};
+use lichenpulley_daemon::http::server::{HeadLimits, ServerStop, serve, serve_with_limits};
 use lichenpulley_daemon::http::socket::SocketLimits;
 use lichenpulley_daemon::http::{Body, response};
 use lichenpulley_protocol::error::ErrorBody;
@@ -265,7 +265,7 @@
 }
 
 /// A server whose one stream never ends and whose reader never reads; gives the server and the reader.
-async fn start_stuck(stall: Duration) -> (tokio::task::JoinHandle<()>, TcpStream) {
+async fn start_stuck(stall_timeout: Duration) -> (tokio::task::JoinHandle<()>, TcpStream) {
     let (listener, address) = listen().await;
     let stop = ServerStop::default();
     let answer = |_: Request<Incoming>| async {
@@ -274,10 +274,10 @@
         tokio::spawn(async move { while sender.send(&large).await.is_ok() {} });
         response
     };
-    let server = tokio::spawn(serve_within(
+    let server = tokio::spawn(serve_with_limits(
         listener,
         stop.clone(),
-        SocketLimits { stall },
+        SocketLimits { stall_timeout },
         HeadLimits::default,
         answer,
     ));
