--- a/crates/daemon/src/gateway/completions.rs
+++ b/crates/daemon/src/gateway/completions.rs
@@ -1,7 +1,7 @@
-//! `POST /v1/completions`, answered whole or as server-sent events.
+//! Handles `POST /v1/completions`, answered as one JSON body or as server-sent events.
 //!
-//! Reads and checks the request, has the [`Dispatcher`] run it and writes the outcome. Owns nothing beyond
-//! one request; the answer to an outcome without tokens stands in [`refusal`].
+//! Parses and validates the request, runs it through the [`Dispatcher`] and writes the outcome. Keeps no
+//! state beyond one request. [`refusal`] builds the responses to requests that failed.
 
 use std::time::Duration;
 
@@ -24,48 +24,48 @@
 use crate::http::request::read_json;
 use crate::http::{Body, response};
 
-/// The most tokens that may be asked for. Chosen, not measured: bounds the memory of one answer.
+/// Maximum number of tokens that a request may ask for; bounds the memory of one answer.
 const MAX_TOKENS: u32 = 1 << 20;
-/// Shortest and longest deadline, in milliseconds. Chosen, not measured.
-const DEADLINE_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
-/// Chunks that a slow reader may fall behind before its stream is held up. Chosen, not measured.
+/// Permitted deadlines, in milliseconds.
+const PERMITTED_DEADLINES_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
+/// Number of chunks buffered for a slow reader before its stream is blocked.
 const STREAM_BACKLOG: usize = 64;
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(dispatcher: &Dispatcher, request: Request<Incoming>) -> Response<Body> {
     let settings = &dispatcher.shared.context.settings.gateway;
     let headers = request.headers().clone();
     let completion = match read_json::<CompletionRequest>(request, settings.body_limit_bytes).await {
         Ok(completion) => completion,
-        Err(bad) => return bad.into(),
+        Err(bad_request) => return bad_request.into(),
     };
     let stream = completion.stream;
-    let generation = match check(completion, &headers, dispatcher) {
+    let generation = match parse_generation(completion, &headers, dispatcher) {
         Ok(generation) => generation,
         Err(body) => return response::error(StatusCode::BAD_REQUEST, &body),
     };
     if dispatcher.shared.context.draining.is_cancelled() {
-        return failure(&dispatcher.refuse(&generation, RefusalReason::NodeDraining));
+        return error_response(&dispatcher.refuse(&generation, RefusalReason::NodeDraining));
     }
     if stream {
         answer_stream(dispatcher, generation).await
     } else {
-        answer_whole(dispatcher, generation).await
+        answer_json(dispatcher, generation).await
     }
 }
 
-/// Turns a body into a generation.
-fn check(
+/// Validates a request and converts it to a generation.
+fn parse_generation(
     completion: CompletionRequest,
     headers: &HeaderMap,
     dispatcher: &Dispatcher,
 ) -> Result<Generation, ErrorBody> {
-    let named = request_id(&completion, headers)?;
+    let given_id = request_id(&completion, headers)?;
     let deadline = deadline(completion.deadline_ms, default_deadline(dispatcher, &completion.pool))?;
     if !(1..=MAX_TOKENS).contains(&completion.max_tokens) {
         return Err(bad_field("max_tokens", &format!("set it from 1 to {MAX_TOKENS}")));
     }
-    let repetition = match (completion.repeatable, &named, completion.issued_at_unix_ms) {
+    let repetition = match (completion.repeatable, &given_id, completion.issued_at_unix_ms) {
         (true, _, _) => Repetition::Repeatable,
         (false, Some(_), Some(issued_at_unix_ms)) => Repetition::AtMostOnce { issued_at_unix_ms },
         (false, None, _) => {
@@ -79,7 +79,7 @@
         }
     };
     Ok(Generation {
-        request: named.unwrap_or_else(|| RequestId::new(dispatcher.shared.next_execution())),
+        request: given_id.unwrap_or_else(|| RequestId::new(dispatcher.shared.next_execution_id())),
         pool: completion.pool,
         prompt: completion.prompt,
         max_tokens: completion.max_tokens,
@@ -91,7 +91,7 @@
     })
 }
 
-/// The id that the caller gave, in the body or in the header.
+/// Returns the request id that the caller gave in the body or in the idempotency-key header.
 fn request_id(completion: &CompletionRequest, headers: &HeaderMap) -> Result<Option<RequestId>, ErrorBody> {
     let header = match headers.get(IDEMPOTENCY_KEY_HEADER) {
         None => None,
@@ -109,7 +109,7 @@
     }
 }
 
-/// The pool's deadline for requests that name none; the node's own while it knows no settings tree.
+/// Returns the pool's deadline for requests that name none, or the node's own while it has no settings tree.
 fn default_deadline(dispatcher: &Dispatcher, pool: &PoolName) -> Duration {
     let context = &dispatcher.shared.context;
     let configuration = context.configuration.load();
@@ -119,12 +119,14 @@
     Duration::from_millis(configuration.for_pool(pool, &REQUEST_DEADLINE_MS))
 }
 
-fn deadline(asked_ms: Option<u64>, default: Duration) -> Result<Duration, ErrorBody> {
-    match asked_ms {
+fn deadline(requested_ms: Option<u64>, default: Duration) -> Result<Duration, ErrorBody> {
+    match requested_ms {
         None => Ok(default),
-        Some(asked) if DEADLINE_MS.contains(&asked) => Ok(Duration::from_millis(asked)),
+        Some(requested) if PERMITTED_DEADLINES_MS.contains(&requested) => {
+            Ok(Duration::from_millis(requested))
+        }
         Some(_) => {
-            let (least, most) = (DEADLINE_MS.start(), DEADLINE_MS.end());
+            let (least, most) = (PERMITTED_DEADLINES_MS.start(), PERMITTED_DEADLINES_MS.end());
             Err(bad_field("deadline_ms", &format!("set it from {least} to {most}")))
         }
     }
@@ -134,20 +136,20 @@
     ErrorBody::new("bad_field", format!("`{field}` can't be used as it was sent"), remedy)
 }
 
-async fn answer_whole(dispatcher: &Dispatcher, generation: Generation) -> Response<Body> {
+async fn answer_json(dispatcher: &Dispatcher, generation: Generation) -> Response<Body> {
     let request_id = generation.request.clone();
     match dispatcher.generate(generation).await {
         RequestOutcome::Completed { answer, attempts } => {
-            response::json(StatusCode::OK, &whole(request_id, answer, attempts))
+            response::json(StatusCode::OK, &completion_response(request_id, answer, attempts))
         }
-        failed => failure(&failed),
+        failed => error_response(&failed),
     }
 }
 
-fn whole(request_id: RequestId, answer: Answer, attempts: u32) -> CompletionResponse {
+fn completion_response(request_id: RequestId, answer: Answer, attempts: u32) -> CompletionResponse {
     CompletionResponse {
         request_id,
-        text: text_of(&answer.tokens),
+        text: render_tokens(&answer.tokens),
         tokens: answer.tokens,
         spans: answer.spans,
         finish_reason: answer.finish_reason,
@@ -155,12 +157,12 @@
     }
 }
 
-fn failure(outcome: &RequestOutcome) -> Response<Body> {
-    let (status, body) = error_of(outcome);
+fn error_response(outcome: &RequestOutcome) -> Response<Body> {
+    let (status, body) = status_and_body(outcome);
     response::error(status, &body)
 }
 
-fn error_of(outcome: &RequestOutcome) -> (StatusCode, ErrorBody) {
+fn status_and_body(outcome: &RequestOutcome) -> (StatusCode, ErrorBody) {
     match outcome {
         RequestOutcome::NotRun { reason, retry_after, .. } => refusal::not_run(*reason, *retry_after),
         RequestOutcome::Unknown { reason, retry_after, .. } => refusal::unknown(*reason, *retry_after),
@@ -171,7 +173,8 @@
     }
 }
 
-/// Waits for the first tokens, so that a refusal keeps its own status, then streams.
+/// Answers with server-sent events. Waits for the first tokens before it sends the response head, so that a
+/// refusal is answered with its own status.
 async fn answer_stream(dispatcher: &Dispatcher, generation: Generation) -> Response<Body> {
     let request_id = generation.request.clone();
     let (sender, mut chunks) = mpsc::channel(STREAM_BACKLOG);
@@ -181,11 +184,11 @@
         biased;
         first = chunks.recv() => first,
         outcome = &mut run => match (chunks.recv().await, outcome) {
-            (Some(first), outcome) => return stream_rest(request_id, first, chunks, outcome),
-            (None, outcome) => return empty_or_failed(request_id, outcome),
+            (Some(first), outcome) => return stream_remaining(request_id, first, chunks, outcome),
+            (None, outcome) => return answer_without_tokens(request_id, outcome),
         },
     };
-    let Some(first) = first else { return empty_or_failed(request_id, run.await) };
+    let Some(first) = first else { return answer_without_tokens(request_id, run.await) };
     let (events, response) = event_stream(STREAM_BACKLOG);
     tokio::spawn(async move {
         let sending = async {
@@ -206,13 +209,13 @@
             outcome = running => outcome,
             () = events.closed() => return,
         };
-        send_end(events, request_id, outcome).await;
+        send_final_event(events, request_id, outcome).await;
     });
     response
 }
 
-/// An answer that ended before its first chunk was read.
-fn stream_rest(
+/// Streams the buffered chunks of a run that ended before its first chunk was read.
+fn stream_remaining(
     request_id: RequestId,
     first: Chunk,
     mut chunks: mpsc::Receiver<Chunk>,
@@ -227,60 +230,64 @@
             }
             next = chunks.recv().await;
         }
-        send_end(events, request_id, outcome).await;
+        send_final_event(events, request_id, outcome).await;
     });
     response
 }
 
-/// An answer without tokens, or none at all.
-fn empty_or_failed(request_id: RequestId, outcome: RequestOutcome) -> Response<Body> {
+/// Answers a run that produced no tokens: an empty stream if it completed, else an error response.
+fn answer_without_tokens(request_id: RequestId, outcome: RequestOutcome) -> Response<Body> {
     if !matches!(outcome, RequestOutcome::Completed { .. }) {
-        return failure(&outcome);
+        return error_response(&outcome);
     }
     let (events, response) = event_stream(STREAM_BACKLOG);
-    tokio::spawn(send_end(events, request_id, outcome));
+    tokio::spawn(send_final_event(events, request_id, outcome));
     response
 }
 
-/// Sends one event; `None` where the caller has left.
+/// Sends one chunk; returns `None` if the caller has disconnected.
 async fn send_chunk(events: &EventSender, request_id: &RequestId, chunk: Chunk) -> Option<()> {
-    events.send(&event_of(request_id, chunk, None)).await.ok()
+    events.send(&completion_chunk(request_id, chunk, None)).await.ok()
 }
 
-/// The last event: how the answer ended, or why it could not be made whole.
-async fn send_end(events: EventSender, request_id: RequestId, outcome: RequestOutcome) {
+/// Sends the last event, which holds the finish reason or the error, and ends the stream.
+async fn send_final_event(events: EventSender, request_id: RequestId, outcome: RequestOutcome) {
     let sent = match outcome {
         RequestOutcome::Completed { answer, .. } => {
-            // An answer without tokens has no version: its last event says 0.
+            // An answer without tokens has no weight version: its last event reports 0.
             let last = answer.spans.last();
             let end = Chunk {
                 first_token: u32::try_from(answer.tokens.len()).unwrap_or(u32::MAX),
                 tokens: Vec::new(),
                 weight_version: last.map(|span| span.weight_version).unwrap_or_default(),
             };
-            events.send(&event_of(&request_id, end, Some(answer.finish_reason))).await
+            events.send(&completion_chunk(&request_id, end, Some(answer.finish_reason))).await
         }
-        failed => events.send_named("error", &error_of(&failed).1).await,
+        failed => events.send_named("error", &status_and_body(&failed).1).await,
     };
-    // An error only says that the caller has gone.
+    // An error means that the caller has disconnected.
     if sent.is_ok() {
         let _ = events.finish().await;
     }
 }
 
-fn event_of(request_id: &RequestId, chunk: Chunk, finish_reason: Option<FinishReason>) -> CompletionChunk {
+fn completion_chunk(
+    request_id: &RequestId,
+    chunk: Chunk,
+    finish_reason: Option<FinishReason>,
+) -> CompletionChunk {
     CompletionChunk {
         request_id: request_id.clone(),
         first_token: chunk.first_token,
-        text: text_of(&chunk.tokens),
+        text: render_tokens(&chunk.tokens),
         tokens: chunk.tokens,
         weight_version: chunk.weight_version,
         finish_reason,
     }
 }
 
-/// The text of tokens. The engines speak tokens only, so each is written as its number, followed by a space;
-/// the texts of chunks put together are the text of the whole.
-fn text_of(tokens: &[u32]) -> String {
+/// Returns the text of tokens. The engines return token numbers only, so each is written as its number
+/// followed by a space; the concatenated texts of the chunks equal the text of the whole answer.
+fn render_tokens(tokens: &[u32]) -> String {
     tokens.iter().map(|token| format!("{token} ")).collect()
 }
--- a/crates/daemon/src/gateway/dispatcher.rs
+++ b/crates/daemon/src/gateway/dispatcher.rs
@@ -1,7 +1,8 @@
-//! Runs generations to their outcome over the engines of a pool.
+//! Runs generations on the engines of a pool until each has an outcome.
 //!
-//! Owns what all runs of a node share: the pools, the connections to engines, the clock, and the task that
-//! probes replicas of the pools in use. Each run is a task on the traffic runtime, driven by `runner`.
+//! Owns the state that all runs of a node share: the pools, the connections to engines, the clock, and the
+//! task that probes the replicas of pools in use. Each run is a task on the traffic runtime, driven by
+//! `runner`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,66 +28,65 @@
 use crate::gateway::pools::{Pools, SharedPool};
 use crate::gateway::runner;
 
-/// A pool that no request has used for this time is not probed. Chosen, not measured: shorter delays the next
-/// request by a probe, longer probes for nothing.
-const POOL_USE_TIME: Duration = Duration::from_secs(10);
-/// Pause between rounds of probes. Chosen, not measured: short against the 3 s for which a confirmation
-/// holds.
+/// Time after its last request during which a pool is still probed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between two probe rounds; well below the validity of a confirmation (3 s by default).
 const REPLICA_PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// The most replicas of a pool that are probed in one round. Chosen, not measured: 32 replicas take four
-/// rounds, a second.
-const MAX_PROBES_IN_ROUND: usize = 8;
+/// Maximum number of replicas of a pool that are probed in one round.
+const MAX_PROBES_PER_ROUND: usize = 8;
 
-/// What to generate.
+/// A request to generate tokens on the engines of a pool.
 #[derive(Clone, Debug)]
 pub struct Generation {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The pool.
+    /// Pool whose engines run it.
     pub pool: PoolName,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// At most this many tokens.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// Who waits.
+    /// Priority class of the caller.
     pub priority: Priority,
-    /// The seed of sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Time left until the answer is of no use.
+    /// Time from now until the request's deadline.
     pub deadline: Duration,
-    /// How often it may run.
+    /// Whether it may run more than once.
     pub repetition: Repetition,
-    /// Replicas whose weights are older are passed over; `None` takes any.
+    /// Oldest weight version that a replica may serve; `None` allows any.
     pub minimum_version: Option<WeightVersion>,
 }
 
-/// How often a generation may run.
+/// Whether a generation may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repetition {
-    /// Running it twice does no harm.
+    /// It may run several times without harm.
     Repeatable,
-    /// It runs at most once (brief point 6).
+    /// It runs at most once.
     AtMostOnce {
-        /// Milliseconds since the Unix epoch when the caller first issued the request's id.
+        /// When the caller first issued the request's id, in milliseconds since the Unix epoch.
         issued_at_unix_ms: u64,
     },
 }
 
 impl Repetition {
-    /// Whether running it twice does no harm.
+    /// Returns whether the generation may run several times.
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Repeatable)
     }
 }
 
-/// Runs generations over the engines. Cheap to clone; one for each node, shared by the gateway's callers and
-/// by the coordinator's job samples, so that both see the same loads, limits and budgets.
+/// Runs generations on the engines. Cheap to clone.
+///
+/// A node has one dispatcher, which the gateway and the coordinator's rollout jobs share, so that both use
+/// the same loads, concurrency limits and retry budgets.
 #[derive(Clone)]
 pub struct Dispatcher {
     pub(super) shared: Arc<Shared>,
 }
 
-/// What all runs of a node share.
+/// State shared by all runs of a node.
 pub(super) struct Shared {
     pub(super) context: Context,
     pub(super) traffic: Handle,
@@ -98,7 +98,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher whose streams run on the traffic runtime.
+    /// Creates a dispatcher whose runs and probes execute on the `traffic` runtime.
     pub fn new(context: Context, traffic: Handle) -> Self {
         let connect_timeout = context.settings.gateway.connect_timeout;
         let shared = Arc::new(Shared {
@@ -114,14 +114,14 @@
         Self { shared }
     }
 
-    /// Runs a generation to its outcome. May be awaited on any runtime; the work is done on the traffic
-    /// runtime. Dropping the future cancels the stream at the engine.
+    /// Runs a generation until it has an outcome. May be awaited on any runtime; the work is done on the
+    /// traffic runtime. Dropping the future cancels the stream at the engine.
     pub async fn generate(&self, generation: Generation) -> RequestOutcome {
         self.run(generation, None).await
     }
 
-    /// Like [`Dispatcher::generate`]; also sends the answer's tokens as they come, in order and without gaps.
-    /// Ends when the receiver is dropped.
+    /// Runs a generation like [`Dispatcher::generate`] and also sends its tokens to `chunks` as they arrive,
+    /// in order and without gaps. The run ends when the receiver is dropped.
     pub(crate) async fn generate_stream(
         &self,
         generation: Generation,
@@ -130,9 +130,9 @@
         self.run(generation, Some(chunks)).await
     }
 
-    /// The pools as this node sees them.
+    /// Returns the status of all pools as known to this node.
     pub fn pools(&self) -> Vec<PoolStatus> {
-        self.shared.follow_directory();
+        self.shared.refresh_pools();
         self.shared.pools.status(self.shared.clock.now())
     }
 
@@ -143,12 +143,12 @@
         let run = runner::run(Arc::clone(&self.shared), pool, generation, chunks);
         let task = AbortOnDropHandle::new(self.shared.traffic.spawn(run));
         task.await.unwrap_or_else(|error| {
-            log::error!(target: "request", "A run ended without an outcome: {error}.");
-            lost_run()
+            log::error!(target: "request", "A run failed before it had an outcome: {error}.");
+            lost_run_outcome()
         })
     }
 
-    /// Refuses a generation for which nothing was done.
+    /// Refuses a generation that has not started and records the decision.
     pub(super) fn refuse(&self, generation: &Generation, reason: RefusalReason) -> RequestOutcome {
         let decision = Decision::new(Component::Request, "refused", reason.as_str(), &generation.request);
         self.shared.context.decisions.record(decision.with("pool", &generation.pool));
@@ -158,41 +158,41 @@
 }
 
 impl Shared {
-    /// A name for one run of a request, unique across nodes and restarts.
-    pub(super) fn next_execution(&self) -> String {
+    /// Returns an id for one run of a request, unique across nodes and restarts.
+    pub(super) fn next_execution_id(&self) -> String {
         let number = self.executions.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.context.node, self.started_unix_ms)
     }
 
-    /// Asks a replica for its load, passes the answer to the pool and wakes those who wait for it.
+    /// Requests a replica's load report, passes the result to the pool and notifies `SharedPool::probed`.
     pub(super) async fn probe(self: Arc<Self>, pool: Arc<SharedPool>, replica: ReplicaId) {
-        let asked_at = self.clock.now();
+        let sent_at = self.clock.now();
         let answer = match pool.address(&replica) {
-            // Why a probe failed does not matter: the replica is not confirmed, and is asked again.
+            // The cause of a failed probe is not used: the replica stays unconfirmed and is probed again.
             Some(address) => self.engines.load(address).await.ok(),
             None => None,
         };
         let now = self.clock.now();
         pool.with(|pool| match answer {
-            Some(report) => pool.observe(&replica, asked_at, report, now),
+            Some(report) => pool.observe(&replica, sent_at, report, now),
             None => pool.record_probe_failure(&replica),
         });
         pool.probed.notify_waiters();
     }
 
     fn pool(&self, name: &PoolName) -> Option<Arc<SharedPool>> {
-        self.follow_directory();
+        self.refresh_pools();
         let pool = self.pools.get(name)?;
-        pool.used(self.clock.now());
+        pool.mark_used(self.clock.now());
         Some(pool)
     }
 
-    fn follow_directory(&self) {
-        self.pools.follow(&self.context, self.clock.now());
+    fn refresh_pools(&self) {
+        self.pools.refresh(&self.context, self.clock.now());
     }
 }
 
-/// Keeps replicas of the pools in use confirmed. What is not in use is not asked.
+/// Probes the replicas of the pools in use at an interval until the node has stopped.
 async fn probe_rounds(shared: Arc<Shared>) {
     let mut rounds = tokio::time::interval(REPLICA_PROBE_INTERVAL);
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -203,18 +203,18 @@
         }
         let now = shared.clock.now();
         for pool in shared.pools.all() {
-            if !pool.is_in_use(now, POOL_USE_TIME) {
+            if !pool.is_in_use(now, POOL_IDLE_TIMEOUT) {
                 continue;
             }
-            for replica in pool.with(|pool| pool.due_probes(now, MAX_PROBES_IN_ROUND)) {
+            for replica in pool.with(|pool| pool.due_probes(now, MAX_PROBES_PER_ROUND)) {
                 tokio::spawn(Arc::clone(&shared).probe(Arc::clone(&pool), replica));
             }
         }
     }
 }
 
-/// A run whose task panicked or was shut down may have dispatched: nothing is known about it.
-const fn lost_run() -> RequestOutcome {
+/// Returns the outcome of a run whose task panicked or was shut down; it may have dispatched its request.
+const fn lost_run_outcome() -> RequestOutcome {
     RequestOutcome::Unknown {
         doubt: Doubt::EarlierSubmission,
         reason: GiveUpReason::AnswerNotWhole,
--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -1,7 +1,8 @@
-//! What the gateway asks of engines, with answers sorted by what they prove.
+//! Client of the engines' HTTP interface for streams and load reports.
 //!
-//! Translates the engines' protocol into the core's events. Relies on [`HttpClient`] to distinguish a request
-//! of which nothing was written from one that may have arrived.
+//! Translates the engines' protocol into the core's events and classifies failures by whether the engine may
+//! have admitted the request. Relies on [`HttpClient`] to distinguish a request of which nothing was written
+//! from one that may have arrived.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,74 +19,73 @@
 use crate::http::events::{EventReader, EventStreamError};
 use crate::http::request::percent_encode;
 
-/// How long an engine may take to report its load. Chosen, not measured: a probe is repeated after the same
-/// time.
+/// Timeout of a request for an engine's load report.
 const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an engine may take to cancel a stream. Chosen, not measured: nobody waits for it.
+/// Timeout of a request to cancel a stream.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What came of asking an engine to start or resume a stream.
+/// Outcome of a request to start or resume a stream at an engine.
 #[derive(Debug)]
-pub enum Opening {
-    /// Events follow.
+pub enum StreamOpening {
+    /// The stream is open.
     Open(EngineStream),
-    /// The engine refused before admission.
+    /// The engine refused the request before admitting it.
     Refused(EngineRefusal, RefusalCause),
-    /// No byte left this node.
+    /// No byte of the request was written, so the engine can't have admitted it.
     NothingWritten,
     /// The engine does not know the stream.
     UnknownStream,
-    /// Nobody can tell what the engine did.
+    /// The call failed after the engine may have received the request.
     InDoubt(ClientError),
 }
 
-/// Calls engines. Cheap to clone.
+/// A client of the engines. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 impl EngineClient {
-    /// A client whose connections are made within `connect_timeout`.
+    /// Creates a client that gives up a connection attempt after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         Self { http: HttpClient::new(connect_timeout) }
     }
 
     /// Starts a stream.
-    pub async fn dispatch(&self, address: SocketAddr, request: &StreamRequest) -> Opening {
+    pub async fn dispatch(&self, address: SocketAddr, request: &StreamRequest) -> StreamOpening {
         let opened = self.http.post_events(address, "/v1/streams", request, ENGINE_ANSWER_TIMEOUT).await;
         match opened {
-            Ok(reader) => Opening::Open(EngineStream { reader }),
-            Err(error) if error.nothing_sent() => Opening::NothingWritten,
+            Ok(reader) => StreamOpening::Open(EngineStream { reader }),
+            Err(error) if error.nothing_sent() => StreamOpening::NothingWritten,
             Err(error) => match refusal(&error) {
-                Some((refusal, cause)) => Opening::Refused(refusal, cause),
-                None => Opening::InDoubt(error),
+                Some((refusal, cause)) => StreamOpening::Refused(refusal, cause),
+                None => StreamOpening::InDoubt(error),
             },
         }
     }
 
     /// Resumes a stream.
-    pub async fn resume(&self, address: SocketAddr, attempt: &AttemptId, from: u32) -> Opening {
+    pub async fn resume(&self, address: SocketAddr, attempt: &AttemptId, from: u32) -> StreamOpening {
         let path = format!("{}?from={from}", stream_path(attempt));
         match self.http.get_events(address, &path, ENGINE_ANSWER_TIMEOUT).await {
-            Ok(reader) => Opening::Open(EngineStream { reader }),
-            Err(error) if error.status() == Some(StatusCode::NOT_FOUND) => Opening::UnknownStream,
-            Err(error) => Opening::InDoubt(error),
+            Ok(reader) => StreamOpening::Open(EngineStream { reader }),
+            Err(error) if error.status() == Some(StatusCode::NOT_FOUND) => StreamOpening::UnknownStream,
+            Err(error) => StreamOpening::InDoubt(error),
         }
     }
 
     /// Cancels a stream.
     ///
     /// # Errors
-    /// When the engine did not confirm it.
+    /// When the engine does not confirm the cancellation.
     pub async fn cancel(&self, address: SocketAddr, attempt: &AttemptId) -> Result<(), ClientError> {
         self.http.delete(address, &stream_path(attempt), CANCEL_TIMEOUT).await
     }
 
-    /// Asks for the engine's load and role.
+    /// Requests the engine's load report, which includes its role.
     ///
     /// # Errors
-    /// When no report came in time.
+    /// When no report arrives in time.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, ClientError> {
         self.http.get_json(address, "/v1/load", LOAD_REPORT_TIMEOUT).await
     }
@@ -95,7 +95,8 @@
     format!("/v1/streams/{}", percent_encode(attempt.as_str()))
 }
 
-/// Only a 503 whose body is a refusal proves that the engine did not admit the attempt.
+/// Returns the refusal in an error response. Only a 503 whose body is a refusal proves that the engine did
+/// not admit the attempt.
 fn refusal(error: &ClientError) -> Option<(EngineRefusal, RefusalCause)> {
     if error.status() != Some(StatusCode::SERVICE_UNAVAILABLE) {
         return None;
@@ -108,17 +109,17 @@
     Some((EngineRefusal { attempt: refusal.attempt }, cause))
 }
 
-/// The events of one stream.
+/// Reads the events of one stream.
 #[derive(Debug)]
 pub struct EngineStream {
     reader: EventReader,
 }
 
 impl EngineStream {
-    /// The next event; `None` where the stream ended.
+    /// Returns the next event, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// When the stream broke off or an event can't be read.
+    /// When the stream breaks off or an event can't be decoded.
     pub async fn next(&mut self) -> Result<Option<EngineEvent>, EventStreamError> {
         let Some(event) = self.reader.next().await? else { return Ok(None) };
         Ok(Some(translate(event.json()?)))
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,9 +1,8 @@
-//! Serves callers of the project's own interface: takes a request, picks an engine, brings the whole answer
-//! back.
+//! Serves callers of the project's own interface: routes each request to an engine and returns its answer.
 //!
-//! `completions` reads requests and writes answers, [`dispatcher`] starts a run of each, `runner` drives
-//! it by the core's `request::execution`, `pools` holds what the node knows of engines. Relies on the
-//! machine list and the settings tree.
+//! `completions` reads requests and writes answers, [`dispatcher`] starts a run for each request, `runner`
+//! drives the run with the core's `request::execution`, and `pools` holds the state of the engines. Relies on
+//! the machine list and the settings tree.
 
 mod clock;
 mod completions;
@@ -21,7 +20,7 @@
 use crate::http::{Body, response};
 pub use dispatcher::{Dispatcher, Generation, Repetition};
 
-/// Answers callers. Cheap to clone.
+/// Handles requests on the callers' port. Cheap to clone.
 #[derive(Clone)]
 pub struct Gateway {
     context: Context,
@@ -30,13 +29,13 @@
 }
 
 impl Gateway {
-    /// A gateway that runs its generations through the node's dispatcher, and hands jobs and weights to the
-    /// owners of their shards.
+    /// Creates a gateway that runs generations through the node's dispatcher and forwards requests about jobs
+    /// and weights to the owners of their shards.
     pub const fn new(context: Context, dispatcher: Dispatcher, coordinator: Coordinator) -> Self {
         Self { context, dispatcher, coordinator }
     }
 
-    /// Answers one request on the callers' port.
+    /// Handles one request.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         if path == "/v1/completions" && request.method() == Method::POST {
--- a/crates/daemon/src/gateway/pools.rs
+++ b/crates/daemon/src/gateway/pools.rs
@@ -1,7 +1,7 @@
-//! The pools of the node, shared by the requests that run on them.
+//! The node's pools, shared by the requests that run on them.
 //!
-//! Owns each pool's state behind a lock that is held for single steps. Follows the machine list and the
-//! settings tree; the rules of routing stand in the core's `routing`.
+//! Owns each pool's state behind a lock that is held for single steps. Updates the pools from the machine
+//! list and the settings tree; the routing itself is in the core's `routing`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,12 +23,12 @@
 use crate::context::NodeContext;
 use crate::directory::{ReplicaDirectory, ReplicaEntry};
 
-/// One pool, shared by the requests that run on it. Its lock is held for single steps only, never across a
-/// wait.
+/// A pool shared by the requests that run on it. Its lock is held for single steps and never across an
+/// `await`.
 #[derive(Debug)]
 pub struct SharedPool {
     state: Mutex<PoolState>,
-    /// Notified whenever a replica has answered a probe.
+    /// Notified after each probe of a replica, whether it succeeded or failed.
     pub probed: Notify,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl PoolState {
-    fn take(&mut self, entries: &[ReplicaEntry], config: PoolConfig) {
+    fn update(&mut self, entries: &[ReplicaEntry], config: PoolConfig) {
         self.pool.reconfigure(config);
         self.addresses.extend(entries.iter().map(|entry| (entry.replica.clone(), entry.address)));
         self.pool.set_listed_replicas(entries.iter().map(|entry| ListedReplica {
@@ -60,22 +60,22 @@
         Self { state: Mutex::new(state), probed: Notify::new() }
     }
 
-    /// Runs one step on the pool.
+    /// Runs `step` on the pool while holding its lock.
     pub fn with<T>(&self, step: impl FnOnce(&mut Pool) -> T) -> T {
         step(&mut self.lock().pool)
     }
 
-    /// Where a replica is, or was when it was last listed.
+    /// Returns the address at which a replica is or was last listed.
     pub fn address(&self, replica: &ReplicaId) -> Option<SocketAddr> {
         self.lock().addresses.get(replica).copied()
     }
 
-    /// Notes that a request uses the pool.
-    pub fn used(&self, now: Timestamp) {
+    /// Records that a request uses the pool at `now`.
+    pub fn mark_used(&self, now: Timestamp) {
         self.lock().used_at = Some(now);
     }
 
-    /// Whether a request used the pool within `within`.
+    /// Returns whether a request has used the pool during the last `within`.
     pub(crate) fn is_in_use(&self, now: Timestamp, within: Duration) -> bool {
         self.lock().used_at.is_some_and(|used_at| now < used_at + within)
     }
@@ -93,18 +93,18 @@
 
 #[derive(Debug, Default)]
 struct PoolsState {
-    /// What the pools were last made from.
-    follows: Option<(Arc<ReplicaDirectory>, Arc<ConfigurationView>)>,
+    /// The directory and settings from which the pools were last updated.
+    source: Option<(Arc<ReplicaDirectory>, Arc<ConfigurationView>)>,
     pools: HashMap<PoolName, Arc<SharedPool>>,
 }
 
 impl Pools {
-    /// Takes over the directory and the settings tree where they have changed.
-    pub fn follow(&self, context: &NodeContext, now: Timestamp) {
+    /// Updates the pools if the directory or the settings tree has changed.
+    pub fn refresh(&self, context: &NodeContext, now: Timestamp) {
         let directory = context.directory.load_full();
         let configuration = context.configuration.load_full();
         let mut state = self.lock();
-        let is_known = state.follows.as_ref().is_some_and(|(known_directory, known_configuration)| {
+        let is_known = state.source.as_ref().is_some_and(|(known_directory, known_configuration)| {
             Arc::ptr_eq(known_directory, &directory) && Arc::ptr_eq(known_configuration, &configuration)
         });
         if is_known {
@@ -114,33 +114,36 @@
             let config = pool_config(context, &configuration, name);
             let new_pool = || Arc::new(SharedPool::new(context.node.clone(), config, now));
             let pool = state.pools.entry(name.clone()).or_insert_with(new_pool);
-            pool.lock().take(entries, config);
+            pool.lock().update(entries, config);
         }
         for (name, pool) in &state.pools {
             if !directory.pools.contains_key(name) {
                 pool.lock().pool.set_listed_replicas([]);
             }
         }
-        state.follows = Some((directory, configuration));
+        state.source = Some((directory, configuration));
     }
 
-    /// The pool of this name, if the directory has ever named it.
+    /// Returns the pool of this name if the directory has ever listed it.
     pub fn get(&self, name: &PoolName) -> Option<Arc<SharedPool>> {
         self.lock().pools.get(name).cloned()
     }
 
-    /// All pools.
+    /// Returns all pools.
     pub fn all(&self) -> Vec<Arc<SharedPool>> {
         self.lock().pools.values().cloned().collect()
     }
 
-    /// The pools as operators see them.
+    /// Returns the status of all pools, sorted by name.
     pub fn status(&self, now: Timestamp) -> Vec<PoolStatus> {
         let pools: Vec<_> =
             self.lock().pools.iter().map(|(name, pool)| (name.clone(), Arc::clone(pool))).collect();
         let mut statuses: Vec<PoolStatus> = pools
             .into_iter()
-            .map(|(name, pool)| PoolStatus { pool: name, replicas: pool.with(|pool| replicas(pool, now)) })
+            .map(|(name, pool)| PoolStatus {
+                pool: name,
+                replicas: pool.with(|pool| replica_statuses(pool, now)),
+            })
             .collect();
         statuses.sort_by(|left, right| left.pool.cmp(&right.pool));
         statuses
@@ -151,8 +154,8 @@
     }
 }
 
-/// How a pool is routed: the node's settings file for what the machine decides, the settings tree for the
-/// rest.
+/// Returns a pool's routing configuration: the validity of confirmations from the node's settings file, retry
+/// budget and live reserve from the settings tree, the rest from the defaults.
 fn pool_config(context: &NodeContext, configuration: &ConfigurationView, pool: &PoolName) -> PoolConfig {
     let defaults = PoolConfig::default();
     let retry_percent = configuration.for_pool(pool, &RETRY_BUDGET_PERCENT);
@@ -168,8 +171,9 @@
     }
 }
 
-/// What operators read of a replica: other nodes may use it though this one does not.
-const fn shown(eligibility: Eligibility, in_subset: bool) -> &'static str {
+/// Returns the eligibility shown to operators. A replica outside this node's subset is shown as such, since
+/// other nodes may use it.
+const fn displayed_eligibility(eligibility: Eligibility, in_subset: bool) -> &'static str {
     match eligibility {
         Eligibility::Leaving => eligibility.as_str(),
         _ if !in_subset => "outside_subset",
@@ -177,14 +181,14 @@
     }
 }
 
-fn replicas(pool: &Pool, now: Timestamp) -> Vec<ReplicaStatus> {
-    let holds = pool.config().confirmation_validity;
+fn replica_statuses(pool: &Pool, now: Timestamp) -> Vec<ReplicaStatus> {
+    let validity = pool.config().confirmation_validity;
     let listed = pool.replicas().iter().map(|(id, replica)| {
-        let eligibility: Eligibility = replica.confirmation.eligibility(now, holds);
+        let eligibility: Eligibility = replica.confirmation.eligibility(now, validity);
         ReplicaStatus {
             replica: id.clone(),
             zone: replica.zone.clone(),
-            eligibility: shown(eligibility, replica.in_subset).to_owned(),
+            eligibility: displayed_eligibility(eligibility, replica.in_subset).to_owned(),
             in_flight: replica.load.in_flight(),
             concurrency_limit: replica.concurrency.limit(),
             weight_version: replica.load.report().and_then(|report| report.weight_version),
--- a/crates/daemon/src/gateway/refusal.rs
+++ b/crates/daemon/src/gateway/refusal.rs
@@ -1,7 +1,7 @@
-//! Status and error body of an outcome without an answer, for callers of the project's own interface.
+//! HTTP status and error body of a failed request, for callers of the project's own interface.
 //!
-//! The times after which callers come back are part of the outcome: a pool's drain rate, or the core's
-//! `retry::retry_after`. Callers on the platform's path get another form, see `ingress::refusal`.
+//! The time after which callers retry is part of the outcome: it follows from a pool's drain rate or from the
+//! core's `retry::retry_after`. Callers on the platform's path get another form, see `ingress::refusal`.
 
 use hyper::StatusCode;
 use lichenpulley_core::request::outcome::{GiveUpReason, RefusalReason};
@@ -9,7 +9,7 @@
 use lichenpulley_protocol::error::{ErrorBody, Execution};
 use std::time::Duration;
 
-/// The status and body of a request that did not run.
+/// Returns the status and body for a request that did not run.
 pub fn not_run(reason: RefusalReason, retry_after: Option<Duration>) -> (StatusCode, ErrorBody) {
     let body = ErrorBody {
         execution: Some(Execution::NotRun),
@@ -19,7 +19,7 @@
     (status_of_refusal(reason), body)
 }
 
-/// The status and body of a request that may have run.
+/// Returns the status and body for a request that may have run.
 pub fn unknown(reason: GiveUpReason, retry_after: Option<Duration>) -> (StatusCode, ErrorBody) {
     let body = ErrorBody {
         execution: Some(Execution::Unknown),
--- a/crates/daemon/src/gateway/runner.rs
+++ b/crates/daemon/src/gateway/runner.rs
@@ -1,7 +1,7 @@
-//! Drives one [`Execution`] with real engines: does each step, and reports what came of it.
+//! Drives one [`Execution`]: carries out each of its steps with the engines and reports the result to it.
 //!
-//! Owns the open stream of one request and the channel to its caller. All decisions are the execution's;
-//! dropping a run cancels its stream at the engine.
+//! Owns the open stream of one request and the channel to its caller. The execution makes all decisions.
+//! Dropping a run cancels its stream at the engine.
 
 use std::sync::Arc;
 
@@ -18,11 +18,11 @@
 use tokio::time::{sleep_until, timeout_at};
 
 use crate::gateway::dispatcher::{Generation, Repetition, Shared};
-use crate::gateway::engine_client::{EngineStream, Opening};
+use crate::gateway::engine_client::{EngineStream, StreamOpening};
 use crate::gateway::pools::SharedPool;
 use crate::store::claims::{self, ClaimOutcome};
 
-/// Runs a generation to its outcome. Dropping the future cancels the stream at the engine.
+/// Runs a generation until it has an outcome. Dropping the future cancels the stream at the engine.
 pub(super) async fn run(
     shared: Arc<Shared>,
     pool: Arc<SharedPool>,
@@ -41,7 +41,7 @@
             Step::Receive { until } => runner.receive(until).await,
             Step::Wait { until } => sleep_until(runner.shared.clock.instant(until)).await,
             Step::Finish(outcome) => {
-                runner.is_over = true;
+                runner.is_finished = true;
                 return *outcome;
             }
         }
@@ -56,7 +56,7 @@
     stream: Option<(AttemptId, EngineStream)>,
     chunks: Option<mpsc::Sender<Chunk>>,
     deadline: Timestamp,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl Runner {
@@ -70,7 +70,7 @@
         let deadline = now + generation.deadline;
         let spec = ExecutionSpec {
             request: generation.request.clone(),
-            execution: shared.next_execution(),
+            execution: shared.next_execution_id(),
             prefix_group: prefix_group(&generation.prompt),
             priority: generation.priority,
             max_tokens: generation.max_tokens,
@@ -79,10 +79,10 @@
             minimum_version: generation.minimum_version,
         };
         let execution = pool.with(|pool| Execution::new(spec, pool, now));
-        Self { shared, pool, generation, execution, stream: None, chunks, deadline, is_over: false }
+        Self { shared, pool, generation, execution, stream: None, chunks, deadline, is_finished: false }
     }
 
-    /// One step of the execution, then what it asks for on the side.
+    /// Runs one step of the execution, then records its decisions and cancels the streams that it gave up.
     fn advance<T>(
         &mut self,
         step: impl FnOnce(&mut Execution, Timestamp, &mut Pool, &mut ThreadRng) -> T,
@@ -102,13 +102,13 @@
         let request = &self.generation.request;
         let claim = claims::claim(&self.shared.context, request, issued_at_unix_ms, attempt);
         let limit = self.shared.clock.instant(self.deadline);
-        let verdict = match timeout_at(limit, claim).await {
+        let claim_result = match timeout_at(limit, claim).await {
             Ok(ClaimOutcome::Granted) => ClaimResult::Granted,
             Ok(ClaimOutcome::Held) => ClaimResult::Held,
             Ok(ClaimOutcome::Expired) => ClaimResult::Expired,
             Ok(ClaimOutcome::NoMajority) | Err(_) => ClaimResult::NoMajority,
         };
-        self.advance(|execution, now, _, _| execution.claimed(verdict, now));
+        self.advance(|execution, now, _, _| execution.claimed(claim_result, now));
     }
 
     async fn probe(&mut self, replicas: Vec<ReplicaId>, until: Timestamp) {
@@ -117,7 +117,7 @@
             tokio::spawn(Arc::clone(&self.shared).probe(Arc::clone(&self.pool), replica));
         }
         let limit = self.shared.clock.instant(until);
-        // Whether a probe was answered or the time is over: the execution asks its pool again.
+        // A timeout is handled like a probe result: the execution checks its pool again in both cases.
         let _ = timeout_at(limit, probed).await;
     }
 
@@ -132,36 +132,39 @@
         };
         let opening = match self.pool.address(replica) {
             Some(address) => self.shared.engines.dispatch(address, &request).await,
-            None => Opening::NothingWritten,
+            None => StreamOpening::NothingWritten,
         };
-        self.opened(attempt, opening);
+        self.handle_opening(attempt, opening);
     }
 
     async fn resume(&mut self, replica: &ReplicaId, attempt: AttemptId, from: u32) {
-        // Closes the connection of the broken stream.
+        // Close the connection of the broken stream.
         self.stream = None;
         let opening = match self.pool.address(replica) {
             Some(address) => self.shared.engines.resume(address, &attempt, from).await,
-            None => Opening::UnknownStream,
+            None => StreamOpening::UnknownStream,
         };
-        self.opened(attempt, opening);
+        self.handle_opening(attempt, opening);
     }
 
-    fn opened(&mut self, attempt: AttemptId, opening: Opening) {
+    fn handle_opening(&mut self, attempt: AttemptId, opening: StreamOpening) {
         let request = &self.generation.request;
         match opening {
-            Opening::Open(stream) => self.stream = Some((attempt, stream)),
-            Opening::Refused(refusal, cause) => self.advance(|execution, now, pool, random| {
+            StreamOpening::Open(stream) => self.stream = Some((attempt, stream)),
+            StreamOpening::Refused(refusal, cause) => self.advance(|execution, now, pool, random| {
                 execution.refused(&refusal, cause, now, pool, random);
             }),
-            Opening::NothingWritten => {
+            StreamOpening::NothingWritten => {
                 self.advance(|execution, now, pool, random| execution.nothing_written(now, pool, random));
             }
-            Opening::UnknownStream => {
+            StreamOpening::UnknownStream => {
                 self.advance(|execution, now, pool, random| execution.stream_unknown(now, pool, random));
             }
-            Opening::InDoubt(error) => {
-                log::info!(target: "request", "{request}: attempt {attempt} is in doubt: {error}.");
+            StreamOpening::InDoubt(error) => {
+                log::info!(
+                    target: "request",
+                    "{request}: the engine may have received attempt {attempt}: {error}."
+                );
                 self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
         }
@@ -179,13 +182,17 @@
                 self.advance(|execution, now, pool, random| {
                     execution.received(&attempt, event, now, pool, random);
                 });
-                self.hand_on().await;
+                self.forward_chunks().await;
             }
             Ok(Ok(None)) => {
                 self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
             Ok(Err(error)) => {
-                log::info!(target: "request", "{}: attempt {attempt}: {error}.", self.generation.request);
+                log::info!(
+                    target: "request",
+                    "{}: the stream of attempt {attempt} failed: {error}.",
+                    self.generation.request
+                );
                 self.advance(|execution, now, pool, random| execution.stream_broken(now, pool, random));
             }
             Err(_) => {
@@ -194,9 +201,9 @@
         }
     }
 
-    /// Sends new tokens to the caller. A caller that does not read holds its own stream up, at most to its
+    /// Sends new tokens to the caller. A caller that does not read blocks its own stream, at most until its
     /// deadline.
-    async fn hand_on(&mut self) {
+    async fn forward_chunks(&mut self) {
         let Some(chunks) = self.chunks.clone() else { return };
         let limit = self.shared.clock.instant(self.deadline);
         for chunk in self.execution.take_new() {
@@ -218,17 +225,17 @@
             let request = self.generation.request.clone();
             self.shared.traffic.spawn(async move {
                 if let Err(error) = engines.cancel(address, &attempt).await {
-                    log::debug!(target: "request", "{request}: {attempt} was not cancelled: {error}.");
+                    log::debug!(target: "request", "{request}: attempt {attempt} not cancelled: {error}.");
                 }
             });
         }
     }
 }
 
-/// A run that is dropped before its end, because nobody waits for it, frees what it holds.
+/// Cancels the streams and releases the pool's capacity of a run that is dropped before its end.
 impl Drop for Runner {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             self.advance(|execution, now, pool, _| execution.abandon(now, pool));
         }
     }
