--- a/crates/daemon/src/coordinator/attempt.rs
+++ b/crates/daemon/src/coordinator/attempt.rs
@@ -1,4 +1,5 @@
-//! Runs one attempt at a slot: generates through the dispatcher, then asks the scorer.
+//! Runs one attempt at a slot of a rollout job: generates a sample through the dispatcher, then has the
+//! scorer score it.
 
 use std::time::Duration;
 
@@ -13,23 +14,22 @@
 use crate::gateway::{Dispatcher, Generation, Repetition};
 use crate::http::client::HttpClient;
 
-/// The pause after failures in a row to score. Chosen, not measured: shorter storms a sick scorer, longer
-/// holds a slot that has its whole text.
+/// Delay before a failed score request is repeated.
 const SCORE_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
 
-/// What every attempt of a job needs.
+/// State shared by all attempts of a job.
 #[derive(Clone)]
 pub(super) struct AttemptRunner {
     pub(super) context: Context,
     pub(super) dispatcher: Dispatcher,
     pub(super) http: HttpClient,
     pub(super) specification: JobSpecification,
-    /// An attempt that takes longer is given up.
+    /// Deadline of an attempt's generation.
     pub(super) timeout: Duration,
 }
 
 impl AttemptRunner {
-    /// Runs an attempt to its end. Dropping the future stops it at the engine.
+    /// Runs an attempt until it ends. Dropping the future cancels its stream at the engine.
     pub(super) async fn run(&self, start: &AttemptStart) -> AttemptOutcome {
         let generation = Generation {
             request: RequestId::new(start.attempt.as_str()),
@@ -54,22 +54,23 @@
         }
     }
 
-    /// Scoring changes nothing at the scorer, so it is repeated until it succeeds; the owner's timeout ends
-    /// it.
+    /// Scores the answer. Scoring is idempotent, so it is repeated until it succeeds or the owner's attempt
+    /// timeout cancels it.
     async fn score(&self, start: &AttemptStart, prompt: String, answer: Answer) -> AttemptOutcome {
         let Some(scorer) = self.context.settings.platform.scorer else {
             return AttemptOutcome::Failed { reason: "no_scorer".to_owned(), retry_after: None };
         };
-        let question = ScoreRequest { prompt, tokens: answer.tokens.clone() };
+        let score_request = ScoreRequest { prompt, tokens: answer.tokens.clone() };
         let deadline = self.context.settings.coordinator.call_timeout;
         let mut failures = 0;
         loop {
-            let scored = self.http.post_json::<_, ScoreResponse>(scorer, "/score", &question, deadline).await;
+            let scored =
+                self.http.post_json::<_, ScoreResponse>(scorer, "/score", &score_request, deadline).await;
             match scored {
                 Ok(ScoreResponse { reward }) => {
                     return AttemptOutcome::Completed { tokens: answer.tokens, spans: answer.spans, reward };
                 }
-                Err(error) => log::warn!(target: "rollout", "{}: not scored yet: {error}.", start.attempt),
+                Err(error) => log::warn!(target: "rollout", "{}: scoring failed: {error}.", start.attempt),
             }
             failures += 1;
             tokio::time::sleep(SCORE_BACKOFF.pause(failures)).await;
--- a/crates/daemon/src/coordinator/discovery.rs
+++ b/crates/daemon/src/coordinator/discovery.rs
@@ -1,7 +1,8 @@
-//! Tells the owners of shards that the shards exist, so that a new owner runs them without being asked.
+//! Notifies the owners of shards that the shards exist, so that a new owner starts them before a request
+//! arrives.
 //!
-//! Only store replicas know which shards there are. Of a shard's replicas, the first live one tells the
-//! shard's owner: one small request for each shard in each round, whatever the number of nodes.
+//! Only store replicas know which shards exist. Of a shard's replicas, the first live one notifies the
+//! shard's owner, so each round sends one request per shard whatever the number of nodes.
 
 use std::time::Duration;
 
@@ -13,11 +14,11 @@
 use crate::context::Context;
 use crate::store::Store;
 
-/// Time between two rounds: how long a shard whose owner died waits at most, beside the time to notice the
-/// death. Chosen, not measured: shorter costs a request for each shard in each round.
+/// Time between two rounds. Bounds how long a shard stays without an owner after the old one's failure was
+/// detected.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Tells owners until the node has stopped.
+/// Notifies owners at an interval until the node has stopped.
 pub(super) async fn run(context: Context, coordinator: Coordinator, store: Store) {
     loop {
         tokio::select! {
@@ -25,22 +26,22 @@
             () = tokio::time::sleep(DISCOVERY_INTERVAL) => {}
         }
         for set in store.replica_sets().await {
-            if supervisor::is_control_shard(&set.shard) && is_first_live(&context, &set) {
-                tell(&context, &coordinator, set.shard).await;
+            if supervisor::is_control_shard(&set.shard) && is_first_live_member(&context, &set) {
+                notify_owner(&context, &coordinator, set.shard).await;
             }
         }
     }
 }
 
-/// Whether this node is the first of the set's nodes that is believed alive.
-fn is_first_live(context: &Context, set: &ReplicaSet) -> bool {
+/// Returns whether this node is the first live member of the replica set, by the cluster view.
+fn is_first_live_member(context: &Context, set: &ReplicaSet) -> bool {
     let cluster = context.cluster.load();
     let first = set.members.iter().find(|member| cluster.member(&member.node).is_some());
     first.is_some_and(|member| member.node == context.node)
 }
 
-async fn tell(context: &Context, coordinator: &Coordinator, shard: ShardId) {
+async fn notify_owner(context: &Context, coordinator: &Coordinator, shard: ShardId) {
     let Some(owner) = forward::owner(context, &shard) else { return };
-    // Told again in the next round, also to another owner, whatever came of it.
-    let _ = forward::ask(context, coordinator, &owner, CoordinatorRequest::Own(shard)).await;
+    // The result is not used: the notification is repeated in the next round.
+    let _ = forward::ask_member(context, coordinator, &owner, CoordinatorRequest::Own(shard)).await;
 }
--- a/crates/daemon/src/coordinator/engines.rs
+++ b/crates/daemon/src/coordinator/engines.rs
@@ -1,7 +1,7 @@
-//! Orders to engines and questions about their state, over HTTP.
+//! Sends orders and state queries to engines over HTTP.
 //!
-//! Owns the translation between the core's orders and the engines' interface, and what an answer or its absence means.
-//! Relies on the engine to refuse an order of an earlier epoch.
+//! Translates between the core's orders and the engines' interface. Relies on the engine to refuse an order
+//! of an earlier epoch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 
 use crate::http::client::{ClientError, HttpClient};
 
-/// Sends fenced orders under one owner's epoch.
+/// Sends orders to engines, fenced by one owner's epoch.
 #[derive(Clone)]
 pub(super) struct EngineClient {
     pub(super) http: HttpClient,
     pub(super) shard: ShardId,
     pub(super) epoch: Epoch,
-    /// A call unanswered for so long is given up.
-    pub(super) deadline: Duration,
+    /// Timeout of a call.
+    pub(super) call_timeout: Duration,
 }
 
 impl EngineClient {
-    /// Sends an order.
+    /// Sends an order and returns its result.
     pub(super) async fn order(&self, address: SocketAddr, command: OrderCommand) -> OrderResult {
         let command = match command {
             OrderCommand::LoadWeights(weight_version) => Command::LoadWeights { weight_version },
@@ -32,21 +32,21 @@
             OrderCommand::ChangeRole { draining: false } => Command::ChangeRole { role: EngineRole::Serving },
         };
         let order = Order { shard: self.shard.clone(), epoch: self.epoch, command };
-        let answered = self.http.post_json(address, "/v1/orders", &order, self.deadline).await;
-        match answered {
+        let result = self.http.post_json(address, "/v1/orders", &order, self.call_timeout).await;
+        match result {
             Ok(OrderAccepted { load, .. }) => OrderResult::Accepted(report(&load)),
             Err(error) => refused(&error).unwrap_or(OrderResult::NoAnswer),
         }
     }
 
-    /// Asks for an engine's state.
+    /// Requests an engine's load report; returns `None` if the call fails.
     pub(super) async fn ask(&self, address: SocketAddr) -> Option<WeightReport> {
         let load: Result<LoadReport, ClientError> =
-            self.http.get_json(address, "/v1/load", self.deadline).await;
+            self.http.get_json(address, "/v1/load", self.call_timeout).await;
         match load {
             Ok(load) => Some(report(&load)),
             Err(error) => {
-                // It is asked again after the interval of its state.
+                // The controller polls it again after the interval of its state.
                 log::debug!(target: "weights", "The engine at {address} gave no report: {error}.");
                 None
             }
--- a/crates/daemon/src/coordinator/forward.rs
+++ b/crates/daemon/src/coordinator/forward.rs
@@ -1,9 +1,8 @@
-//! Brings a request to the owner of its shard, wherever that is.
+//! Sends a request to the owner of its shard, on this or another node.
 //!
-//! Relies on the members that this node knows: the owner of a shard of the own interface follows from them
-//! alone. The way to the owner of batch jobs (`batch::job_shard`) is another, because that owner is found by
-//! asking the stores, and because a hand-in that got no answer there is in doubt, where every request here
-//! can be repeated.
+//! The owner of a coordinator's shard follows from the cluster view alone, and every request can be repeated
+//! without harm. Batch jobs use `batch::job_shard` instead, because their owner is found by a query to the
+//! stores, and the outcome of a submission that gets no answer is unknown.
 
 use std::time::Duration;
 
@@ -16,23 +15,22 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// How long a request tries to reach the owner of its shard. Above one deadline of an answer and a takeover;
-/// longer holds callers of a shard that nobody can own.
+/// Time after which a request stops looking for the owner of its shard; above the answer timeout plus a
+/// takeover.
 const SHARD_OWNER_SEARCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long one node may take to answer. Above the time of a takeover, which a request waits for at its new
-/// owner.
+/// Timeout of a request to one node; above the duration of a takeover, since a request waits for the takeover
+/// at a new owner.
 const FORWARD_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before the owner is looked up again. Well below the time in which the membership notices a change;
-/// shorter asks nodes that can't answer yet.
+/// Delay before the owner is looked up again; well below the time in which membership detects a change.
 const SHARD_OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The member that should own a shard, as this node sees it.
+/// Returns the member that owns a shard according to this node's cluster view.
 pub(super) fn owner(context: &Context, shard: &ShardId) -> Option<Member> {
     context.cluster.load().owner_of(shard).cloned()
 }
 
-/// Asks the owner of a shard and waits for its answer, also while the ownership moves. Every coordinator
-/// request can be repeated without harm, so a lost answer is asked for again.
+/// Sends a request to the owner of its shard and returns the answer. Retries while the ownership moves and
+/// after a lost answer, since every coordinator request can be repeated without harm.
 pub async fn ask_owner(
     context: &Context,
     coordinator: &Coordinator,
@@ -40,16 +38,16 @@
 ) -> CoordinatorResponse {
     let limit = Instant::now() + SHARD_OWNER_SEARCH_TIMEOUT;
     let shard = request.shard();
-    let mut named = None;
+    let mut redirect = None;
     loop {
-        let asked = match named.take() {
+        let recipient = match redirect.take() {
             Some(node) => member(context, &node),
             None => owner(context, &shard),
         };
-        if let Some(member) = asked {
-            match ask(context, coordinator, &member, request.clone()).await {
+        if let Some(member) = recipient {
+            match ask_member(context, coordinator, &member, request.clone()).await {
                 Some(CoordinatorResponse::NotOwner(other)) => {
-                    named = other.filter(|node| node != &member.node);
+                    redirect = other.filter(|node| node != &member.node);
                 }
                 Some(response) => return response,
                 None => {}
@@ -58,7 +56,7 @@
         if Instant::now() >= limit {
             return no_owner(&shard);
         }
-        if named.is_none() {
+        if redirect.is_none() {
             tokio::time::sleep(SHARD_OWNER_RETRY_INTERVAL).await;
         }
     }
@@ -68,19 +66,19 @@
     context.cluster.load().member(node).cloned()
 }
 
-/// Asks one member; `None` where it gave no answer.
-pub(super) async fn ask(
+/// Sends a request to one member; returns `None` if it gives no answer.
+pub(super) async fn ask_member(
     context: &Context,
     coordinator: &Coordinator,
     member: &Member,
     request: CoordinatorRequest,
 ) -> Option<CoordinatorResponse> {
     if member.node == context.node {
-        // Without an answer in time the owner is looked up again, as where another node gives none.
+        // A timeout is handled like a failed call to another node: the owner is looked up again.
         return tokio::time::timeout(FORWARD_ANSWER_TIMEOUT, coordinator.answer(request)).await.ok();
     }
-    let answered = context.peers.coordinator(member.peer_address, request, FORWARD_ANSWER_TIMEOUT).await;
-    match answered {
+    let result = context.peers.coordinator(member.peer_address, request, FORWARD_ANSWER_TIMEOUT).await;
+    match result {
         Ok(response) => Some(response),
         Err(error) => {
             log::info!(target: "coordinator", "{error}.");
--- a/crates/daemon/src/coordinator/http.rs
+++ b/crates/daemon/src/coordinator/http.rs
@@ -1,7 +1,7 @@
-//! The callers' interface to rollout jobs and weights.
+//! HTTP interface for rollout jobs and weights.
 //!
-//! Owns the paths, the checks of what callers send and the status of each answer. Relies on the coordinator to bring a
-//! question to the owner of its shard, wherever that runs.
+//! Maps paths to coordinator requests, validates them and maps the answers to HTTP statuses. Relies on the
+//! coordinator to send each request to the owner of its shard.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -18,32 +18,32 @@
 use crate::http::request::{BadRequest, percent_decode, read_json};
 use crate::http::response;
 
-/// Whether a path of the callers' interface is answered here.
-pub fn serves(path: &str) -> bool {
+/// Returns whether this module handles a path of the callers' interface.
+pub fn handles_path(path: &str) -> bool {
     path == "/v1/jobs" || path.starts_with("/v1/jobs/") || path.starts_with("/v1/pools/")
 }
 
-/// Answers a request about jobs or weights.
+/// Handles a request about jobs or weights.
 pub async fn handle(
     context: &Context,
     coordinator: &Coordinator,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    let question = match read(context, request, &path).await {
-        Ok(Some(question)) => question,
+    let coordinator_request = match read_request(context, request, &path).await {
+        Ok(Some(coordinator_request)) => coordinator_request,
         Ok(None) => return response::not_found(&path),
-        Err(bad) => return bad.into(),
+        Err(bad_request) => return bad_request.into(),
     };
-    if let CoordinatorRequest::SubmitJob(specification) = &question
+    if let CoordinatorRequest::SubmitJob(specification) = &coordinator_request
         && let Some(refusal) = refuse_submission(context, specification)
     {
         return response::error(StatusCode::BAD_REQUEST, &refusal);
     }
-    answer(ask_owner(context, coordinator, question).await)
+    answer(ask_owner(context, coordinator, coordinator_request).await)
 }
 
-async fn read(
+async fn read_request(
     context: &Context,
     request: Request<Incoming>,
     path: &str,
@@ -52,7 +52,7 @@
     let method = request.method().clone();
     let segments: Vec<String> = path.split('/').skip(2).map(percent_decode).collect();
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
-    let question = match (method, segments.as_slice()) {
+    let coordinator_request = match (method, segments.as_slice()) {
         (Method::POST, ["jobs"]) => {
             let specification: JobSpecification = read_json(request, limit).await?;
             CoordinatorRequest::SubmitJob(specification)
@@ -69,10 +69,10 @@
         (Method::GET, ["pools", pool, "weights"]) => CoordinatorRequest::WeightsStatus(PoolName::new(*pool)),
         _ => return Ok(None),
     };
-    Ok(Some(question))
+    Ok(Some(coordinator_request))
 }
 
-/// What can be refused before the owner is asked.
+/// Validates a submission before it is sent to the owner; returns the error of an invalid one.
 fn refuse_submission(context: &Context, specification: &JobSpecification) -> Option<ErrorBody> {
     if let Err(error) = specification.validate() {
         let remedy = "mend the specification and submit it again";
@@ -85,7 +85,7 @@
     refuse_by_configuration(context, specification)
 }
 
-/// What the operators' settings tree does not allow.
+/// Returns an error if the operators' settings tree does not allow the submission.
 fn refuse_by_configuration(context: &Context, specification: &JobSpecification) -> Option<ErrorBody> {
     let JobSpecification { job, pool, staleness_bound, .. } = specification;
     let configuration = context.configuration.load();
@@ -105,7 +105,7 @@
     None
 }
 
-/// An owner's answer as HTTP.
+/// Converts an owner's answer to an HTTP response.
 pub(crate) fn answer(answered: CoordinatorResponse) -> Response<Body> {
     match answered {
         CoordinatorResponse::Job(status) => response::json(StatusCode::OK, &status),
--- a/crates/daemon/src/coordinator/job_owner.rs
+++ b/crates/daemon/src/coordinator/job_owner.rs
@@ -1,8 +1,8 @@
-//! Drives the state machine of one job that this node owns.
+//! Drives the state machine of one rollout job that this node owns.
 //!
-//! Owns the job's controller, its log, its running attempts and the callers that wait. Relies on
-//! `core::rollout` for every choice. Unlike the owner of batch jobs it has no confirmed authority: each
-//! answer waits until its records are kept.
+//! Owns the job's controller, its log, its running attempts and the pending requests. `core::rollout` makes
+//! all decisions. Unlike the owner of batch jobs, this owner does not confirm its authority with the stores,
+//! so each answer waits until its records are committed.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,38 +18,37 @@
 use tokio_util::sync::CancellationToken;
 
 use super::attempt::AttemptRunner;
-use super::shard::{ShardClock, ShardCommand, encode_all, last_answer, refused};
+use super::shard::{ShardClock, ShardCommand, encode_records, final_response, refused};
 use crate::context::Context;
 use crate::gateway::Dispatcher;
 use crate::http::client::HttpClient;
 use crate::store::log_writer::{AppendMode, AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{ShardLog, ShardLogError};
 
-/// The prefix of this part's log lines.
-const LOG_PREFIX: &str = "rollout";
-/// A connection to the scorer that is not made within this time is given up. Chosen, not measured: some round
-/// trips of a busy machine; longer, and an attempt loses its time to a scorer that is gone.
+/// Target of this module's log lines.
+const LOG_TARGET: &str = "rollout";
+/// Timeout of a connection attempt to the scorer.
 const SCORER_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How an attempt's task ended.
-struct AttemptEnd {
+/// Outcome of an attempt's task.
+struct EndedAttempt {
     attempt: AttemptId,
     outcome: AttemptOutcome,
 }
 
-/// The owner of a job, with its log, its running attempts and those who wait for an answer.
+/// The owner of a job, with its log, its running attempts and the pending requests.
 pub(super) struct JobOwner {
     context: Context,
     runner: AttemptRunner,
     controller: JobController,
     clock: ShardClock,
     log: LogWriter<Vec<u8>>,
-    attempts: JoinSet<AttemptEnd>,
-    /// How to stop each running attempt.
+    attempts: JoinSet<EndedAttempt>,
+    /// Handles that cancel the running attempts.
     running: HashMap<AttemptId, AbortHandle>,
-    /// Pulls that wait for their answer, by ticket.
+    /// Pull requests that wait for their answer, by ticket.
     pulls: HashMap<u64, ShardCommand>,
-    /// Submissions that wait until the specification is kept by a majority.
+    /// Submissions that wait until the specification is committed.
     submissions: Vec<ShardCommand>,
     last_ticket: u64,
     failure: Option<ShardLogError>,
@@ -70,19 +69,13 @@
             specification: controller.ledger().specification().clone(),
             timeout: controller.config().attempt_timeout,
         };
-        let clock_of_writes = context.boot_clock.clone();
+        let boot_clock = context.boot_clock.clone();
         Self {
             context,
             runner,
             controller,
             clock,
-            log: LogWriter::start(
-                log,
-                RecordFormat::bytes(LOG_PREFIX),
-                AppendMode::Single,
-                0,
-                clock_of_writes,
-            ),
+            log: LogWriter::start(log, RecordFormat::bytes(LOG_TARGET), AppendMode::Single, 0, boot_clock),
             attempts: JoinSet::new(),
             running: HashMap::new(),
             pulls: HashMap::new(),
@@ -92,10 +85,10 @@
         }
     }
 
-    /// Owns the job until stopped or until its log fails. What is then unanswered is refused, so that it is
-    /// repeated at the next owner.
+    /// Runs the job until it is stopped or its log fails. Requests that are then unanswered are refused, so
+    /// that callers repeat them at the next owner.
     pub(super) async fn run(mut self, commands: &mut mpsc::Receiver<ShardCommand>, stop: &CancellationToken) {
-        self.act();
+        self.execute_actions();
         while self.failure.is_none() {
             let wakeup = self.controller.next_wakeup();
             tokio::select! {
@@ -161,34 +154,34 @@
                 (0..appends).for_each(|_| self.handle(Event::Appended));
                 self.answer_submissions();
             }
-            // This owner replaces no store.
+            // This owner never replaces a store.
             AppendOutcome::Replaced(_) => {}
             AppendOutcome::Failed(error) => self.failure = Some(error),
         }
     }
 
-    fn handle_attempt(&mut self, ended: Result<AttemptEnd, tokio::task::JoinError>) {
+    fn handle_attempt(&mut self, ended: Result<EndedAttempt, tokio::task::JoinError>) {
         match ended {
-            Ok(AttemptEnd { attempt, outcome }) => {
+            Ok(EndedAttempt { attempt, outcome }) => {
                 self.running.remove(&attempt);
                 self.handle(Event::AttemptEnded { attempt, outcome });
             }
-            // Cancelled on the controller's word; its slot is in the queue again.
+            // Cancelled by the controller, which has put the slot back into its queue.
             Err(error) if error.is_cancelled() => {}
-            // The controller's timeout brings the slot back.
+            // The controller retries the slot after its attempt timeout.
             Err(error) => log::error!(target: "rollout", "An attempt's task failed: {error}."),
         }
     }
 
     fn handle(&mut self, event: Event) {
         self.controller.handle(event, self.clock.now());
-        self.act();
+        self.execute_actions();
     }
 
-    fn act(&mut self) {
+    fn execute_actions(&mut self) {
         while let Some(action) = self.controller.poll_action() {
             match action {
-                Action::Start(start) => self.start_attempt(start),
+                Action::Start(start) => self.spawn_attempt(start),
                 Action::Cancel(attempt) => self.cancel_attempt(&attempt),
                 Action::Append(records) => self.append(&records),
                 Action::Compact(snapshot) => self.log.compact(snapshot),
@@ -198,12 +191,12 @@
         }
     }
 
-    fn start_attempt(&mut self, start: AttemptStart) {
+    fn spawn_attempt(&mut self, start: AttemptStart) {
         let runner = self.runner.clone();
         let attempt = start.attempt.clone();
         let handle = self.attempts.spawn(async move {
             let outcome = runner.run(&start).await;
-            AttemptEnd { attempt: start.attempt, outcome }
+            EndedAttempt { attempt: start.attempt, outcome }
         });
         self.running.insert(attempt, handle);
     }
@@ -215,8 +208,8 @@
     }
 
     fn append(&mut self, records: &[JobRecord]) {
-        // Nothing that rests on records that can't be encoded is ever revealed.
-        if let Some(encoded) = encode_all(LOG_PREFIX, records, JobRecord::encode) {
+        // Records that can't be encoded are not appended, so no answer that depends on them is sent.
+        if let Some(encoded) = encode_records(LOG_TARGET, records, JobRecord::encode) {
             self.log.append(encoded);
         }
     }
@@ -230,15 +223,15 @@
     }
 
     fn finish(mut self, commands: &mut mpsc::Receiver<ShardCommand>) {
-        let waiting = self.pulls.drain().map(|(_, command)| command).chain(self.submissions.drain(..));
-        let response = last_answer(LOG_PREFIX, self.failure.as_ref(), commands);
-        for command in waiting {
+        let pending = self.pulls.drain().map(|(_, command)| command).chain(self.submissions.drain(..));
+        let response = final_response(LOG_TARGET, self.failure.as_ref(), commands);
+        for command in pending {
             command.answer(response.clone());
         }
     }
 }
 
-/// The answer to a request about a job that was never submitted.
+/// Returns the answer to a request about a job that was never submitted.
 pub(super) fn unknown_job(job: &JobId) -> CoordinatorResponse {
     refused("unknown_job", format!("job {job} was never submitted"), "submit it, or mend its name")
 }
--- a/crates/daemon/src/coordinator/job_shard.rs
+++ b/crates/daemon/src/coordinator/job_shard.rs
@@ -1,7 +1,7 @@
-//! Takes over the shard of one job and owns it.
+//! Takes over the shard of one rollout job.
 //!
-//! Owns the way from the recovered log to a job: a log with records is resumed, an empty one waits for the submission. What
-//! the owner then does is the job owner's. Relies on the shard's log for the epoch under which it owns.
+//! Recovers the job from the shard's log, or waits for its submission if the log is empty, then runs a
+//! [`JobOwner`]. The shard's log provides the epoch of the ownership.
 
 use lichenpulley_core::identity::{Epoch, JobId, ShardId};
 use lichenpulley_core::rollout::{ControllerConfig, JobController};
@@ -10,12 +10,12 @@
 use tokio_util::sync::CancellationToken;
 
 use super::job_owner::{JobOwner, unknown_job};
-use super::shard::{ShardClock, ShardCommand, refuse_waiting, refused};
+use super::shard::{ShardClock, ShardCommand, refuse_queued, refused};
 use crate::context::Context;
 use crate::gateway::Dispatcher;
 use crate::store::shard_log::{RecoveredLog, ShardLog};
 
-/// One job's shard on this node.
+/// The shard of one job on this node.
 pub(super) struct JobShard {
     pub(super) context: Context,
     pub(super) dispatcher: Dispatcher,
@@ -25,14 +25,14 @@
     pub(super) stop: CancellationToken,
 }
 
-/// A job that this node can own, and the submission that made it.
-struct FoundJob {
+/// A job that was recovered from the log, or created by a submission that is still to be answered.
+struct LoadedJob {
     controller: JobController,
     submission: Option<ShardCommand>,
 }
 
 impl JobShard {
-    /// Takes the shard over and owns it until stopped, superseded or without a usable log.
+    /// Takes over the shard and owns it until it is stopped or superseded, or its log fails.
     pub(super) async fn run(mut self) {
         let taken_over = tokio::select! {
             taken_over = ShardLog::take_over(&self.context, &self.shard) => taken_over,
@@ -41,49 +41,49 @@
         let (log, recovered) = match taken_over {
             Ok(taken_over) => taken_over,
             Err(error) => {
-                log::warn!(target: "rollout", "Job {} is not owned here: {error}.", self.job);
-                return refuse_waiting(&mut self.commands, &error);
+                log::warn!(target: "rollout", "Job {}: the takeover failed: {error}.", self.job);
+                return refuse_queued(&mut self.commands, &error);
             }
         };
         let clock = ShardClock::new();
         let epoch = log.epoch();
-        let Some(found) = self.find_job(&recovered, epoch, clock).await else { return };
-        log::info!(target: "rollout", "Job {} is owned here under epoch {epoch}.", self.job);
-        let mut owner = JobOwner::new(self.context.clone(), self.dispatcher, found.controller, log, clock);
-        if let Some(submission) = found.submission {
+        let Some(loaded) = self.load_job(&recovered, epoch, clock).await else { return };
+        log::info!(target: "rollout", "Job {}: this node owns the shard under epoch {epoch}.", self.job);
+        let mut owner = JobOwner::new(self.context.clone(), self.dispatcher, loaded.controller, log, clock);
+        if let Some(submission) = loaded.submission {
             owner.handle_command(submission);
         }
         owner.run(&mut self.commands, &self.stop).await;
-        log::info!(target: "rollout", "Job {} is no longer owned here.", self.job);
+        log::info!(target: "rollout", "Job {}: this node no longer owns the shard.", self.job);
     }
 
-    async fn find_job(
+    async fn load_job(
         &mut self,
         recovered: &RecoveredLog,
         epoch: Epoch,
         clock: ShardClock,
-    ) -> Option<FoundJob> {
+    ) -> Option<LoadedJob> {
         let config = ControllerConfig::default();
         let snapshot = recovered.snapshot.as_deref();
         match JobController::recover(snapshot, &recovered.records, epoch, config, clock.now()) {
-            Ok(Some(controller)) => Some(FoundJob { controller, submission: None }),
-            Ok(None) => self.first_submission(epoch, config, clock).await,
+            Ok(Some(controller)) => Some(LoadedJob { controller, submission: None }),
+            Ok(None) => self.await_submission(epoch, config, clock).await,
             Err(error) => {
-                log::error!(target: "rollout", "Job {}: its log can't be used: {error}.", self.job);
+                log::error!(target: "rollout", "Job {}: the log can't be recovered: {error}.", self.job);
                 self.refuse_all("log_unusable", &error.to_string());
                 None
             }
         }
     }
 
-    /// The log is empty: only a submission can make the job. Until one comes the epoch is held, so that the
-    /// shard is not taken over again and again.
-    async fn first_submission(
+    /// Waits for the submission that creates the job, used if the log is empty. The task keeps the epoch
+    /// while it waits, so that the shard is not taken over again for each request.
+    async fn await_submission(
         &mut self,
         epoch: Epoch,
         config: ControllerConfig,
         clock: ShardClock,
-    ) -> Option<FoundJob> {
+    ) -> Option<LoadedJob> {
         loop {
             let command = tokio::select! {
                 command = self.commands.recv() => command?,
@@ -98,7 +98,7 @@
                 continue;
             }
             let controller = JobController::create(specification.clone(), epoch, config, clock.now());
-            return Some(FoundJob { controller, submission: Some(command) });
+            return Some(LoadedJob { controller, submission: Some(command) });
         }
     }
 
--- a/crates/daemon/src/coordinator/mod.rs
+++ b/crates/daemon/src/coordinator/mod.rs
@@ -1,9 +1,9 @@
-//! Owns shards of control work: rollout jobs and weight waves.
+//! Runs the shards of rollout jobs and of weight rollouts.
 //!
-//! A shard is `job/<job>` or `weights/<pool>`. Its owner is the coordinator that the cluster view names; the
-//! owner takes over the shard's log, replays it and acts on it until the view names another node or a higher
-//! epoch shows that another owner is ahead. All of it runs on the control runtime; generations run on the
-//! traffic runtime, inside the [`Dispatcher`].
+//! A shard is `job/<job>` or `weights/<pool>`. The cluster view determines its owner. The owner takes over
+//! the shard's log, replays it and runs the shard's state machine until the view names another node or a
+//! higher epoch shows that another owner has taken over. The coordinator runs on the control runtime;
+//! generations run on the traffic runtime, inside the [`Dispatcher`].
 
 mod attempt;
 mod discovery;
@@ -27,20 +27,19 @@
 pub use forward::ask_owner;
 use shard::ShardCommand;
 
-/// Requests that wait for the supervisor, or for the owner of one shard, before senders have to wait. Chosen,
-/// not measured: greater costs memory while an owner takes over, smaller makes callers wait in a burst.
-const COORDINATOR_BACKLOG: usize = 1_024;
+/// Capacity, in requests, of the supervisor's queue and of each shard's queue.
+const COMMAND_QUEUE_CAPACITY: usize = 1_024;
 
-/// The handle on this node's coordinator. Cheap to clone; usable from any runtime.
+/// A handle to this node's coordinator. Cheap to clone; usable from any runtime.
 #[derive(Clone)]
 pub struct Coordinator {
     commands: mpsc::Sender<ShardCommand>,
 }
 
-/// Starts the coordinator on the current runtime. A node with a store tells the owners of the shards that it
-/// holds.
+/// Starts the coordinator on the current runtime. A node with a store also notifies the owners of the shards
+/// that it stores.
 pub fn start(context: Context, dispatcher: Dispatcher, store: Option<Store>) -> Coordinator {
-    let (commands, received) = mpsc::channel(COORDINATOR_BACKLOG);
+    let (commands, received) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     tokio::spawn(supervisor::run(Arc::clone(&context), dispatcher, received));
     let coordinator = Coordinator { commands };
     if let Some(store) = store {
@@ -50,13 +49,13 @@
 }
 
 impl Coordinator {
-    /// Answers a request to the owner of a shard, or names the owner.
+    /// Handles a request if this node owns its shard; otherwise returns the owner.
     pub async fn answer(&self, request: CoordinatorRequest) -> CoordinatorResponse {
         let (reply, answer) = oneshot::channel();
         if self.commands.send(ShardCommand { request, reply }).await.is_err() {
             return CoordinatorResponse::NotOwner(None);
         }
-        // The shard's task ended before it answered: it lost the shard, or its log.
+        // The shard's task ended before it answered: it lost the shard or its log failed.
         answer.await.unwrap_or(CoordinatorResponse::NotOwner(None))
     }
 }
--- a/crates/daemon/src/coordinator/shard.rs
+++ b/crates/daemon/src/coordinator/shard.rs
@@ -1,4 +1,4 @@
-//! What the tasks of all shards share.
+//! Types and functions shared by the tasks of all shards.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 use crate::store::shard_log::ShardLogError;
 
-/// A request to a shard's owner, and where its answer goes.
+/// A request to a shard's owner, with the channel for its answer.
 pub(super) struct ShardCommand {
     pub(super) request: CoordinatorRequest,
     pub(super) reply: oneshot::Sender<CoordinatorResponse>,
 }
 
 impl ShardCommand {
-    /// Answers; a caller that no longer waits is no matter.
+    /// Sends the answer. Does nothing if the caller no longer waits.
     pub(super) fn answer(self, response: CoordinatorResponse) {
         let _ = self.reply.send(response);
     }
 }
 
-/// The clock of one shard's state machine.
+/// The monotonic clock of one shard's state machine; counts from its creation.
 #[derive(Clone, Copy)]
 pub(super) struct ShardClock {
     origin: Instant,
@@ -38,7 +38,7 @@
         Timestamp::ORIGIN + self.origin.elapsed()
     }
 
-    /// Returns at a time of this clock; never where there is none.
+    /// Sleeps until `wakeup`, or forever if it is `None`.
     pub(super) async fn sleep_until(self, wakeup: Option<Timestamp>) {
         match wakeup {
             Some(at) => {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A refusal in the form that callers get.
+/// Builds a refusal that names no retry time.
 pub(super) fn refused(kind: &str, message: impl ToString, remedy: &str) -> CoordinatorResponse {
     CoordinatorResponse::Refused {
         kind: kind.to_owned(),
@@ -60,8 +60,8 @@
     }
 }
 
-/// The answer to whoever asked while the shard's log could not be used.
-fn log_refusal(error: &ShardLogError) -> CoordinatorResponse {
+/// Returns the answer to requests that failed because of an error of the shard's log.
+fn log_error_response(error: &ShardLogError) -> CoordinatorResponse {
     let kind = match error {
         ShardLogError::Superseded { .. } => return CoordinatorResponse::NotOwner(None),
         ShardLogError::NoMajority { .. } => "no_majority",
@@ -75,39 +75,38 @@
     }
 }
 
-/// The records as bytes for the log; `None`, with a line in the node's log, where one of them can't be
-/// encoded.
-pub(super) fn encode_all<R, E: std::fmt::Display>(
-    part: &str,
+/// Encodes records for the shard's log. Logs an error and returns `None` if one of them can't be encoded.
+pub(super) fn encode_records<R, E: std::fmt::Display>(
+    log_target: &str,
     records: &[R],
     encode: impl Fn(&R) -> Result<Vec<u8>, E>,
 ) -> Option<Vec<Vec<u8>>> {
     match records.iter().map(encode).collect() {
         Ok(encoded) => Some(encoded),
         Err(error) => {
-            log::error!(target: part, "A record can't be written: {error}.");
+            log::error!(target: log_target, "A record can't be encoded, so nothing is appended: {error}.");
             None
         }
     }
 }
 
-/// The answer to callers that still wait when an owner ends. Where its log failed, commands that it has not
-/// taken in are refused in the same way.
-pub(super) fn last_answer(
-    part: &str,
+/// Returns the answer to requests that are pending when an owner ends. If its log failed, also refuses the
+/// commands that it has not received yet.
+pub(super) fn final_response(
+    log_target: &str,
     failure: Option<&ShardLogError>,
     commands: &mut mpsc::Receiver<ShardCommand>,
 ) -> CoordinatorResponse {
     let Some(error) = failure else { return CoordinatorResponse::NotOwner(None) };
-    log::warn!(target: part, "The log failed: {error}.");
-    refuse_waiting(commands, error);
-    log_refusal(error)
+    log::warn!(target: log_target, "The shard's log failed, so this node gives up the shard: {error}.");
+    refuse_queued(commands, error);
+    log_error_response(error)
 }
 
-/// Answers everything that waits in the same way.
-pub(super) fn refuse_waiting(commands: &mut mpsc::Receiver<ShardCommand>, error: &ShardLogError) {
+/// Closes the command channel and refuses the commands in it.
+pub(super) fn refuse_queued(commands: &mut mpsc::Receiver<ShardCommand>, error: &ShardLogError) {
     commands.close();
     while let Ok(command) = commands.try_recv() {
-        command.answer(log_refusal(error));
+        command.answer(log_error_response(error));
     }
 }
--- a/crates/daemon/src/coordinator/supervisor.rs
+++ b/crates/daemon/src/coordinator/supervisor.rs
@@ -1,7 +1,7 @@
-//! Decides which shards run on this node, and brings requests to them.
+//! Starts and stops the shards that this node owns and dispatches requests to them.
 //!
-//! Owns the tasks of these shards and stops each when it is dropped. Relies on the members in force for who owns a shard,
-//! and on [`forward`] for those that other nodes own.
+//! Owns the tasks of these shards; dropping an entry stops its task. Relies on [`forward`], which derives the
+//! owner of a shard from the cluster view.
 
 use std::collections::HashMap;
 
@@ -14,11 +14,11 @@
 use super::job_shard::JobShard;
 use super::shard::ShardCommand;
 use super::weights_shard::WeightsShard;
-use super::{COORDINATOR_BACKLOG, forward};
+use super::{COMMAND_QUEUE_CAPACITY, forward};
 use crate::context::Context;
 use crate::gateway::Dispatcher;
 
-/// A shard's task on this node.
+/// A shard's task on this node; stopped on drop.
 struct RunningShard {
     commands: mpsc::Sender<ShardCommand>,
     stop: CancellationToken,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Which state machine a shard runs.
+/// The kind of a shard, which determines its state machine.
 enum ShardKind {
     Job(JobId),
     Weights(PoolName),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Whether a shard is run by a coordinator.
+/// Returns whether a shard is run by a coordinator.
 pub(super) fn is_control_shard(shard: &ShardId) -> bool {
     ShardKind::of(shard).is_some()
 }
@@ -68,7 +68,7 @@
                 Some(command) => supervisor.handle(command),
                 None => return,
             },
-            _ = ticks.tick() => supervisor.stop_lost(),
+            _ = ticks.tick() => supervisor.stop_unowned(),
         }
     }
 }
@@ -93,7 +93,7 @@
             return command.answer(CoordinatorResponse::NotOwner(None));
         };
         if let Err(error) = running.commands.try_send(command) {
-            // The task has ended or is overrun; the sender comes back.
+            // The task has ended or its queue is full; the sender retries.
             error.into_inner().answer(CoordinatorResponse::NotOwner(None));
         }
     }
@@ -102,21 +102,21 @@
         forward::owner(&self.context, shard).map(|member| member.node)
     }
 
-    /// A node that is leaving owns nothing.
+    /// Returns whether this node owns a shard. A draining node owns none.
     fn is_owned(&self, shard: &ShardId) -> bool {
         let is_leaving = self.context.draining.is_cancelled();
         !is_leaving && self.owner(shard).as_ref() == Some(&self.context.node)
     }
 
-    /// Stops shards that the cluster view gives to another node, and forgets those whose task has ended.
-    fn stop_lost(&mut self) {
-        let lost: Vec<ShardId> = self
+    /// Stops the shards that this node no longer owns and removes those whose task has ended.
+    fn stop_unowned(&mut self) {
+        let unowned: Vec<ShardId> = self
             .shards
             .iter()
             .filter(|(shard, running)| running.commands.is_closed() || !self.is_owned(shard))
             .map(|(shard, _)| shard.clone())
             .collect();
-        for shard in lost {
+        for shard in unowned {
             let was_running = self.shards.remove(&shard).is_some_and(|shard| !shard.commands.is_closed());
             if was_running {
                 self.record(&shard, "released", "owner_changed");
@@ -129,7 +129,7 @@
             return;
         }
         let Some(kind) = ShardKind::of(shard) else { return };
-        let (sender, commands) = mpsc::channel(COORDINATOR_BACKLOG);
+        let (sender, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let stop = CancellationToken::new();
         let context = self.context.clone();
         match kind {
--- a/crates/daemon/src/coordinator/weights_shard.rs
+++ b/crates/daemon/src/coordinator/weights_shard.rs
@@ -1,8 +1,8 @@
-//! Takes over the shard of one pool's weights and drives its waves.
+//! Takes over the shard of one pool's weights and rolls new versions out in waves.
 //!
-//! Owns the pool's controller, its log, its calls to engines and the callers that wait. Relies on
-//! `core::weights` for every choice. The versions that batch jobs need are loaded by another owner, with
-//! other orders (`batch::load`): its replicas are the platform's and report differently.
+//! Owns the pool's controller, its log, its calls to engines and the pending requests. `core::weights` makes
+//! all decisions. The weight versions of batch jobs are loaded by `batch::load`, with other orders, since the
+//! platform's replicas report differently.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,19 +17,18 @@
 use tokio_util::sync::CancellationToken;
 
 use super::engines::EngineClient;
-use super::shard::{ShardClock, ShardCommand, encode_all, last_answer, refuse_waiting, refused};
+use super::shard::{ShardClock, ShardCommand, encode_records, final_response, refuse_queued, refused};
 use crate::context::Context;
 use crate::http::client::HttpClient;
 use crate::store::log_writer::{AppendMode, AppendOutcome, LogWriter, RecordFormat};
 use crate::store::shard_log::{RecoveredLog, ShardLog, ShardLogError};
 
-/// The prefix of this part's log lines.
-const LOG_PREFIX: &str = "weights";
-/// A connection to an engine that is not made within this time is given up. Chosen, not measured: some round
-/// trips of a busy machine; longer only delays the next question, since the wave goes on with other replicas.
+/// Target of this module's log lines.
+const LOG_TARGET: &str = "weights";
+/// Timeout of a connection attempt to an engine.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One pool's weights on this node.
+/// The shard of one pool's weights on this node.
 pub(super) struct WeightsShard {
     pub(super) context: Context,
     pub(super) shard: ShardId,
@@ -39,22 +38,22 @@
 }
 
 impl WeightsShard {
-    /// Takes the shard over and owns it until stopped, superseded or without a usable log.
+    /// Takes over the shard and owns it until it is stopped or superseded, or its log fails.
     pub(super) async fn run(mut self) {
         let taken_over = tokio::select! {
             taken_over = ShardLog::take_over(&self.context, &self.shard) => taken_over,
             () = self.stop.cancelled() => return,
         };
         match taken_over {
-            Ok((log, recovered)) => self.own(log, &recovered).await,
+            Ok((log, recovered)) => self.run_owner(log, &recovered).await,
             Err(error) => {
-                log::warn!(target: "weights", "Pool {} is not owned here: {error}.", self.pool);
-                refuse_waiting(&mut self.commands, &error);
+                log::warn!(target: "weights", "Pool {}: the takeover failed: {error}.", self.pool);
+                refuse_queued(&mut self.commands, &error);
             }
         }
     }
 
-    async fn own(mut self, log: ShardLog, recovered: &RecoveredLog) {
+    async fn run_owner(mut self, log: ShardLog, recovered: &RecoveredLog) {
         let clock = ShardClock::new();
         let epoch = log.epoch();
         let snapshot = recovered.snapshot.as_deref();
@@ -64,16 +63,16 @@
         let controller = match controller {
             Ok(controller) => controller,
             Err(error) => {
-                log::error!(target: "weights", "Pool {}: its log can't be used: {error}.", self.pool);
+                log::error!(target: "weights", "Pool {}: the log can't be recovered: {error}.", self.pool);
                 return;
             }
         };
-        log::info!(target: "weights", "Pool {} is owned here under epoch {epoch}.", self.pool);
+        log::info!(target: "weights", "Pool {}: this node owns the weights under epoch {epoch}.", self.pool);
         let engines = EngineClient {
             http: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             shard: self.shard.clone(),
             epoch,
-            deadline: self.context.settings.coordinator.call_timeout,
+            call_timeout: self.context.settings.coordinator.call_timeout,
         };
         let owner = WeightsOwner {
             context: self.context.clone(),
@@ -83,29 +82,29 @@
             clock,
             log: LogWriter::start(
                 log,
-                RecordFormat::bytes(LOG_PREFIX),
+                RecordFormat::bytes(LOG_TARGET),
                 AppendMode::Single,
                 0,
                 self.context.boot_clock.clone(),
             ),
             calls: JoinSet::new(),
             addresses: HashMap::new(),
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             last_ticket: 0,
-            end: None,
+            end_reason: None,
         };
         owner.run(&mut self.commands, &self.stop).await;
-        log::info!(target: "weights", "Pool {} is no longer owned here.", self.pool);
+        log::info!(target: "weights", "Pool {}: this node no longer owns the weights.", self.pool);
     }
 }
 
-/// Why an owner ends by itself.
-enum OwnerEnd {
+/// Why an owner ended without being stopped.
+enum EndReason {
     Log(ShardLogError),
     Superseded,
 }
 
-/// The owner of a pool's weights, with its log, its calls to engines and those who wait for an answer.
+/// The owner of a pool's weights, with its log, its calls to engines and the pending requests.
 struct WeightsOwner {
     context: Context,
     pool: PoolName,
@@ -115,18 +114,18 @@
     log: LogWriter<Vec<u8>>,
     calls: JoinSet<Option<Event>>,
     addresses: HashMap<ReplicaId, SocketAddr>,
-    /// Those who wait for an answer, by ticket.
-    waiting: HashMap<u64, ShardCommand>,
+    /// Requests that wait for their answer, by ticket.
+    pending: HashMap<u64, ShardCommand>,
     last_ticket: u64,
-    end: Option<OwnerEnd>,
+    end_reason: Option<EndReason>,
 }
 
 impl WeightsOwner {
     async fn run(mut self, commands: &mut mpsc::Receiver<ShardCommand>, stop: &CancellationToken) {
         let mut refresh = tokio::time::interval(self.context.settings.coordinator.tick_interval);
-        // The first command may be for a replica: it must be known by then.
+        // The first command may name a replica, so the replicas must be known before it is handled.
         self.refresh_replicas();
-        while self.end.is_none() {
+        while self.end_reason.is_none() {
             let wakeup = self.controller.next_wakeup();
             tokio::select! {
                 () = stop.cancelled() => break,
@@ -160,7 +159,7 @@
             _ => return command.answer(CoordinatorResponse::NotOwner(None)),
         };
         self.last_ticket += 1;
-        self.waiting.insert(self.last_ticket, command);
+        self.pending.insert(self.last_ticket, command);
         self.handle(event);
     }
 
@@ -175,14 +174,14 @@
         })
     }
 
-    /// Takes the pool's replicas from the directory. A pool of which the directory knows nothing is left as
-    /// it was: the list may not have been read yet.
+    /// Updates the pool's replicas from the directory. Keeps them if the directory does not list the pool,
+    /// since the machine list may not have been read yet.
     fn refresh_replicas(&mut self) {
         let directory = self.context.directory.load();
         let Some(entries) = directory.pools.get(&self.pool) else { return };
-        let staying = entries.iter().filter(|entry| !entry.leaving);
+        let active = entries.iter().filter(|entry| !entry.leaving);
         let addresses: HashMap<ReplicaId, SocketAddr> =
-            staying.map(|entry| (entry.replica.clone(), entry.address)).collect();
+            active.map(|entry| (entry.replica.clone(), entry.address)).collect();
         if addresses == self.addresses {
             return;
         }
@@ -196,9 +195,9 @@
             AppendOutcome::Appended { appends, .. } => {
                 (0..appends).for_each(|_| self.handle(Event::Appended))
             }
-            // This owner replaces no store.
+            // This owner never replaces a store.
             AppendOutcome::Replaced(_) => {}
-            AppendOutcome::Failed(error) => self.end = Some(OwnerEnd::Log(error)),
+            AppendOutcome::Failed(error) => self.end_reason = Some(EndReason::Log(error)),
         }
     }
 
@@ -206,7 +205,7 @@
         match call {
             Ok(Some(event)) => self.handle(event),
             Ok(None) => {}
-            Err(error) => log::error!(target: "weights", "A call to an engine failed: {error}."),
+            Err(error) => log::error!(target: "weights", "The task of a call to an engine failed: {error}."),
         }
     }
 
@@ -220,8 +219,8 @@
                 Action::Poll(replica) => self.ask(replica),
                 Action::Answer { ticket, target } => self.answer(ticket, target),
                 Action::Superseded(epoch) => {
-                    log::info!(target: "weights", "Pool {}: epoch {epoch} is ahead.", self.pool);
-                    self.end = Some(OwnerEnd::Superseded);
+                    log::info!(target: "weights", "Pool {}: superseded by epoch {epoch}.", self.pool);
+                    self.end_reason = Some(EndReason::Superseded);
                 }
                 Action::Decide(decision) => self.context.decisions.record(decision),
             }
@@ -229,8 +228,8 @@
     }
 
     fn append(&mut self, records: &[WeightsRecord]) {
-        // Nothing that rests on records that can't be encoded is ever done.
-        if let Some(encoded) = encode_all(LOG_PREFIX, records, WeightsRecord::encode) {
+        // Records that can't be encoded are not appended, so no action that depends on them is taken.
+        if let Some(encoded) = encode_records(LOG_TARGET, records, WeightsRecord::encode) {
             self.log.append(encoded);
         }
     }
@@ -254,7 +253,7 @@
     }
 
     fn answer(&mut self, ticket: u64, target: Option<WeightVersion>) {
-        let Some(command) = self.waiting.remove(&ticket) else { return };
+        let Some(command) = self.pending.remove(&ticket) else { return };
         let response = match (&command.request, target) {
             (CoordinatorRequest::PublishWeights(..), Some(weight_version)) => {
                 CoordinatorResponse::Weights(PublishWeights { weight_version })
@@ -265,12 +264,12 @@
     }
 
     fn finish(mut self, commands: &mut mpsc::Receiver<ShardCommand>) {
-        let failure = match &self.end {
-            Some(OwnerEnd::Log(error)) => Some(error),
-            Some(OwnerEnd::Superseded) | None => None,
+        let failure = match &self.end_reason {
+            Some(EndReason::Log(error)) => Some(error),
+            Some(EndReason::Superseded) | None => None,
         };
-        let response = last_answer(LOG_PREFIX, failure, commands);
-        for (_, command) in self.waiting.drain() {
+        let response = final_response(LOG_TARGET, failure, commands);
+        for (_, command) in self.pending.drain() {
             command.answer(response.clone());
         }
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -41,7 +41,7 @@
         if path == "/v1/completions" && request.method() == Method::POST {
             return completions::handle(&self.dispatcher, request).await;
         }
-        if coordinator::http::serves(&path) {
+        if coordinator::http::handles_path(&path) {
             return coordinator::http::handle(&self.context, &self.coordinator, request).await;
         }
         response::not_found(&path)
