--- a/crates/daemon/src/gateway/completions.rs
+++ b/crates/daemon/src/gateway/completions.rs
@@ -27,7 +27,7 @@
 /// Maximum number of tokens that a request may ask for; bounds the memory of one answer.
 const MAX_TOKENS: u32 = 1 << 20;
 /// Permitted deadlines, in milliseconds.
-const PERMITTED_DEADLINES_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
+const DEADLINES_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
 /// Number of chunks buffered for a slow reader before its stream is blocked.
 const STREAM_BACKLOG: usize = 64;
 
@@ -122,11 +122,9 @@
 fn deadline(requested_ms: Option<u64>, default: Duration) -> Result<Duration, ErrorBody> {
     match requested_ms {
         None => Ok(default),
-        Some(requested) if PERMITTED_DEADLINES_MS.contains(&requested) => {
-            Ok(Duration::from_millis(requested))
-        }
+        Some(requested) if DEADLINES_MS.contains(&requested) => Ok(Duration::from_millis(requested)),
         Some(_) => {
-            let (least, most) = (PERMITTED_DEADLINES_MS.start(), PERMITTED_DEADLINES_MS.end());
+            let (least, most) = (DEADLINES_MS.start(), DEADLINES_MS.end());
             Err(bad_field("deadline_ms", &format!("set it from {least} to {most}")))
         }
     }
--- a/crates/daemon/src/http/client/error.rs
+++ b/crates/daemon/src/http/client/error.rs
@@ -1,5 +1,5 @@
-//! What is known about a call that gave no usable answer: whether any of it was sent, and what was answered.
-//! Callers repeat only what [`ClientError::nothing_sent`] proves not to have run.
+//! Errors of calls by the HTTP client, by whether any of the request was sent and whether it was answered.
+//! Callers repeat only requests of which [`ClientError::nothing_sent`] proves that they did not run.
 
 use std::error::Error as StdError;
 use std::net::SocketAddr;
@@ -9,58 +9,59 @@
 use hyper_util::client::legacy;
 use serde::de::DeserializeOwned;
 
-/// Why a call gave no usable answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// Nothing of the request was written: it did not run there.
+    /// No byte of the request was written, so it did not run.
     #[error("{address}: nothing was sent: {reason}; check that the service listens there")]
     NotSent {
-        /// Where it should have gone.
+        /// Address of the service.
         address: SocketAddr,
-        /// What stood in the way.
+        /// Cause.
         reason: String,
     },
-    /// Some of the request may have been written and no whole answer came: it may have run.
-    #[error("{address}: sent, but no whole answer came: {reason}; ask again what became of it")]
+    /// Some of the request may have been written and no complete response arrived: it may have run.
+    #[error("{address}: sent, but no complete response arrived: {reason}; find out whether it took effect")]
     NoAnswer {
-        /// Where it went.
+        /// Address of the service.
         address: SocketAddr,
-        /// What broke.
+        /// Cause.
         reason: String,
     },
-    /// The answer's status says that the request failed.
+    /// The response's status says that the request failed.
     #[error("{address}: answered {status}: {}", String::from_utf8_lossy(.body))]
     Status {
-        /// Who answered.
+        /// Address of the service.
         address: SocketAddr,
-        /// The status.
+        /// Status of the response.
         status: StatusCode,
-        /// The body, often a typed error.
+        /// Body of the response, often a typed error.
         body: Bytes,
     },
-    /// A successful answer whose body is not of the expected form.
-    #[error("{address}: the answer can't be read: {reason}; check that both sides run the same release")]
+    /// A successful response whose body can't be decoded.
+    #[error("{address}: the response can't be decoded: {reason}; check that both sides run the same release")]
     BadAnswer {
-        /// Who answered.
+        /// Address of the service.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Cause.
         reason: String,
     },
-    /// The path or body can't be sent at all.
-    #[error("the request can't be built: {reason}; mend the path or the body")]
+    /// The request can't be built from its path or body.
+    #[error("the request can't be built: {reason}; correct the path or the body")]
     BadRequest {
-        /// What is wrong with it.
+        /// Cause.
         reason: String,
     },
 }
 
 impl ClientError {
-    /// Whether it is proved that no byte of the request was written (brief point 5).
+    /// Returns whether it is certain that no byte of the request was written, so that repeating the request
+    /// can't run it twice.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::BadRequest { .. })
     }
 
-    /// The status, where there was an answer.
+    /// Returns the status of a response that says that the request failed.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Self::Status { status, .. } => Some(*status),
@@ -68,7 +69,8 @@
         }
     }
 
-    /// The body of a failed answer, where it is of this form.
+    /// Returns the body of a response that says that the request failed, decoded as JSON, if it is a valid
+    /// `T`.
     pub fn body<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
             Self::Status { body, .. } => serde_json::from_slice(body).ok(),
@@ -77,8 +79,8 @@
     }
 }
 
-/// Whether no byte of the request was written: the connection was never made, or `hyper` handed the request
-/// back before it began to write it.
+/// Returns whether no byte of the request was written: no connection was made, or `hyper` returned the
+/// request before it began to write it.
 pub(super) fn is_unsent(error: &legacy::Error) -> bool {
     let unstarted = |source: &(dyn StdError + 'static)| {
         source.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_canceled)
--- a/crates/daemon/src/http/client/mod.rs
+++ b/crates/daemon/src/http/client/mod.rs
@@ -1,9 +1,9 @@
-//! A pooled HTTP/1 client whose errors distinguish a request of which nothing was sent from one that may have
-//! arrived.
+//! HTTP/1 client with connection pooling, whose errors distinguish a request of which nothing was sent from
+//! one that may have arrived.
 //!
-//! Calls engines, the platform's store and other services whose address is fixed. Owns its connections, which
-//! `hyper_util` pools by address. Requests to the platform's replicas go through [`crate::ingress::pool`],
-//! whose head gives the reason.
+//! Calls engines, the platform's store and other services with a fixed address. `hyper_util` pools the
+//! connections by address. Requests to the platform's replicas go through [`crate::ingress::pool`], which
+//! explains why it is separate.
 
 mod error;
 
@@ -27,32 +27,33 @@
 pub use error::ClientError;
 use error::is_unsent;
 
-/// The longest body that is read whole, in bytes. Chosen, not measured: bounds the memory of one call.
-const WHOLE_BODY_LIMIT_BYTES: usize = 64 << 20;
-/// Idle connections kept for each address. Chosen, not measured.
+/// Maximum size of a response body that is buffered, in bytes; bounds the memory of one call.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// A connection on which a machine acknowledges nothing for this time is closed. Chosen, not measured:
-/// streams of engines have time-outs of their own; this one frees what waits without any.
+/// Time after which a connection whose peer acknowledges nothing is closed. Frees calls that have no timeout
+/// of their own.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(15);
-/// An idle connection is closed after this time. Chosen, not measured.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client with its pool of connections. Cheap to clone.
+/// A client with its connection pool. Cheap to clone.
 ///
-/// Connections are driven by the runtime that opened them, so control and traffic each have a client of their
-/// own.
+/// Connections are driven by the runtime that opened them, so the control and traffic runtimes use separate
+/// clients.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that gives up a connection which is not made within `connect_timeout`.
+    /// Creates a client that gives up a connection attempt after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect_timeout));
-        // A machine that vanished without a word must not hold a stream until its deadline.
+        // A machine that disappeared without closing its connections must not block a stream until its
+        // deadline.
         connector.set_keepalive(Some(UNACKNOWLEDGED_TIMEOUT));
         connector.set_keepalive_interval(Some(UNACKNOWLEDGED_TIMEOUT / 3));
         #[cfg(target_os = "linux")]
@@ -65,171 +66,170 @@
         Self { inner }
     }
 
-    /// Reads JSON.
+    /// Sends a `GET` and decodes the JSON response.
     ///
     /// # Errors
-    /// When no successful answer of the expected form comes within `deadline`.
-    pub async fn get_json<Answer: DeserializeOwned>(
+    /// When no successful response that decodes as `ResponseBody` arrives within `timeout`.
+    pub async fn get_json<ResponseBody: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        deadline: Duration,
-    ) -> Result<Answer, ClientError> {
+        timeout: Duration,
+    ) -> Result<ResponseBody, ClientError> {
         let request = build(Method::GET, address, path, Bytes::new())?;
-        self.request_json(address, request, deadline).await
+        self.request_json(address, request, timeout).await
     }
 
-    /// Posts JSON and reads JSON.
+    /// Sends JSON by `POST` and decodes the JSON response.
     ///
     /// # Errors
-    /// When no successful answer of the expected form comes within `deadline`.
-    pub async fn post_json<Question: Serialize, Answer: DeserializeOwned>(
+    /// When no successful response that decodes as `ResponseBody` arrives within `timeout`.
+    pub async fn post_json<RequestBody: Serialize, ResponseBody: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Question,
-        deadline: Duration,
-    ) -> Result<Answer, ClientError> {
-        self.send_json(Method::POST, address, path, question, deadline).await
+        request_body: &RequestBody,
+        timeout: Duration,
+    ) -> Result<ResponseBody, ClientError> {
+        self.send_json(Method::POST, address, path, request_body, timeout).await
     }
 
-    /// Puts JSON and reads JSON.
+    /// Sends JSON by `PUT` and decodes the JSON response.
     ///
     /// # Errors
-    /// When no successful answer of the expected form comes within `deadline`.
-    pub async fn put_json<Question: Serialize, Answer: DeserializeOwned>(
+    /// When no successful response that decodes as `ResponseBody` arrives within `timeout`.
+    pub async fn put_json<RequestBody: Serialize, ResponseBody: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Question,
-        deadline: Duration,
-    ) -> Result<Answer, ClientError> {
-        self.send_json(Method::PUT, address, path, question, deadline).await
+        request_body: &RequestBody,
+        timeout: Duration,
+    ) -> Result<ResponseBody, ClientError> {
+        self.send_json(Method::PUT, address, path, request_body, timeout).await
     }
 
-    async fn send_json<Question: Serialize, Answer: DeserializeOwned>(
+    async fn send_json<RequestBody: Serialize, ResponseBody: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
-        question: &Question,
-        deadline: Duration,
-    ) -> Result<Answer, ClientError> {
-        let request = build(method, address, path, encode(question)?)?;
-        self.request_json(address, request, deadline).await
+        request_body: &RequestBody,
+        timeout: Duration,
+    ) -> Result<ResponseBody, ClientError> {
+        let request = build(method, address, path, encode_json(request_body)?)?;
+        self.request_json(address, request, timeout).await
     }
 
-    /// Deletes; the answer's body is dropped.
+    /// Sends a `DELETE`; the response body is discarded.
     ///
     /// # Errors
-    /// When no successful answer comes within `deadline`.
+    /// When no successful response arrives within `timeout`.
     pub async fn delete(
         &self,
         address: SocketAddr,
         path: &str,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<(), ClientError> {
         let request = build(Method::DELETE, address, path, Bytes::new())?;
-        let limit = Instant::now() + deadline;
-        let response = self.send(address, request, limit).await?;
-        successful(address, response, limit).await.map(drop)
+        let deadline = Instant::now() + timeout;
+        let response = self.send(address, request, deadline).await?;
+        check_status(address, response, deadline).await.map(drop)
     }
 
-    /// Reads a whole body as it stands.
+    /// Sends a `GET` and returns the response body.
     ///
     /// # Errors
-    /// When no whole successful answer comes within `deadline`.
+    /// When no complete successful response arrives within `timeout`.
     pub async fn get_bytes(
         &self,
         address: SocketAddr,
         path: &str,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, ClientError> {
         let request = build(Method::GET, address, path, Bytes::new())?;
-        let limit = Instant::now() + deadline;
-        let response = self.send(address, request, limit).await?;
-        let response = successful(address, response, limit).await?;
-        read_whole(address, response, limit).await
+        let deadline = Instant::now() + timeout;
+        let response = self.send(address, request, deadline).await?;
+        let response = check_status(address, response, deadline).await?;
+        read_body(address, response, deadline).await
     }
 
-    /// Opens a stream of events by `GET`. `deadline` is for the head of the answer; the events may take
+    /// Opens a stream of events by `GET`. `timeout` applies to the head of the response; the events may take
     /// longer.
     ///
     /// # Errors
-    /// When no successful head comes within `deadline`.
+    /// When no successful response head arrives within `timeout`.
     pub async fn get_events(
         &self,
         address: SocketAddr,
         path: &str,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<EventReader, ClientError> {
         let request = build(Method::GET, address, path, Bytes::new())?;
-        self.open_events(address, request, deadline).await
+        self.open_events(address, request, timeout).await
     }
 
-    /// Opens a stream of events by `POST`. `deadline` is for the head of the answer; the events may take
+    /// Opens a stream of events by `POST`. `timeout` applies to the head of the response; the events may take
     /// longer.
     ///
     /// # Errors
-    /// When no successful head comes within `deadline`.
-    pub async fn post_events<Question: Serialize>(
+    /// When no successful response head arrives within `timeout`.
+    pub async fn post_events<RequestBody: Serialize>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Question,
-        deadline: Duration,
+        request_body: &RequestBody,
+        timeout: Duration,
     ) -> Result<EventReader, ClientError> {
-        let request = build(Method::POST, address, path, encode(question)?)?;
-        self.open_events(address, request, deadline).await
+        let request = build(Method::POST, address, path, encode_json(request_body)?)?;
+        self.open_events(address, request, timeout).await
     }
 
     async fn open_events(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<EventReader, ClientError> {
-        let limit = Instant::now() + deadline;
-        let response = self.send(address, request, limit).await?;
-        let response = successful(address, response, limit).await?;
+        let deadline = Instant::now() + timeout;
+        let response = self.send(address, request, deadline).await?;
+        let response = check_status(address, response, deadline).await?;
         Ok(EventReader::new(response.into_body()))
     }
 
-    /// Sends a request that was built elsewhere and reads JSON.
+    /// Sends a prepared request and decodes the JSON response.
     ///
     /// # Errors
-    /// When no successful answer of the expected form comes within `deadline`.
-    pub(crate) async fn request_json<Answer: DeserializeOwned>(
+    /// When no successful response that decodes as `ResponseBody` arrives within `timeout`.
+    pub(crate) async fn request_json<ResponseBody: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        deadline: Duration,
-    ) -> Result<Answer, ClientError> {
-        let limit = Instant::now() + deadline;
-        let response = self.send(address, request, limit).await?;
-        let response = successful(address, response, limit).await?;
-        let bytes = read_whole(address, response, limit).await?;
-        // One text that is no UTF-8 must not hide all others in the answer: it is read with marks in its
-        // place.
+        timeout: Duration,
+    ) -> Result<ResponseBody, ClientError> {
+        let deadline = Instant::now() + timeout;
+        let response = self.send(address, request, deadline).await?;
+        let response = check_status(address, response, deadline).await?;
+        let bytes = read_body(address, response, deadline).await?;
+        // Invalid UTF-8 in one string must not make the whole response unreadable: it is replaced by U+FFFD.
         serde_json::from_str(&String::from_utf8_lossy(&bytes))
             .map_err(|error| ClientError::BadAnswer { address, reason: error.to_string() })
     }
 
-    /// Sends a request and waits for the head of the answer, whatever its status.
+    /// Sends a request and returns the response once its head has arrived, whatever its status.
     ///
     /// # Errors
-    /// When no head comes by `limit`.
+    /// When no head arrives by `deadline`.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<Response<Incoming>, ClientError> {
-        // Invariant (brief point 5): `NotSent` only where no connection was handed this request, or where
-        // `hyper` gave the request back unstarted.
+        // Invariant: `NotSent` is returned only if no connection was given this request or `hyper` returned
+        // the request before it wrote any of it. Callers resend such requests, which must not run twice.
         let connection = capture_connection(&mut request);
-        let answered = tokio::time::timeout_at(limit, self.inner.request(request)).await;
-        match answered {
+        let result = tokio::time::timeout_at(deadline, self.inner.request(request)).await;
+        match result {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if is_unsent(&error) => {
                 Err(ClientError::NotSent { address, reason: transport::describe(&error) })
@@ -243,10 +243,10 @@
     }
 }
 
-/// Builds a request to `address`; an empty body is sent without a content type.
+/// Builds a request to `address`, with a JSON content type unless the body is empty.
 ///
 /// # Errors
-/// When the path is no valid path.
+/// When the path is invalid.
 pub fn build(
     method: Method,
     address: SocketAddr,
@@ -260,36 +260,36 @@
     builder.body(Full::new(body)).map_err(|error| ClientError::BadRequest { reason: error.to_string() })
 }
 
-fn encode<Question: Serialize>(question: &Question) -> Result<Bytes, ClientError> {
-    let bytes = serde_json::to_vec(question);
+fn encode_json<RequestBody: Serialize>(request_body: &RequestBody) -> Result<Bytes, ClientError> {
+    let bytes = serde_json::to_vec(request_body);
     bytes.map(Bytes::from).map_err(|error| ClientError::BadRequest { reason: error.to_string() })
 }
 
-async fn successful(
+async fn check_status(
     address: SocketAddr,
     response: Response<Incoming>,
-    limit: Instant,
+    deadline: Instant,
 ) -> Result<Response<Incoming>, ClientError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
     }
-    let body = read_whole(address, response, limit).await?;
+    let body = read_body(address, response, deadline).await?;
     Err(ClientError::Status { address, status, body })
 }
 
-async fn read_whole(
+async fn read_body(
     address: SocketAddr,
     response: Response<Incoming>,
-    limit: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, ClientError> {
-    let body = Limited::new(response.into_body(), WHOLE_BODY_LIMIT_BYTES).collect();
-    match tokio::time::timeout_at(limit, body).await {
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect();
+    match tokio::time::timeout_at(deadline, body).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) => Err(ClientError::NoAnswer { address, reason: error.to_string() }),
         Err(_) => Err(ClientError::NoAnswer {
             address,
-            reason: "the answer was not whole by the deadline".to_owned(),
+            reason: "the response was not complete by the deadline".to_owned(),
         }),
     }
 }
--- a/crates/daemon/src/http/events.rs
+++ b/crates/daemon/src/http/events.rs
@@ -1,8 +1,7 @@
-//! Server-sent events between parts of one release: written to callers and peers, read from engines and
-//! stores.
+//! Server-sent events: written to callers and peers, read from engines and stores of the same release.
 //!
-//! [`crate::ingress::sse`] cuts the streams of the platform's replicas, whose events are others; its head
-//! gives the reason.
+//! The streams of the platform's replicas are split by [`crate::ingress::sse`], which explains why it is
+//! separate.
 
 use std::io;
 
@@ -18,71 +17,71 @@
 
 use super::Body;
 
-/// The longest event that is read, in bytes. Chosen, not measured: bounds the memory of one stream.
+/// Maximum size of an event that is read, in bytes; bounds the memory of one stream.
 const EVENT_LIMIT_BYTES: usize = 16 << 20;
-/// What ends an event.
+/// Terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// The reader has gone: nothing more can be sent to it.
+/// The reader has closed its connection, so no more events can be sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the reader of the events has gone; stop sending")]
-pub struct ReaderGone;
+#[error("the reader of the events has disconnected; stop sending")]
+pub struct ReaderDisconnected;
 
-/// What a sender hands to the body of its stream.
+/// An item that a sender passes to the body of its stream.
 #[derive(Debug)]
-enum Piece {
+enum StreamItem {
     /// One event.
     Event(Bytes),
-    /// Nothing follows.
+    /// The end of the stream.
     End,
 }
 
 /// Writes events to one reader.
 ///
-/// Invariant: only [`EventSender::finish`] ends the stream well-formed. A sender that is dropped before,
-/// because its task panicked or the node was killed, breaks the connection off, so a reader never takes a
-/// part for the whole (brief point 4).
+/// Invariant: only [`EventSender::finish`] ends the stream well-formed. Dropping the sender earlier, for
+/// instance because its task panicked, aborts the connection, as does the end of the process. So a reader
+/// never takes a partial stream for a complete one.
 #[derive(Debug)]
 pub struct EventSender {
-    sender: mpsc::Sender<Piece>,
+    sender: mpsc::Sender<StreamItem>,
 }
 
 impl EventSender {
-    /// Sends `data: {json}`. Waits while the reader is `capacity` events behind.
+    /// Sends `data: {json}`. Waits while the stream's buffer of `capacity` events is full.
     ///
     /// # Errors
-    /// When the reader has gone.
-    pub async fn send<T: Serialize>(&self, value: &T) -> Result<(), ReaderGone> {
-        self.send_bytes(encode(None, value)).await
+    /// When the reader has disconnected.
+    pub async fn send<T: Serialize>(&self, value: &T) -> Result<(), ReaderDisconnected> {
+        self.send_bytes(encode_event(None, value)).await
     }
 
     /// Sends `event: {name}` with `data: {json}`.
     ///
     /// # Errors
-    /// When the reader has gone.
-    pub async fn send_named<T: Serialize>(&self, name: &str, value: &T) -> Result<(), ReaderGone> {
-        self.send_bytes(encode(Some(name), value)).await
+    /// When the reader has disconnected.
+    pub async fn send_named<T: Serialize>(&self, name: &str, value: &T) -> Result<(), ReaderDisconnected> {
+        self.send_bytes(encode_event(Some(name), value)).await
     }
 
     /// Ends the stream well-formed, after all events sent before.
     ///
     /// # Errors
-    /// When the reader has gone.
-    pub async fn finish(self) -> Result<(), ReaderGone> {
-        self.sender.send(Piece::End).await.map_err(|_| ReaderGone)
+    /// When the reader has disconnected.
+    pub async fn finish(self) -> Result<(), ReaderDisconnected> {
+        self.sender.send(StreamItem::End).await.map_err(|_| ReaderDisconnected)
     }
 
-    /// Resolves when the reader has gone.
+    /// Waits until the reader has disconnected.
     pub async fn closed(&self) {
         self.sender.closed().await;
     }
 
-    async fn send_bytes(&self, bytes: Bytes) -> Result<(), ReaderGone> {
-        self.sender.send(Piece::Event(bytes)).await.map_err(|_| ReaderGone)
+    async fn send_bytes(&self, bytes: Bytes) -> Result<(), ReaderDisconnected> {
+        self.sender.send(StreamItem::Event(bytes)).await.map_err(|_| ReaderDisconnected)
     }
 }
 
-/// An answer that streams events, and the sender for them.
+/// Creates a response that streams events, buffering up to `capacity` of them, and the sender for the events.
 pub fn event_stream(capacity: usize) -> (EventSender, Response<Body>) {
     let (sender, receiver) = mpsc::channel(capacity.max(1));
     let frames = stream::unfold(Some(receiver), next_frame);
@@ -93,23 +92,23 @@
     (EventSender { sender }, response)
 }
 
-/// The next frame of a stream and what is left of it; an error where the sender went before the end.
+/// Returns the next frame of a stream and the rest of the stream; the frame is an error if the sender was
+/// dropped before the end.
 async fn next_frame(
-    pieces: Option<mpsc::Receiver<Piece>>,
-) -> Option<(io::Result<Frame<Bytes>>, Option<mpsc::Receiver<Piece>>)> {
-    let mut pieces = pieces?;
-    match pieces.recv().await {
-        Some(Piece::Event(bytes)) => Some((Ok(Frame::data(bytes)), Some(pieces))),
-        Some(Piece::End) => None,
+    items: Option<mpsc::Receiver<StreamItem>>,
+) -> Option<(io::Result<Frame<Bytes>>, Option<mpsc::Receiver<StreamItem>>)> {
+    let mut items = items?;
+    match items.recv().await {
+        Some(StreamItem::Event(bytes)) => Some((Ok(Frame::data(bytes)), Some(items))),
+        Some(StreamItem::End) => None,
         None => {
-            let broken =
-                io::Error::new(io::ErrorKind::UnexpectedEof, "the events broke off before their end");
-            Some((Err(broken), None))
+            let error = io::Error::new(io::ErrorKind::UnexpectedEof, "the sender was dropped before the end");
+            Some((Err(error), None))
         }
     }
 }
 
-fn encode<T: Serialize>(name: Option<&str>, value: &T) -> Bytes {
+fn encode_event<T: Serialize>(name: Option<&str>, value: &T) -> Bytes {
     let mut text = Vec::new();
     if let Some(name) = name {
         text.extend_from_slice(b"event: ");
@@ -118,80 +117,80 @@
     }
     text.extend_from_slice(b"data: ");
     if let Err(error) = serde_json::to_writer(&mut text, value) {
-        log::error!(target: "http", "An event can't be written as JSON: {error}.");
+        log::error!(target: "http", "An event can't be encoded as JSON: {error}.");
     }
     text.extend_from_slice(EVENT_END);
     Bytes::from(text)
 }
 
-/// One event as read.
+/// A received event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Its name; `None` where it has none.
+    /// Name, if the event has one.
     pub name: Option<String>,
-    /// Its data.
+    /// Data; several `data` lines are joined by line feeds.
     pub data: String,
 }
 
 impl ServerEvent {
-    /// Reads the data as JSON.
+    /// Decodes the data as JSON.
     ///
     /// # Errors
-    /// When the data is not JSON of the expected form.
+    /// When the data is not JSON of the expected type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, EventStreamError> {
         serde_json::from_str(&self.data).map_err(|error| EventStreamError::BadEvent(error.to_string()))
     }
 }
 
-/// Why a stream of events can't be read on.
+/// Why reading a stream of events failed.
 #[derive(Debug, thiserror::Error)]
 pub enum EventStreamError {
-    /// The connection broke before the stream's end.
+    /// The connection closed before the end of the stream.
     #[error("the stream broke off: {0}; resume it from the last event")]
     Broken(String),
-    /// An event is longer than is accepted.
+    /// An event exceeds the size limit.
     #[error("an event is longer than {EVENT_LIMIT_BYTES} bytes; send shorter ones")]
     TooLong,
-    /// An event is not of the expected form.
-    #[error("an event can't be read: {0}; check that both sides run the same release")]
+    /// An event can't be decoded.
+    #[error("an event can't be decoded: {0}; check that both sides run the same release")]
     BadEvent(String),
 }
 
-/// Reads events from the body of an answer.
+/// Reads events from the body of a response.
 #[derive(Debug)]
 pub struct EventReader {
     body: Incoming,
     buffer: BytesMut,
-    /// Bytes of the buffer in which no event ends.
-    searched: usize,
+    /// Length of the buffer's prefix that contains no event terminator.
+    scanned: usize,
 }
 
 impl EventReader {
-    /// Reads from a body.
+    /// Creates a reader of `body`.
     pub fn new(body: Incoming) -> Self {
-        Self { body, buffer: BytesMut::new(), searched: 0 }
+        Self { body, buffer: BytesMut::new(), scanned: 0 }
     }
 
-    /// The next event; `None` at the well-formed end of the stream. Nothing is lost where the future is
-    /// dropped before it is done.
+    /// Returns the next event, or `None` at the well-formed end of the stream. Cancel-safe: no event is lost
+    /// if the future is dropped.
     ///
     /// # Errors
-    /// When the stream breaks off or an event can't be read.
+    /// When the stream breaks off or an event can't be decoded.
     pub async fn next(&mut self) -> Result<Option<ServerEvent>, EventStreamError> {
         loop {
             if let Some(event) = self.take_event()? {
                 return Ok(Some(event));
             }
             match self.body.frame().await {
-                Some(Ok(frame)) => self.add(frame)?,
+                Some(Ok(frame)) => self.buffer_frame(frame)?,
                 Some(Err(error)) => return Err(EventStreamError::Broken(error.to_string())),
                 None if self.buffer.is_empty() => return Ok(None),
-                None => return Err(EventStreamError::Broken("it ends inside an event".to_owned())),
+                None => return Err(EventStreamError::Broken("it ended inside an event".to_owned())),
             }
         }
     }
 
-    fn add(&mut self, frame: Frame<Bytes>) -> Result<(), EventStreamError> {
+    fn buffer_frame(&mut self, frame: Frame<Bytes>) -> Result<(), EventStreamError> {
         let Ok(data) = frame.into_data() else { return Ok(()) };
         if self.buffer.len() + data.len() > EVENT_LIMIT_BYTES {
             return Err(EventStreamError::TooLong);
@@ -200,26 +199,26 @@
         Ok(())
     }
 
-    /// Takes events out of the buffer, passing over comments and keep-alives.
+    /// Removes the next event from the buffer, skipping comments and keep-alives.
     fn take_event(&mut self) -> Result<Option<ServerEvent>, EventStreamError> {
         loop {
-            let from = self.searched.saturating_sub(EVENT_END.len() - 1);
+            let from = self.scanned.saturating_sub(EVENT_END.len() - 1);
             let found = self.buffer[from..].windows(EVENT_END.len()).position(|window| window == EVENT_END);
             let Some(length) = found.map(|position| from + position) else {
-                self.searched = self.buffer.len();
+                self.scanned = self.buffer.len();
                 return Ok(None);
             };
             let block = self.buffer.split_to(length);
             self.buffer.advance(EVENT_END.len());
-            self.searched = 0;
-            if let Some(event) = parse(&block)? {
+            self.scanned = 0;
+            if let Some(event) = parse_event(&block)? {
                 return Ok(Some(event));
             }
         }
     }
 }
 
-fn parse(block: &[u8]) -> Result<Option<ServerEvent>, EventStreamError> {
+fn parse_event(block: &[u8]) -> Result<Option<ServerEvent>, EventStreamError> {
     let text = std::str::from_utf8(block).map_err(|error| EventStreamError::BadEvent(error.to_string()))?;
     let mut name = None;
     let mut data: Option<String> = None;
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,7 +1,8 @@
-//! HTTP servers and clients, by `hyper`, for all interfaces of the node.
+//! HTTP/1 server and client, based on `hyper`, for all interfaces of the node.
 //!
-//! [`server`] accepts and [`request`], [`response`] and [`events`] read and write what callers see;
-//! [`client`] calls engines and the platform's store. Knows nothing of routes or of replicas.
+//! [`server`] accepts connections; [`request`], [`response`] and [`events`] decode requests and build
+//! responses; [`client`] calls engines and the platform's store. Routes are defined by the users of this
+//! module.
 
 pub mod client;
 pub mod events;
@@ -15,6 +16,6 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// The body of a response of ours. An error breaks the connection off, so that the reader sees that it is not
-/// whole.
+/// Body of a response of this node. An error aborts the connection, so that the reader detects that the body
+/// is incomplete.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
--- a/crates/daemon/src/http/request.rs
+++ b/crates/daemon/src/http/request.rs
@@ -1,5 +1,6 @@
-//! Reads bodies and query parameters of the project's own interfaces, with the error that answers a bad one.
-//! Bodies on the platform's path are read by `ingress::request_body`, whose callers get other errors.
+//! Reads bodies and query parameters of requests on the project's own interfaces, and builds the errors for
+//! invalid ones. Bodies on the platform's path are read by `ingress::request_body`, whose callers get other
+//! errors.
 
 use std::time::Duration;
 
@@ -10,24 +11,24 @@
 use lichenpulley_protocol::error::ErrorBody;
 use serde::de::DeserializeOwned;
 
-/// A body that is not whole after this time is refused: a caller that never finishes it would hold up a
-/// planned stop (docs/decisions/planned-stop.md). Chosen, not measured.
+/// Time within which a body must be complete. Keeps a caller that never finishes its body from delaying a
+/// planned stop (docs/decisions/planned-stop.md).
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request that can't be taken as it was sent.
+/// The error response to an invalid request.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{body}")]
 pub struct BadRequest {
-    /// The status to answer with.
+    /// Status of the response.
     pub status: StatusCode,
-    /// The body to answer with.
+    /// Body of the response.
     pub body: ErrorBody,
 }
 
 /// Reads a body of at most `limit_bytes` as JSON.
 ///
 /// # Errors
-/// When the body is too long, breaks off, or does not parse as `T`.
+/// When the body is too long, is not complete in time, breaks off, or is not a valid `T`.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     limit_bytes: usize,
@@ -46,7 +47,7 @@
 /// Reads a body of at most `limit_bytes`.
 ///
 /// # Errors
-/// When the body is too long or breaks off.
+/// When the body is too long, is not complete in time, or breaks off.
 pub(crate) async fn read_bytes(request: Request<Incoming>, limit_bytes: usize) -> Result<Bytes, BadRequest> {
     let body = Limited::new(request.into_body(), limit_bytes).collect();
     let Ok(collected) = tokio::time::timeout(BODY_READ_TIMEOUT, body).await else {
@@ -74,14 +75,14 @@
     })
 }
 
-/// The value of a query parameter, percent-decoded.
+/// Returns the percent-decoded value of a query parameter.
 pub fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| percent_decode(value))
 }
 
-/// Decodes `%41` and `+` as in a query. What is no valid escape stays as it stands.
+/// Decodes percent escapes, and `+` as a space as in a query. Invalid escapes are kept.
 pub fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
@@ -102,7 +103,7 @@
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-/// Encodes a text for use in a path segment or a query value.
+/// Percent-encodes a text for use in a path segment or a query value.
 pub fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/daemon/src/http/response.rs
+++ b/crates/daemon/src/http/response.rs
@@ -1,5 +1,5 @@
-//! Builds answers: JSON, text, empty ones, and errors of the project's own interfaces with their
-//! `Retry-After`.
+//! Builds responses: JSON, text, empty ones, and errors of the project's own interfaces with their
+//! `Retry-After` header.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -14,35 +14,36 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; charset=utf-8");
 
-/// A whole body.
+/// Builds a body from bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => with_type(status, JSON, bytes),
         Err(error) => {
-            log::error!(target: "http", "An answer can't be written as JSON: {error}.");
+            log::error!(target: "http", "A response can't be encoded as JSON: {error}.");
             text(StatusCode::INTERNAL_SERVER_ERROR, "the answer can't be written as JSON")
         }
     }
 }
 
-/// An answer with a text body.
+/// Builds a response with a text body.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response<Body> {
     with_type(status, TEXT, body.into().into_bytes())
 }
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub fn empty(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(full(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// An error; `Retry-After` follows from its body, rounded up to whole seconds.
+/// Builds an error response. Sets `Retry-After` from the body's `retry_after_ms`, rounded up to whole
+/// seconds.
 pub fn error(status: StatusCode, body: &ErrorBody) -> Response<Body> {
     let mut response = json(status, body);
     if let Some(milliseconds) = body.retry_after_ms {
@@ -52,7 +53,7 @@
     response
 }
 
-/// The answer to a request for what does not exist.
+/// Builds the response to a request whose method and path match no route.
 pub fn not_found(path: &str) -> Response<Body> {
     let body = ErrorBody::new(
         "not_found",
@@ -63,8 +64,8 @@
 }
 
 impl From<BadRequest> for Response<Body> {
-    fn from(bad: BadRequest) -> Self {
-        error(bad.status, &bad.body)
+    fn from(bad_request: BadRequest) -> Self {
+        error(bad_request.status, &bad_request.body)
     }
 }
 
--- a/crates/daemon/src/http/server.rs
+++ b/crates/daemon/src/http/server.rs
@@ -1,7 +1,7 @@
-//! Serves HTTP/1 on a listener until its stop is requested, then finishes the answers that have begun.
+//! Serves HTTP/1 on a listener until a stop is requested, then completes the responses that have begun.
 //!
-//! Owns a task for each connection. Relies on `hyper` for the protocol and on [`super::socket`] for peers
-//! that vanish.
+//! Runs a task for each connection. Relies on `hyper` for the protocol and on [`super::socket`] to close
+//! connections whose peer has disappeared.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,49 +22,48 @@
 use super::Body;
 use super::socket::{self, SocketLimits};
 
-/// A connection whose request head is not whole after this time is closed. Chosen, not measured.
+/// Default time within which a request head must be complete.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest request head, in bytes. Chosen, not measured.
-const HEAD_BYTES: usize = 64 << 10;
-/// The least that the library takes as the longest head, in bytes.
-const MIN_HEAD_BYTES: usize = 8 << 10;
-/// The most fields of a request head. Chosen, not measured.
-const HEAD_FIELDS: usize = 256;
-/// Pause after the system refused a connection, for instance because no file descriptor is free. Chosen, not
-/// measured: without it the loop would spin.
+/// Default maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Smallest maximum buffer size that `hyper` accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Maximum number of header fields of a request.
+const MAX_HEAD_FIELDS: usize = 256;
+/// Delay after a failed `accept`, for instance because no file descriptor is free; keeps the accept loop from
+/// spinning.
 pub(crate) const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a connection without a request is kept after the port has closed: a request that is on its way at
-/// that moment is still answered, and its connection is closed by that answer. Chosen, not measured: shorter
-/// resets such requests.
+/// Time for which idle connections stay open after the port has closed, so that requests already on their way
+/// are answered instead of reset. The answer closes the connection.
 const CLOSING_LINGER: Duration = Duration::from_millis(500);
 
-/// When a server leaves.
+/// Signals that stop a server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerStop {
-    /// Cancelled first: answers ask callers to close their connections, so that none is left idle.
+    /// Cancelled first: responses then ask callers to close their connections, so that none is left idle.
     pub draining: CancellationToken,
-    /// Cancelled later: no connection is accepted any more.
+    /// Cancelled later: the server stops accepting connections.
     pub closing: CancellationToken,
 }
 
-/// What a connection may send before its request is answered.
+/// Limits on the head of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeadLimits {
-    /// A connection whose next request head is not whole by then is closed, also one that rests.
+    /// A connection whose next request head is not complete within this time is closed, even if it is idle.
     pub timeout: Duration,
-    /// A longer head is refused.
+    /// Maximum size of a head, in bytes. A longer one is refused.
     pub bytes: usize,
 }
 
 impl Default for HeadLimits {
     fn default() -> Self {
-        Self { timeout: HEAD_TIMEOUT, bytes: HEAD_BYTES }
+        Self { timeout: HEAD_TIMEOUT, bytes: MAX_HEAD_BYTES }
     }
 }
 
-/// Answers each request with `handler`, each connection in a task of its own. Returns when `closing` is
-/// cancelled and every answer that had begun has been written whole, however long that takes (brief point 8).
+/// Answers each request with `handler`, each connection in its own task. Returns when `closing` is cancelled
+/// and every response that had begun has been written completely, however long that takes.
 pub async fn serve<Handler, Answer>(listener: TcpListener, stop: ServerStop, handler: Handler)
 where
     Handler: Fn(Request<Incoming>) -> Answer + Clone + Send + Sync + 'static,
@@ -73,7 +72,7 @@
     serve_with_limits(listener, stop, SocketLimits::default(), HeadLimits::default, handler).await;
 }
 
-/// Like [`serve`], with limits of its own; those of heads are read for each connection anew.
+/// Serves like [`serve`], with the given limits. `head_limits` is called for each connection.
 pub async fn serve_with_limits<Heads, Handler, Answer>(
     listener: TcpListener,
     stop: ServerStop,
@@ -86,11 +85,11 @@
     Answer: Future<Output = Response<Body>> + Send + 'static,
 {
     let connections = TaskTracker::new();
-    let begin = |stream: TcpStream| match socket::prepare(&stream, limits) {
+    let start_connection = |stream: TcpStream| match socket::prepare(&stream, limits) {
         Ok(()) => {
             drop(connections.spawn(serve_connection(stream, stop.clone(), head_limits(), handler.clone())))
         }
-        Err(error) => log::debug!(target: "http", "A connection was lost before it began: {error}."),
+        Err(error) => log::debug!(target: "http", "A connection was closed before it was served: {error}."),
     };
     loop {
         let accepted = tokio::select! {
@@ -98,17 +97,17 @@
             () = stop.closing.cancelled() => break,
         };
         match accepted {
-            Ok((stream, _)) => begin(stream),
+            Ok((stream, _)) => start_connection(stream),
             Err(error) => {
-                log::warn!(target: "http", "A connection was not accepted: {error}.");
+                log::warn!(target: "http", "A connection can't be accepted: {error}.");
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
-    // Callers whose connections wait in the system's queue may have sent their requests already: closing the
-    // listener would leave them without an answer.
+    // Callers whose connections are still in the accept queue may already have sent their requests; closing
+    // the listener would reset them.
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
-        begin(stream);
+        start_connection(stream);
     }
     drop(listener);
     connections.close();
@@ -118,39 +117,39 @@
 async fn serve_connection<Handler, Answer>(
     stream: TcpStream,
     stop: ServerStop,
-    heads: HeadLimits,
+    head_limits: HeadLimits,
     handler: Handler,
 ) where
     Handler: Fn(Request<Incoming>) -> Answer + Send + Sync + 'static,
     Answer: Future<Output = Response<Body>> + Send + 'static,
 {
     let draining = stop.draining;
-    let service = service_fn(move |request| answer_or_close(handler(request), draining.clone()));
+    let service = service_fn(move |request| add_connection_close(handler(request), draining.clone()));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(heads.timeout)
-        .max_buf_size(heads.bytes.max(MIN_HEAD_BYTES))
-        .max_headers(HEAD_FIELDS)
+        .header_read_timeout(head_limits.timeout)
+        .max_buf_size(head_limits.bytes.max(MIN_BUFFER_BYTES))
+        .max_headers(MAX_HEAD_FIELDS)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let leaving = async {
+    let linger_elapsed = async {
         stop.closing.cancelled().await;
         tokio::time::sleep(CLOSING_LINGER).await;
     };
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = leaving => {
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
+        () = linger_elapsed => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::debug!(target: "http", "A connection ended early: {error}.");
     }
 }
 
-/// The handler's answer; while the server drains it asks the caller to close the connection.
-async fn answer_or_close(
+/// Returns the handler's response, with `Connection: close` if the server is draining.
+async fn add_connection_close(
     answer: impl Future<Output = Response<Body>>,
     draining: CancellationToken,
 ) -> Result<Response<Body>, Infallible> {
--- a/crates/daemon/src/http/socket.rs
+++ b/crates/daemon/src/http/socket.rs
@@ -1,5 +1,5 @@
-//! Options of TCP connections that this node accepts: no delay, and limits for peers that vanish without
-//! closing.
+//! Options of TCP connections that this node accepts: `TCP_NODELAY`, and time-outs for peers that disappear
+//! without closing the connection.
 
 use std::io;
 use std::time::Duration;
@@ -7,42 +7,40 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// The system counts keep-alive in whole seconds.
-const SHORTEST_KEEPALIVE: Duration = Duration::from_secs(1);
+/// Minimum keep-alive time and interval; the operating system counts them in whole seconds.
+const MIN_KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// The limit of connections that name none: within the time of a planned stop
-/// (docs/decisions/planned-stop.md). Chosen, not measured: shorter cuts off callers that pause, longer holds
-/// up a planned stop.
-const DEFAULT_STALL: Duration = Duration::from_secs(30);
+/// Default stall timeout; within the time of a planned stop (docs/decisions/planned-stop.md).
+const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a connection is given up although neither side closed it.
+/// Limits after which the node closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketLimits {
-    /// A connection whose peer acknowledges or takes nothing for this time is closed. Without this limit a
-    /// caller that stopped reading could hold up a planned stop for ever.
+    /// A connection whose peer acknowledges or accepts no data for this time is closed. Without this limit a
+    /// caller that stopped reading could delay a planned stop forever.
     pub stall_timeout: Duration,
 }
 
 impl Default for SocketLimits {
     fn default() -> Self {
-        Self { stall_timeout: DEFAULT_STALL }
+        Self { stall_timeout: DEFAULT_STALL_TIMEOUT }
     }
 }
 
-/// Sets the options of a connection.
+/// Sets the options of an accepted connection.
 ///
 /// # Errors
-/// When the connection is lost already.
+/// When the connection is already closed.
 pub(crate) fn prepare(stream: &TcpStream, limits: SocketLimits) -> io::Result<()> {
-    // Small events must not wait for more bytes to fill a segment.
+    // Small events must not be delayed by Nagle's algorithm.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    // Covers data that is sent and not acknowledged, and data that waits for a peer to make room.
+    // Covers unacknowledged data, and data that waits for the peer's receive window to open.
     #[cfg(target_os = "linux")]
     socket.set_tcp_user_timeout(Some(limits.stall_timeout))?;
-    // Covers a connection on which nothing is sent, such as one that waits for its answer.
-    let interval = (limits.stall_timeout / 3).max(SHORTEST_KEEPALIVE);
-    let time = limits.stall_timeout.max(SHORTEST_KEEPALIVE);
+    // Covers connections on which nothing is sent, such as one that waits for an answer.
+    let interval = (limits.stall_timeout / 3).max(MIN_KEEPALIVE);
+    let time = limits.stall_timeout.max(MIN_KEEPALIVE);
     let keepalive = TcpKeepalive::new().with_time(time).with_interval(interval);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/daemon/tests/http.rs
+++ b/crates/daemon/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP parts over real sockets: what a client may say about a failed call, and events.
+//! Tests the HTTP server, client and event streams over TCP connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const BODY_LIMIT_BYTES: usize = 64;
 
 fn client() -> HttpClient {
@@ -32,11 +32,11 @@
 async fn echo(request: Request<Incoming>) -> Response<Body> {
     match read_json::<Vec<u32>>(request, BODY_LIMIT_BYTES).await {
         Ok(numbers) => response::json(StatusCode::OK, &numbers),
-        Err(bad) => bad.into(),
+        Err(bad_request) => bad_request.into(),
     }
 }
 
-async fn start_echo() -> (SocketAddr, ServerStop) {
+async fn start_echo_server() -> (SocketAddr, ServerStop) {
     let (listener, address) = listen().await;
     let stop = ServerStop::default();
     tokio::spawn(serve(listener, stop.clone(), echo));
@@ -44,7 +44,7 @@
 }
 
 /// A server that reads the head of one request, writes `answer`, and closes.
-async fn start_raw(answer: &'static [u8]) -> SocketAddr {
+async fn start_raw_server(answer: &'static [u8]) -> SocketAddr {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -62,76 +62,76 @@
 }
 
 #[tokio::test]
-async fn json_goes_there_and_back() {
-    let (address, _stop) = start_echo().await;
-    let answer: Vec<u32> = client().post_json(address, "/", &[1, 2, 3], PATIENCE).await.expect("an answer");
+async fn json_round_trips() {
+    let (address, _stop) = start_echo_server().await;
+    let answer: Vec<u32> =
+        client().post_json(address, "/", &[1, 2, 3], TEST_TIMEOUT).await.expect("an answer");
     assert_eq!(answer, [1, 2, 3]);
 }
 
 #[tokio::test]
-async fn a_wrong_body_is_refused_with_a_typed_error() {
-    let (address, _stop) = start_echo().await;
-    let asked: Result<Vec<u32>, _> = client().post_json(address, "/", &"text", PATIENCE).await;
-    let error = asked.expect_err("a wrong body");
+async fn an_invalid_body_is_refused_with_a_typed_error() {
+    let (address, _stop) = start_echo_server().await;
+    let result: Result<Vec<u32>, _> = client().post_json(address, "/", &"text", TEST_TIMEOUT).await;
+    let error = result.expect_err("an invalid body");
     assert_eq!(error.status(), Some(StatusCode::BAD_REQUEST));
     assert_eq!(error.body::<ErrorBody>().expect("a typed error").kind, "bad_body");
     let long = vec![7_u32; BODY_LIMIT_BYTES];
-    let asked: Result<Vec<u32>, _> = client().post_json(address, "/", &long, PATIENCE).await;
-    assert_eq!(asked.expect_err("a long body").status(), Some(StatusCode::PAYLOAD_TOO_LARGE));
+    let result: Result<Vec<u32>, _> = client().post_json(address, "/", &long, TEST_TIMEOUT).await;
+    assert_eq!(result.expect_err("a long body").status(), Some(StatusCode::PAYLOAD_TOO_LARGE));
 }
 
 #[tokio::test]
-async fn a_refused_connection_proves_that_nothing_was_sent() {
+async fn a_refused_connection_is_reported_as_not_sent() {
     let (listener, address) = listen().await;
     drop(listener);
-    let asked: Result<u32, ClientError> = client().get_json(address, "/", PATIENCE).await;
-    assert!(asked.expect_err("nobody listens").nothing_sent());
+    let result: Result<u32, ClientError> = client().get_json(address, "/", TEST_TIMEOUT).await;
+    assert!(result.expect_err("no listener").nothing_sent());
 }
 
 #[tokio::test]
-async fn a_connection_closed_after_the_request_proves_nothing() {
-    let address = start_raw(b"").await;
-    let asked: Result<u32, ClientError> = client().get_json(address, "/", PATIENCE).await;
-    let error = asked.expect_err("no answer");
+async fn a_connection_closed_after_the_request_is_not_reported_as_unsent() {
+    let address = start_raw_server(b"").await;
+    let result: Result<u32, ClientError> = client().get_json(address, "/", TEST_TIMEOUT).await;
+    let error = result.expect_err("no answer");
     assert!(matches!(error, ClientError::NoAnswer { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn a_deadline_after_the_request_proves_nothing() {
+async fn a_timeout_after_the_request_is_not_reported_as_unsent() {
     let (listener, address) = listen().await;
-    let asked: Result<u32, ClientError> = client().get_json(address, "/", Duration::from_millis(50)).await;
-    let error = asked.expect_err("no answer");
+    let result: Result<u32, ClientError> = client().get_json(address, "/", Duration::from_millis(50)).await;
+    let error = result.expect_err("no answer");
     assert!(matches!(error, ClientError::NoAnswer { .. }), "{error}");
     drop(listener);
 }
 
-/// The case that is easily got wrong: the server closes a kept connection just as it is used again. Whether the
-/// request had been written can't be known, so an error must not claim that nothing was sent unless the server
-/// never saw it.
+/// Guards against an automatic retry by the client and against `NotSent` for a request that the server
+/// received, when the server closes a reused connection instead of answering.
 #[tokio::test]
-async fn a_kept_connection_that_closes_is_never_called_unsent_after_bytes_arrived() {
+async fn a_request_on_a_reused_connection_that_closes_is_not_reported_as_unsent() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_head(&mut stream).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n1").await.expect("written");
-        // The second request arrives whole, and the connection closes without an answer.
+        // The second request arrives completely, and the connection closes without an answer.
         read_head(&mut stream).await;
         drop(stream);
         // A retry by the client would arrive here.
         tokio::time::timeout(Duration::from_millis(200), listener.accept()).await.is_ok()
     });
     let client = client();
-    let first: u32 = client.get_json(address, "/", PATIENCE).await.expect("an answer");
+    let first: u32 = client.get_json(address, "/", TEST_TIMEOUT).await.expect("an answer");
     assert_eq!(first, 1);
-    let second: Result<u32, ClientError> = client.get_json(address, "/", PATIENCE).await;
+    let second: Result<u32, ClientError> = client.get_json(address, "/", TEST_TIMEOUT).await;
     let error = second.expect_err("no answer");
     assert!(matches!(error, ClientError::NoAnswer { .. }), "{error}");
     assert!(!server.await.expect("the server ends"), "the request was sent a second time");
 }
 
 #[tokio::test]
-async fn events_end_well_or_are_told_as_broken() {
+async fn a_finished_event_stream_ends_well_formed() {
     let (listener, address) = listen().await;
     let answer = |_: Request<Incoming>| async {
         let (sender, response) = event_stream(4);
@@ -145,29 +145,29 @@
         response
     };
     tokio::spawn(serve(listener, ServerStop::default(), answer));
-    let mut events = client().get_events(address, "/", PATIENCE).await.expect("a stream");
+    let mut events = client().get_events(address, "/", TEST_TIMEOUT).await.expect("a stream");
     for number in 0..100_u32 {
-        let event = events.next().await.expect("a whole stream").expect("an event");
+        let event = events.next().await.expect("an intact stream").expect("an event");
         assert_eq!(event.json::<u32>().expect("a number"), number);
     }
-    let last = events.next().await.expect("a whole stream").expect("an event");
+    let last = events.next().await.expect("an intact stream").expect("an event");
     assert_eq!(last.name.as_deref(), Some("last"));
-    assert!(events.next().await.expect("a whole stream").is_none());
+    assert!(events.next().await.expect("an intact stream").is_none());
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_is_never_taken_as_ended() {
+async fn a_truncated_event_stream_is_reported_as_broken() {
     let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n";
-    let address = start_raw(head).await;
-    let mut events = client().get_events(address, "/", PATIENCE).await.expect("a stream");
+    let address = start_raw_server(head).await;
+    let mut events = client().get_events(address, "/", TEST_TIMEOUT).await.expect("a stream");
     assert!(events.next().await.expect("the first event").is_some());
     let error = events.next().await.expect_err("the stream broke off");
     assert!(matches!(error, EventStreamError::Broken(_)), "{error}");
 }
 
-/// As when the task that produces an answer panics, or the node dies under it.
+/// Guards against a partial stream that ends well-formed after the task that produces it panicked.
 #[tokio::test]
-async fn a_sender_that_is_dropped_before_the_end_breaks_the_stream_off() {
+async fn dropping_the_sender_before_the_end_breaks_the_stream() {
     let (listener, address) = listen().await;
     let answer = |_: Request<Incoming>| async {
         let (sender, response) = event_stream(4);
@@ -175,12 +175,12 @@
         response
     };
     tokio::spawn(serve(listener, ServerStop::default(), answer));
-    let mut events = client().get_events(address, "/", PATIENCE).await.expect("a stream");
-    // The server may give up the connection before it has written the event.
+    let mut events = client().get_events(address, "/", TEST_TIMEOUT).await.expect("a stream");
+    // The server may abort the connection before it has written the event.
     let error = loop {
         match events.next().await {
             Ok(Some(_)) => {}
-            Ok(None) => panic!("a part was taken for the whole"),
+            Ok(None) => panic!("a partial stream ended as if it were complete"),
             Err(error) => break error,
         }
     };
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn a_closing_server_finishes_the_stream_it_has_begun() {
+async fn a_closing_server_completes_open_streams() {
     let (listener, address) = listen().await;
     let stop = ServerStop::default();
     let (release, released) = tokio::sync::watch::channel(false);
@@ -206,24 +206,27 @@
         }
     };
     let server = tokio::spawn(serve(listener, stop.clone(), answer));
-    let mut events = client().get_events(address, "/", PATIENCE).await.expect("a stream");
+    let mut events = client().get_events(address, "/", TEST_TIMEOUT).await.expect("a stream");
     assert!(events.next().await.expect("the first event").is_some());
     stop.draining.cancel();
     stop.closing.cancel();
-    let refused = async {
+    let port_closed = async {
         while TcpStream::connect(address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, refused).await.expect("the port closes");
-    assert!(!server.is_finished(), "the server left before its stream was finished");
+    tokio::time::timeout(TEST_TIMEOUT, port_closed).await.expect("the port closes");
+    assert!(!server.is_finished(), "the server ended before its stream was complete");
     release.send_replace(true);
-    assert_eq!(events.next().await.expect("whole").expect("an event").json::<u32>().expect("a number"), 2);
-    assert!(events.next().await.expect("whole").is_none());
-    tokio::time::timeout(PATIENCE, server).await.expect("the server ends").expect("without a panic");
+    assert_eq!(
+        events.next().await.expect("an intact stream").expect("an event").json::<u32>().expect("a number"),
+        2
+    );
+    assert!(events.next().await.expect("an intact stream").is_none());
+    tokio::time::timeout(TEST_TIMEOUT, server).await.expect("the server ends").expect("without a panic");
 }
 
-/// Connections that the system has accepted and the server has not: their requests are on the way when it closes.
+/// Guards against resetting connections that are still in the accept queue when the server closes.
 #[tokio::test]
 async fn a_request_in_the_queue_of_a_closing_port_is_answered() {
     let (listener, address) = listen().await;
@@ -242,30 +245,34 @@
     let server = tokio::spawn(serve(listener, stop, echo));
     for mut caller in callers {
         let mut answer = String::new();
-        let read = tokio::time::timeout(PATIENCE, caller.read_to_string(&mut answer)).await;
-        read.expect("the connection ends").expect("the answer is whole");
+        let read = tokio::time::timeout(TEST_TIMEOUT, caller.read_to_string(&mut answer)).await;
+        read.expect("the connection ends").expect("the answer is complete");
         assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
         assert!(answer.contains("connection: close"), "{answer}");
     }
-    tokio::time::timeout(PATIENCE, server).await.expect("the server ends").expect("without a panic");
+    tokio::time::timeout(TEST_TIMEOUT, server).await.expect("the server ends").expect("without a panic");
 }
 
-/// A kept connection on which a request arrives just after the port has closed.
+/// Guards against resetting a keep-alive connection on which a request arrives just after the port has
+/// closed.
 #[tokio::test]
 async fn a_request_on_a_kept_connection_of_a_closing_port_is_answered() {
-    let (address, stop) = start_echo().await;
+    let (address, stop) = start_echo_server().await;
     let client = client();
-    let first: Vec<u32> = client.post_json(address, "/", &[1], PATIENCE).await.expect("an answer");
+    let first: Vec<u32> = client.post_json(address, "/", &[1], TEST_TIMEOUT).await.expect("an answer");
     stop.draining.cancel();
     stop.closing.cancel();
-    let closed = async { while TcpStream::connect(address).await.is_ok() {} };
-    tokio::time::timeout(PATIENCE, closed).await.expect("the port closes");
-    let second: Vec<u32> = client.post_json(address, "/", &[2], PATIENCE).await.expect("an answer");
+    let port_closed = async { while TcpStream::connect(address).await.is_ok() {} };
+    tokio::time::timeout(TEST_TIMEOUT, port_closed).await.expect("the port closes");
+    let second: Vec<u32> = client.post_json(address, "/", &[2], TEST_TIMEOUT).await.expect("an answer");
     assert_eq!((first, second), (vec![1], vec![2]));
 }
 
-/// A server whose one stream never ends and whose reader never reads; gives the server and the reader.
-async fn start_stuck(stall_timeout: Duration) -> (tokio::task::JoinHandle<()>, TcpStream) {
+/// Starts a server with one endless stream and a reader that stops reading, and requests the server to close.
+/// Returns the server's task and the reader.
+async fn start_server_with_stalled_reader(
+    stall_timeout: Duration,
+) -> (tokio::task::JoinHandle<()>, TcpStream) {
     let (listener, address) = listen().await;
     let stop = ServerStop::default();
     let answer = |_: Request<Incoming>| async {
@@ -288,19 +295,19 @@
     (server, reader)
 }
 
-/// A caller that stopped reading must not hold up a planned stop; with the limit far away, it does.
+/// Guards against a caller that stopped reading delaying a planned stop beyond the stall timeout.
 #[tokio::test]
 async fn a_reader_that_stopped_reading_is_given_up() {
-    let (endless, _other_reader) = start_stuck(Duration::from_secs(3_600)).await;
-    let (limited, _reader) = start_stuck(Duration::from_secs(1)).await;
-    tokio::time::timeout(PATIENCE, limited).await.expect("the server ends").expect("without a panic");
-    assert!(!endless.is_finished(), "the limit is not what ended the stream");
-    endless.abort();
+    let (unlimited, _other_reader) = start_server_with_stalled_reader(Duration::from_secs(3_600)).await;
+    let (limited, _reader) = start_server_with_stalled_reader(Duration::from_secs(1)).await;
+    tokio::time::timeout(TEST_TIMEOUT, limited).await.expect("the server ends").expect("without a panic");
+    assert!(!unlimited.is_finished(), "the stream ended without reaching the stall timeout");
+    unlimited.abort();
 }
 
 proptest! {
     #[test]
-    fn any_text_survives_percent_encoding(text in ".*") {
+    fn percent_encoding_round_trips(text in ".*") {
         prop_assert_eq!(percent_decode(&percent_encode(&text)), text);
     }
 }
