--- a/crates/daemon/src/coordinator/attempt.rs
+++ b/crates/daemon/src/coordinator/attempt.rs
@@ -24,7 +24,7 @@
     pub(super) dispatcher: Dispatcher,
     pub(super) http: HttpClient,
     pub(super) specification: JobSpecification,
-    /// Deadline of an attempt's generation.
+    /// Time limit of an attempt's generation.
     pub(super) timeout: Duration,
 }
 
