--- a/crates/core/src/replication/acceptor/begin.rs
+++ b/crates/core/src/replication/acceptor/begin.rs
@@ -31,7 +31,7 @@
     }
     record.set = set;
     record.phase = GroupPhase::Active;
-    record.copying.clear();
+    record.transfers.clear();
     storage.put_group(shard, &record)?;
     Ok(ReplicaAnswer::Begun)
 }
--- a/crates/core/src/replication/group.rs
+++ b/crates/core/src/replication/group.rs
@@ -21,7 +21,7 @@
     /// The positions accepted under the promised ballot.
     pub accepted: AcceptedRange,
     /// Transfers of state into the next generation that are in progress.
-    pub copying: Vec<CopyProgress>,
+    pub transfers: Vec<CopyProgress>,
 }
 
 /// Whether a store is active in its replica set.
@@ -118,7 +118,7 @@
             phase,
             position: LogPosition::default(),
             accepted: AcceptedRange { from: LogIndex::FIRST, through: LogIndex::ZERO },
-            copying: Vec::new(),
+            transfers: Vec::new(),
         }
     }
 }
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -145,7 +145,7 @@
 
     /// Returns whether this is a pass of the transfer `whole`.
     pub(crate) fn is_pass_of(&self, whole: &Self) -> bool {
-        self.0.rsplit_once('/').is_some_and(|(copying, _)| copying == whole.0)
+        self.0.rsplit_once('/').is_some_and(|(transfer, _)| transfer == whole.0)
     }
 }
 
--- a/crates/core/src/replication/placement.rs
+++ b/crates/core/src/replication/placement.rs
@@ -2,9 +2,9 @@
 //! members.
 //!
 //! Inputs are the available stores with their zones, the losses to tolerate, the region of each zone and the
-//! home region. The goal is that a majority remains after the configured loss of disks, zones or regions (`2
-//! f + 1` members tolerate `f` lost disks), and that appends stay within one region if possible
-//! (`docs/design/log-placement.md`).
+//! home region. The goal is that a majority remains after the configured loss of disks, zones or regions, and
+//! that appends stay within one region if possible (`docs/design/log-placement.md`). A set of `2 f + 1` members
+//! tolerates `f` lost disks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/replication/transfer.rs
+++ b/crates/core/src/replication/transfer.rs
@@ -123,7 +123,7 @@
     }
     record.set = install.set;
     record.phase = GroupPhase::Active;
-    record.copying.clear();
+    record.transfers.clear();
     storage.remove_entries_before(shard, record.position.first())?;
     storage.remove_claims_issued_before(shard, record.position.claims_removed_before_unix_ms)?;
     storage.put_group(shard, &record)?;
@@ -166,22 +166,22 @@
     transfer: &TransferId,
     source: &StoreId,
 ) -> &'a mut SourceProgress {
-    let known = record.copying.iter().position(|copying| &copying.transfer == transfer);
+    let known = record.transfers.iter().position(|copy_progress| &copy_progress.transfer == transfer);
     let position = known.unwrap_or_else(|| {
         // Several reconfigurers may copy the complete state at the same time. Their progress is kept apart.
-        if record.copying.len() >= MAX_TRANSFERS {
-            record.copying.remove(0);
+        if record.transfers.len() >= MAX_TRANSFERS {
+            record.transfers.remove(0);
         }
-        record.copying.push(CopyProgress { transfer: transfer.clone(), sources: Vec::new() });
-        record.copying.len() - 1
+        record.transfers.push(CopyProgress { transfer: transfer.clone(), sources: Vec::new() });
+        record.transfers.len() - 1
     });
-    let copying = &mut record.copying[position];
-    let known = copying.sources.iter().position(|progress| &progress.store == source);
+    let copy_progress = &mut record.transfers[position];
+    let known = copy_progress.sources.iter().position(|progress| &progress.store == source);
     let position = known.unwrap_or_else(|| {
-        copying.sources.push(SourceProgress { store: source.clone(), next: 0 });
-        copying.sources.len() - 1
+        copy_progress.sources.push(SourceProgress { store: source.clone(), next: 0 });
+        copy_progress.sources.len() - 1
     });
-    &mut copying.sources[position]
+    &mut copy_progress.sources[position]
 }
 
 fn store_page<S: ShardStorage>(storage: &mut S, shard: &ShardId, page: &StatePage) -> Result<(), S::Error> {
@@ -201,8 +201,9 @@
 /// pages.
 fn has_all_pages(record: &GroupRecord, store: &StoreId, install: &Install) -> bool {
     let arrived = |source: &CopiedSource| {
-        let copying = record.copying.iter().filter(|copying| copying.transfer == install.transfer);
-        let mut pages = copying.flat_map(|copying| &copying.sources);
+        let transfers =
+            record.transfers.iter().filter(|copy_progress| copy_progress.transfer == install.transfer);
+        let mut pages = transfers.flat_map(|copy_progress| &copy_progress.sources);
         pages.any(|progress| progress.store == source.store && progress.next >= source.pages)
     };
     let is_self = |source: &CopiedSource| &source.store == store && record.phase != GroupPhase::Joining;
--- a/crates/core/tests/encoding.rs
+++ b/crates/core/tests/encoding.rs
@@ -215,7 +215,7 @@
         phase,
         position: position(),
         accepted: AcceptedRange { from: LogIndex(3), through: LogIndex(9) },
-        copying: vec![progress.clone()],
+        transfers: vec![progress.clone()],
     };
     check(&record(GroupPhase::Active), STORED[0]);
     check(&record(GroupPhase::Sealed { next: set(2) }), STORED[1]);
