--- a/crates/daemon/src/batch/candidate.rs
+++ b/crates/daemon/src/batch/candidate.rs
@@ -176,7 +176,7 @@
         let needed_of = |set: Option<&ReplicaSet>| set.map_or(least, ReplicaSet::majority);
         let mut set = replica_sets::find_among_stores(context, shard).await;
         if set.is_some() && answers.counted(set.as_ref()).len() < needed_of(set.as_ref()) {
-            context.replica_sets.forget(shard);
+            context.replica_sets.remove(shard);
             set = replica_sets::find_among_stores(context, shard).await;
         }
         (answers.counted(set.as_ref()), needed_of(set.as_ref()))
@@ -210,7 +210,7 @@
         let began = Instant::now();
         let known = followed.as_ref().map(LedgerFollower::known).unwrap_or_default();
         self.record_takeover(reason, idle, known.through);
-        let taken = ShardLog::take_over_knowing(&self.scope.context, &self.scope.shard, known).await;
+        let taken = ShardLog::take_over_from(&self.scope.context, &self.scope.shard, known).await;
         let (mut log, recovered) = match taken {
             Ok(taken) => taken,
             Err(error) => {
@@ -263,10 +263,10 @@
     /// Asks the next candidate to take over from this node. Without a candidate, or without its answer, the
     /// others detect by polling that nobody appends.
     async fn hand_over(&self, offer: Option<ProgressOffer>) {
-        let Some(successor) = order::best_other(&self.scope) else { return };
+        let Some(successor) = order::preferred_successor(&self.scope) else { return };
         let request = BatchRequest::TakeOver(offer);
         let answered =
-            self.scope.ask_peer(successor.peer_address, request, OWNERSHIP_HAND_OVER_TIMEOUT).await;
+            self.scope.call_peer(successor.peer_address, request, OWNERSHIP_HAND_OVER_TIMEOUT).await;
         if let Err(error) = answered {
             ::log::info!(target: "batch", "{} did not answer the request to take over: {error}.", successor.node);
         }
--- a/crates/daemon/src/batch/follower.rs
+++ b/crates/daemon/src/batch/follower.rs
@@ -133,7 +133,7 @@
         if self.shared.is_owning.load(Ordering::Relaxed) {
             return FollowAction::Wait;
         }
-        if !order::is_next(&self.scope, &node) {
+        if !order::is_first_successor(&self.scope, &node) {
             return FollowAction::Drop;
         }
         if self.owner.as_ref().is_none_or(|seen| seen.node != *node) {
@@ -192,14 +192,14 @@
             operation: Operation::ReadDecided(next),
         };
         let timeout = self.scope.context.settings.store.call_timeout;
-        let response = exchange::ask(&self.scope.context, member, request, timeout).await;
+        let response = exchange::query_replica(&self.scope.context, member, request, timeout).await;
         match response.map(|response| response.outcome) {
             Some(ReplicaAnswer::Decided { entries, base, decided_through, .. }) => {
                 Some(DecidedPage { entries, base, decided_through })
             }
             Some(_) => {
                 // The cached set may be outdated.
-                self.scope.context.replica_sets.forget(&self.scope.shard);
+                self.scope.context.replica_sets.remove(&self.scope.shard);
                 None
             }
             None => None,
--- a/crates/daemon/src/batch/job_shard.rs
+++ b/crates/daemon/src/batch/job_shard.rs
@@ -104,7 +104,7 @@
         let Some(member) = member.filter(|member| self.scope.allows(member)) else {
             return Some(BatchResponse::NotOwner(None));
         };
-        match self.scope.ask_peer(member.peer_address, request, timeout).await {
+        match self.scope.call_peer(member.peer_address, request, timeout).await {
             Ok(response) => Some(response),
             Err(error) if error.nothing_sent() => Some(BatchResponse::NotOwner(None)),
             Err(error) => {
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -135,7 +135,7 @@
         while let Some((response, shard)) = responses.next().await {
             match response {
                 BatchResponse::Unknown => {}
-                BatchResponse::Unavailable if shard.scope.was_never_made().await => {}
+                BatchResponse::Unavailable if shard.scope.was_never_created().await => {}
                 BatchResponse::Unavailable | BatchResponse::InDoubt | BatchResponse::NotOwner(_) => {
                     inconclusive = Some(response);
                 }
--- a/crates/daemon/src/batch/outline.rs
+++ b/crates/daemon/src/batch/outline.rs
@@ -294,8 +294,8 @@
         operation: Operation::ReadDecided(next),
     };
     let response = match mode {
-        ReadMode::Outline => exchange::ask_outline(&scope.context, member, request, timeout).await,
-        ReadMode::Full => exchange::ask(&scope.context, member, request, timeout).await,
+        ReadMode::Outline => exchange::query_outline(&scope.context, member, request, timeout).await,
+        ReadMode::Full => exchange::query_replica(&scope.context, member, request, timeout).await,
     };
     match response.map(|response| response.outcome) {
         Some(ReplicaAnswer::Decided { entries, base, decided_through, .. }) => {
@@ -309,7 +309,7 @@
             // The cached set may be outdated, unless a newer one was cached meanwhile.
             let known = scope.context.replica_sets.get(&scope.shard);
             if known.is_none_or(|known| known.generation <= set.generation) {
-                scope.context.replica_sets.forget(&scope.shard);
+                scope.context.replica_sets.remove(&scope.shard);
             }
             None
         }
--- a/crates/daemon/src/batch/owner.rs
+++ b/crates/daemon/src/batch/owner.rs
@@ -281,7 +281,7 @@
 
     fn handle_append(&mut self, outcome: AppendOutcome) {
         match outcome {
-            AppendOutcome::Appended { appends, began, is_long } => {
+            AppendOutcome::Appended { appends, began, needs_compaction } => {
                 self.context.metrics.observe(Latency::Append, "decided", self.stores.clock().since(began));
                 self.stores.confirm(began);
                 self.controller.set_confirmed(self.stores.is_confirmed());
@@ -292,7 +292,7 @@
                 self.answer_writers();
                 self.answer_lookups();
                 self.answer_readers();
-                if is_long {
+                if needs_compaction {
                     self.compact();
                 }
             }
--- a/crates/daemon/src/batch/owner/stores.rs
+++ b/crates/daemon/src/batch/owner/stores.rs
@@ -24,7 +24,7 @@
 pub(in crate::batch) const CONFIRMED_FOR: Duration = Duration::from_millis(600);
 
 /// Encoding of batch-job records in the log.
-const RECORD_FORMAT: RecordFormat<Record> = RecordFormat { part: "batch", encode };
+const RECORD_FORMAT: RecordFormat<Record> = RecordFormat { log_target: "batch", encode };
 
 /// Encodes a record. One that can't be encoded is left out of its append; the others are appended.
 fn encode(record: Record) -> Option<Vec<u8>> {
@@ -62,7 +62,7 @@
         let clock = scope.context.boot_clock.clone();
         Self {
             maintainer: SetMaintainer::start(scope.clone(), log.set().clone()),
-            log: LogWriter::start(log, RECORD_FORMAT, AppendMode::Gathered, held_bytes, clock.clone()),
+            log: LogWriter::start(log, RECORD_FORMAT, AppendMode::Batched, held_bytes, clock.clone()),
             scope,
             confirmed_at: clock.now(),
             clock,
@@ -96,7 +96,7 @@
     /// Probes all stores if none has answered for too long.
     pub(super) fn probe_if_silent(&mut self) {
         let unconfirmed_for = self.clock.since(self.confirmed_at);
-        let is_silent = cut_off::is_silent(unconfirmed_for, self.log.silent_for());
+        let is_silent = cut_off::is_silent(unconfirmed_for, self.log.time_since_last_answer());
         if self.cut_off.poll(is_silent) != CutOffStep::Probe {
             return;
         }
--- a/crates/daemon/src/batch/regional_jobs.rs
+++ b/crates/daemon/src/batch/regional_jobs.rs
@@ -86,7 +86,7 @@
         if known.shards.len() >= MAX_SHARDS {
             return None;
         }
-        let scope = Scope::within(&self.context, regions.clone());
+        let scope = Scope::in_regions(&self.context, regions.clone());
         let takes_part = scope.allows_this_node() && self.context.settings.roles.coordinator;
         let decision = Decision::new(Component::Rollout, "regional_shard", "configured", &id);
         let decision = decision.with("regions", regions).with("takes_part", takes_part);
--- a/crates/daemon/src/batch/set_maintenance.rs
+++ b/crates/daemon/src/batch/set_maintenance.rs
@@ -193,7 +193,7 @@
             operation: Operation::ReadDecided(LogIndex(u64::MAX)),
         };
         let timeout = self.scope.context.settings.store.call_timeout;
-        match exchange::ask(&self.scope.context, member, request, timeout).await?.outcome {
+        match exchange::query_replica(&self.scope.context, member, request, timeout).await?.outcome {
             ReplicaAnswer::Decided { decided_through, .. } => Some(decided_through),
             _ => None,
         }
@@ -296,7 +296,7 @@
         }
         let mut members: BTreeSet<NodeId> = set.members.iter().map(|member| member.node.clone()).collect();
         for shard in self.regional_shards() {
-            let known = replica_sets::ask_stores(&self.scope.context, &shard).await;
+            let known = replica_sets::query_stores(&self.scope.context, &shard).await;
             members.extend(known.into_iter().flat_map(|set| set.members).map(|member| member.node));
         }
         for node in retired {
--- a/crates/daemon/src/metadata/relay.rs
+++ b/crates/daemon/src/metadata/relay.rs
@@ -54,7 +54,7 @@
 
     /// Returns the source to read from next.
     pub(super) fn source(&self) -> ReadSource {
-        let (rank, nodes) = order::rank_among(&Scope::main(&self.context));
+        let (rank, nodes) = order::preference_rank(&Scope::main(&self.context));
         if order::is_candidate(&Scope::main(&self.context)) {
             return ReadSource::Platform;
         }
@@ -112,7 +112,7 @@
     fn current_reader(&self) -> Option<Member> {
         let mut readers = order::first_coordinators(&Scope::main(&self.context), self.config.readers);
         readers.retain(|member| member.node != self.context.node);
-        let (rank, _) = order::rank_among(&Scope::main(&self.context));
+        let (rank, _) = order::preference_rank(&Scope::main(&self.context));
         let position = (rank + self.reader_offset).checked_rem(readers.len())?;
         Some(readers.swap_remove(position))
     }
--- a/crates/daemon/src/ownership/order.rs
+++ b/crates/daemon/src/ownership/order.rs
@@ -85,7 +85,7 @@
 
 /// This node's place among the coordinators, and how many there are. Regions don't count: those that read the
 /// platform's metadata store stand in all of them.
-pub(crate) fn rank_among(scope: &Scope) -> (usize, usize) {
+pub(crate) fn preference_rank(scope: &Scope) -> (usize, usize) {
     let own = preference(scope, &scope.context.node, scope.context.settings.machine.capacity());
     let coordinators = scope.coordinators();
     let before = coordinators.iter().filter(|member| preference_of(scope, member) > own).count();
@@ -101,11 +101,11 @@
 }
 
 /// The coordinator that should come after this node, or before it.
-pub(crate) fn best_other(scope: &Scope) -> Option<Member> {
+pub(crate) fn preferred_successor(scope: &Scope) -> Option<Member> {
     OwnerOrder::new(scope).first(&scope.context.node)
 }
 
 /// Whether this node is the first coordinator beside the owner.
-pub(crate) fn is_next(scope: &Scope, owner: &NodeId) -> bool {
+pub(crate) fn is_first_successor(scope: &Scope, owner: &NodeId) -> bool {
     OwnerOrder::new(scope).first(owner).is_some_and(|next| next.node == scope.context.node)
 }
--- a/crates/daemon/src/ownership/scope.rs
+++ b/crates/daemon/src/ownership/scope.rs
@@ -47,7 +47,7 @@
     }
 
     /// The shard of the jobs that may be kept in these regions alone.
-    pub(crate) fn within(context: &Context, regions: AllowedRegions) -> Self {
+    pub(crate) fn in_regions(context: &Context, regions: AllowedRegions) -> Self {
         let shard = regional::shard_of(&regions);
         Self { context: Arc::clone(context), shard, regions, owner: Arc::default() }
     }
@@ -98,7 +98,7 @@
     }
 
     /// Whether nothing was ever kept in this shard, by the word of the stores and of the platform.
-    pub(crate) async fn was_never_made(&self) -> bool {
+    pub(crate) async fn was_never_created(&self) -> bool {
         replica_sets::find_among_stores(&self.context, &self.shard).await.is_none()
             && replica_sets::is_unwritten(&self.context, &self.shard).await
     }
@@ -109,7 +109,7 @@
     }
 
     /// Asks a node that may own it.
-    pub(crate) async fn ask_peer(
+    pub(crate) async fn call_peer(
         &self,
         address: SocketAddr,
         request: BatchRequest,
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -71,7 +71,7 @@
     let outcome = tokio::time::timeout_at(deadline, claim_on(context, &shard, &claim)).await;
     let outcome = outcome.unwrap_or(ClaimOutcome::NoMajority);
     if outcome == ClaimOutcome::NoMajority {
-        context.replica_sets.forget(&shard);
+        context.replica_sets.remove(&shard);
     }
     let action = if outcome == ClaimOutcome::Granted { "claim_granted" } else { "claim_refused" };
     let decision = Decision::new(Component::Replication, action, outcome.reason(), request);
--- a/crates/daemon/src/store/exchange.rs
+++ b/crates/daemon/src/store/exchange.rs
@@ -25,7 +25,7 @@
 }
 
 /// Asks one replica. `None` where no answer came in time.
-pub(crate) async fn ask(
+pub(crate) async fn query_replica(
     context: &Context,
     member: &SetMember,
     request: ReplicaRequest,
@@ -35,7 +35,7 @@
 }
 
 /// Asks one replica for decided entries without the texts of events. `None` where no answer came in time.
-pub(crate) async fn ask_outline(
+pub(crate) async fn query_outline(
     context: &Context,
     member: &SetMember,
     request: ReplicaRequest,
@@ -110,7 +110,7 @@
                 tokio::time::sleep(pause).await;
             }
             let response = match member {
-                Some(member) => ask(&context, &member, request, deadline).await,
+                Some(member) => query_replica(&context, &member, request, deadline).await,
                 None => None,
             };
             // An error only says that the asker has gone.
--- a/crates/daemon/src/store/last_answer.rs
+++ b/crates/daemon/src/store/last_answer.rs
@@ -29,7 +29,7 @@
     }
 
     /// How long no store has answered.
-    pub(crate) fn silent_for(&self) -> Duration {
+    pub(crate) fn time_since_last_answer(&self) -> Duration {
         Duration::from_millis(self.now_ms().saturating_sub(self.last_ms.load(Ordering::Relaxed)))
     }
 
--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -32,15 +32,15 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RecordFormat<R> {
     /// The owner's prefix in the node's log.
-    pub(crate) part: &'static str,
+    pub(crate) log_target: &'static str,
     /// The bytes of a record; `None` leaves it out, once the failure is in the node's log.
     pub(crate) encode: fn(R) -> Option<Vec<u8>>,
 }
 
 impl RecordFormat<Vec<u8>> {
     /// Records that are encoded already.
-    pub(crate) const fn bytes(part: &'static str) -> Self {
-        Self { part, encode: Some }
+    pub(crate) const fn bytes(log_target: &'static str) -> Self {
+        Self { log_target, encode: Some }
     }
 }
 
@@ -49,7 +49,7 @@
 pub(crate) enum AppendMode {
     /// All go into one write. Those of an owner that has ended are written too, until another owner takes
     /// over: what it took is kept where it can be.
-    Gathered,
+    Batched,
     /// Each is a write of its own. Once the owner has ended, the append under way is the last.
     Single,
 }
@@ -61,7 +61,7 @@
         appends: usize,
         began: BootInstant,
         /// Whether the log should be compacted.
-        is_long: bool,
+        needs_compaction: bool,
     },
     /// The log goes on under another set of stores and the same epoch.
     Replaced(ReplicaSet),
@@ -94,8 +94,8 @@
     }
 
     /// How long no store has answered a write.
-    pub(crate) fn silent_for(&self) -> Duration {
-        self.last_answer.silent_for()
+    pub(crate) fn time_since_last_answer(&self) -> Duration {
+        self.last_answer.time_since_last_answer()
     }
 
     /// Appends records; [`Self::next`] gives the outcome.
@@ -160,10 +160,10 @@
 
     async fn replace(&mut self, replacement: Replacement) -> Result<(), ShardLogError> {
         let Replacement { leaving, joining, reason } = replacement;
-        log::info!(target: self.format.part, "Store {leaving} is replaced by {} of {}: {reason}.", joining.store, joining.node);
+        log::info!(target: self.format.log_target, "Store {leaving} is replaced by {} of {}: {reason}.", joining.store, joining.node);
         self.log.replace_member(&leaving, joining, reason).await?;
         let set = self.log.set().clone();
-        log::info!(target: self.format.part, "Generation {} of the stores is in force.", set.generation);
+        log::info!(target: self.format.log_target, "Generation {} of the stores is in force.", set.generation);
         self.report(AppendOutcome::Replaced(set));
         Ok(())
     }
@@ -174,11 +174,11 @@
         let records: Vec<Vec<u8>> = appends.into_iter().flatten().filter_map(self.format.encode).collect();
         self.held_bytes += records.iter().map(Vec::len).sum::<usize>();
         self.log.append(records).await?;
-        let is_long = self.held_bytes >= COMPACT_BYTES;
-        if is_long {
+        let needs_compaction = self.held_bytes >= COMPACT_BYTES;
+        if needs_compaction {
             self.held_bytes = 0;
         }
-        self.report(AppendOutcome::Appended { appends: count, began, is_long });
+        self.report(AppendOutcome::Appended { appends: count, began, needs_compaction });
         Ok(())
     }
 
--- a/crates/daemon/src/store/log_writer/write_queue.rs
+++ b/crates/daemon/src/store/log_writer/write_queue.rs
@@ -61,7 +61,7 @@
     /// An append together with those that wait behind it, up to a write of another kind.
     fn gather(&mut self, first: Vec<R>) -> Vec<Vec<R>> {
         let mut appends = vec![first];
-        while self.mode == AppendMode::Gathered && self.behind.is_none() {
+        while self.mode == AppendMode::Batched && self.behind.is_none() {
             match self.received.try_recv() {
                 Ok(Write::Append(records)) => appends.push(records),
                 Ok(write) => self.behind = Some(write),
--- a/crates/daemon/src/store/log_writer/write_queue/tests.rs
+++ b/crates/daemon/src/store/log_writer/write_queue/tests.rs
@@ -36,7 +36,7 @@
 
 #[tokio::test]
 async fn gathered_appends_go_into_one_write_and_nothing_overtakes() {
-    let Rig { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Gathered);
+    let Rig { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Batched);
     assert_eq!(next(&mut queue).await, Some(vec![vec![1], vec![2, 3], vec![4]]));
     assert_eq!(next(&mut queue).await, Some(Vec::new()));
     assert_eq!(next(&mut queue).await, Some(vec![vec![5]]));
@@ -54,7 +54,7 @@
 
 #[tokio::test]
 async fn what_an_ended_owner_gathered_is_written_to_the_last() {
-    let Rig { writes, outcomes, mut queue } = five_writes(AppendMode::Gathered);
+    let Rig { writes, outcomes, mut queue } = five_writes(AppendMode::Batched);
     drop((writes, outcomes));
     assert_eq!(next(&mut queue).await, Some(vec![vec![1], vec![2, 3], vec![4]]));
     assert_eq!(next(&mut queue).await, Some(Vec::new()));
--- a/crates/daemon/src/store/repair.rs
+++ b/crates/daemon/src/store/repair.rs
@@ -8,7 +8,7 @@
 use lichenpulley_core::replication::replica_set::{Generation, ReplicaSet, SetMember};
 use rand::seq::IndexedRandom;
 
-use super::exchange::ask;
+use super::exchange::query_replica;
 use super::replacement::Replacements;
 use super::worker::{Done, Work};
 use super::{Store, reconfiguration};
@@ -70,7 +70,7 @@
             store: source.store.clone(),
             operation: Operation::ReadDecided(known.next()),
         };
-        let response = ask(context, source, request, context.settings.store.call_timeout).await;
+        let response = query_replica(context, source, request, context.settings.store.call_timeout).await;
         let entries = match response.map(|response| response.outcome) {
             Some(ReplicaAnswer::Decided { entries, .. }) => entries,
             Some(ReplicaAnswer::Refused(StoreRefusal::NotInstalled))
--- a/crates/daemon/src/store/replica_set_cache.rs
+++ b/crates/daemon/src/store/replica_set_cache.rs
@@ -38,7 +38,7 @@
     }
 
     /// Forgets a set that led nowhere, so that it is looked for again.
-    pub fn forget(&self, shard: &ShardId) {
+    pub fn remove(&self, shard: &ShardId) {
         self.sets.rcu(|sets| {
             let mut sets = HashMap::clone(sets);
             sets.remove(shard);
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -66,13 +66,13 @@
     if let Some(set) = context.replica_sets.get(shard) {
         return Some(set);
     }
-    let set = ask_stores(context, shard).await?;
+    let set = query_stores(context, shard).await?;
     context.replica_sets.put(&set);
     Some(set)
 }
 
 /// The latest set that any live store knows.
-pub(crate) async fn ask_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
+pub(crate) async fn query_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
     let deadline = context.settings.store.call_timeout;
     let nodes = store_nodes(context, shard);
     let answers = nodes.iter().map(|member| {
--- a/crates/daemon/src/store/shard_log.rs
+++ b/crates/daemon/src/store/shard_log.rs
@@ -101,7 +101,7 @@
     }
 
     fn no_majority(&self) -> ShardLogError {
-        self.context.replica_sets.forget(&self.shard);
+        self.context.replica_sets.remove(&self.shard);
         ShardLogError::NoMajority {
             shard: self.shard.clone(),
             answered: self.proposer.answered(),
--- a/crates/daemon/src/store/shard_log/take_over.rs
+++ b/crates/daemon/src/store/shard_log/take_over.rs
@@ -25,7 +25,7 @@
         context: &Context,
         shard: &ShardId,
     ) -> Result<(Self, RecoveredLog), ShardLogError> {
-        Self::take_over_knowing(context, shard, KnownLog::default()).await
+        Self::take_over_from(context, shard, KnownLog::default()).await
     }
 
     /// The same for an owner that knows what is decided up to a position; recovers what follows. Where that has been
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// As for [`Self::take_over`].
-    pub(crate) async fn take_over_knowing(
+    pub(crate) async fn take_over_from(
         context: &Context,
         shard: &ShardId,
         known: KnownLog,
--- a/crates/lab/tests/replication.rs
+++ b/crates/lab/tests/replication.rs
@@ -285,7 +285,7 @@
         let (replaced, ()) = tokio::join!(replace, others_finish);
         let next = replaced.unwrap_or_else(|error| panic!("round {round}: {error}"));
         assert!(next.member(&leaving).is_none());
-        cluster.context(0).replica_sets.forget(&shard);
+        cluster.context(0).replica_sets.remove(&shard);
     }
 }
 
@@ -350,7 +350,7 @@
     let grown = async {
         while cluster.context(0).replica_sets.get(&shard).is_none_or(|set| set.members.len() < 5) {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            cluster.context(0).replica_sets.forget(&shard);
+            cluster.context(0).replica_sets.remove(&shard);
             let _ = replica_sets::find(cluster.context(0), &shard).await;
         }
     };
