--- a/crates/daemon/src/ownership/scope.rs
+++ b/crates/daemon/src/ownership/scope.rs
@@ -100,7 +100,7 @@
     /// Whether nothing was ever kept in this shard, by the word of the stores and of the platform.
     pub(crate) async fn was_never_created(&self) -> bool {
         replica_sets::find_among_stores(&self.context, &self.shard).await.is_none()
-            && replica_sets::is_unwritten(&self.context, &self.shard).await
+            && replica_sets::has_no_document(&self.context, &self.shard).await
     }
 
     /// Who owns it, as far as this node has heard.
--- a/crates/daemon/src/store/claims.rs
+++ b/crates/daemon/src/store/claims.rs
@@ -1,7 +1,7 @@
-//! Write-once claims on the ids of requests that may run at most once (brief point 6).
+//! Write-once claims on the ids of requests that may run at most once.
 //!
-//! Owns the exchange of one claim; the core's `claim_tally` decides by the votes. Only `Granted` allows a
-//! dispatch.
+//! This module collects the votes on one claim; the core's `claim_tally` decides the outcome. Only `Granted`
+//! allows a dispatch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,30 +20,28 @@
 use super::{reconfiguration, replica_sets};
 use crate::context::Context;
 
-/// Shards over which request ids are spread. Must be the same on all nodes and for the life of a
-/// deployment: with another number a claim is looked for in the wrong shard and granted twice. The number
-/// itself is chosen.
+/// Number of shards over which request ids are distributed. It must be the same on all nodes and never change
+/// in a deployment; otherwise a claim would be looked up in the wrong shard and granted twice.
 pub(crate) const CLAIM_SHARDS: u64 = 16;
-/// What the names of claim shards begin with.
+/// Prefix of the names of claim shards.
 const CLAIM_SHARD_PREFIX: &str = "claims/";
-/// Pause before a replica that gave no vote is asked again. Chosen, not measured: longer adds to the time
-/// of a request that runs at most once, shorter repeats calls to a store that is busy.
+/// Delay before a replica without a vote is asked again.
 const VOTE_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How many call timeouts a claim may last. Chosen, not measured: the caller waits that long for a refusal
-/// when no majority answers; with one, a single slow store refuses.
+/// Number of call timeouts after which a claim without a majority is refused; with one, a single slow store
+/// would refuse it.
 const CLAIM_TIMEOUTS: u32 = 2;
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// A majority granted it to this attempt: only this attempt may send the request to an engine.
+    /// A majority granted the claim to this attempt; only this attempt may send the request to an engine.
     Granted,
-    /// Another attempt holds the id, or may: this one must not send.
+    /// Another attempt holds the id or may hold it; this attempt must not send the request.
     Held,
-    /// The id's issue time is outside the window in which claims are kept: refused, since an earlier claim
-    /// may have been forgotten, or one now might never be.
+    /// The issue time of the id is outside the window in which claims are retained. The claim is refused,
+    /// since an earlier one may have been removed already, or this one might never be removed.
     Expired,
-    /// No majority answered. This attempt must not send, and nobody else can be sure either.
+    /// No majority answered. This attempt must not send the request, and the state of the claim is unknown.
     NoMajority,
 }
 
@@ -79,13 +77,13 @@
     outcome
 }
 
-/// The shard that keeps the claim on a request.
+/// Returns the shard that stores the claim on a request.
 pub fn claim_shard(request: &RequestId) -> ShardId {
     let bucket = xxh3_64(request.as_str().as_bytes()) % CLAIM_SHARDS;
     ShardId::new(format!("{CLAIM_SHARD_PREFIX}{bucket}"))
 }
 
-/// Claims in one generation after the other, until one decides or the caller's time is up.
+/// Claims in successive generations of the replica set until one decides.
 async fn claim_on(context: &Context, shard: &ShardId, claim: &ClaimRequest) -> ClaimOutcome {
     loop {
         let set = match replica_sets::find(context, shard).await {
@@ -96,8 +94,8 @@
             }
         };
         match collect_votes(context, &set, claim).await {
-            Votes::Decided(outcome) => return outcome,
-            Votes::Replaced(next) => {
+            VotingResult::Decided(outcome) => return outcome,
+            VotingResult::Replaced(next) => {
                 if reconfiguration::complete(context, &set, &next).await.is_err() {
                     return ClaimOutcome::NoMajority;
                 }
@@ -106,13 +104,13 @@
     }
 }
 
-/// How one generation voted.
-enum Votes {
+/// Result of the votes in one generation.
+enum VotingResult {
     Decided(ClaimOutcome),
     Replaced(ReplicaSet),
 }
 
-async fn collect_votes(context: &Context, set: &ReplicaSet, claim: &ClaimRequest) -> Votes {
+async fn collect_votes(context: &Context, set: &ReplicaSet, claim: &ClaimRequest) -> VotingResult {
     let mut exchange = StoreExchange::new(context.clone());
     let mut tally = ClaimTally::new(set);
     let mut operations = BTreeMap::new();
@@ -122,7 +120,7 @@
     }
     loop {
         let Some(Answer { store, response }) = exchange.next().await else {
-            return Votes::Decided(ClaimOutcome::NoMajority);
+            return VotingResult::Decided(ClaimOutcome::NoMajority);
         };
         match response.map(|response| response.outcome) {
             Some(ReplicaAnswer::Voted { vote, .. }) => tally.add(&store, &vote),
@@ -130,27 +128,30 @@
                 operations.insert(store.clone(), Operation::Claim(claim.clone()));
                 send(&exchange, set, &store, &operations);
             }
-            Some(ReplicaAnswer::Refused(StoreRefusal::SealedFor { next })) => return Votes::Replaced(next),
+            Some(ReplicaAnswer::Refused(StoreRefusal::SealedFor { next })) => {
+                return VotingResult::Replaced(next);
+            }
             Some(ReplicaAnswer::Refused(StoreRefusal::NewerGeneration { current })) => {
-                return Votes::Replaced(current);
+                return VotingResult::Replaced(current);
             }
-            Some(ReplicaAnswer::Refused(StoreRefusal::NotInstalled)) if may_begin(set, &tally) => {
+            Some(ReplicaAnswer::Refused(StoreRefusal::NotInstalled)) if can_begin(set, &tally) => {
                 operations.insert(store.clone(), Operation::Begin(set.clone()));
                 send(&exchange, set, &store, &operations);
             }
             _ => send_after(VOTE_RETRY_PAUSE, &exchange, set, &store, &operations),
         }
         match tally.result() {
-            TallyResult::Granted => return Votes::Decided(ClaimOutcome::Granted),
-            TallyResult::Held => return Votes::Decided(ClaimOutcome::Held),
-            TallyResult::OutsideWindow => return Votes::Decided(ClaimOutcome::Expired),
+            TallyResult::Granted => return VotingResult::Decided(ClaimOutcome::Granted),
+            TallyResult::Held => return VotingResult::Decided(ClaimOutcome::Held),
+            TallyResult::OutsideWindow => return VotingResult::Decided(ClaimOutcome::Expired),
             TallyResult::Pending => {}
         }
     }
 }
 
-/// Members of a later generation may begin only once a majority takes part in it.
-fn may_begin(set: &ReplicaSet, tally: &ClaimTally) -> bool {
+/// Returns whether members without a replica may create one. Members of a later generation may do so only
+/// after a majority of the set has voted.
+fn can_begin(set: &ReplicaSet, tally: &ClaimTally) -> bool {
     set.generation == Generation::FIRST || tally.answered() >= set.majority()
 }
 
--- a/crates/daemon/src/store/disk.rs
+++ b/crates/daemon/src/store/disk.rs
@@ -1,7 +1,8 @@
-//! The store's file: opens it, knows whose it is, and runs transactions on it.
+//! Store file: opens it, checks its identity and runs transactions on it.
 //!
-//! `redb` keeps the file consistent: a transaction is there whole or not at all after a crash, and pages carry
-//! checksums. A store that finds no file draws a new id: it is a new store, whatever was there before.
+//! `redb` keeps the file consistent: after a crash a transaction is either complete or absent, and pages have
+//! checksums. A store without a file generates a new id and is a new store, even on a node that had one
+//! before.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -12,24 +13,23 @@
 use super::error::{DiskError, StoreError};
 use super::transaction::Transaction;
 
-/// The store's file under its data folder.
+/// Name of the store file in the data folder.
 pub(crate) const FILE_NAME: &str = "replicas.redb";
-/// The file's name until it is whole.
+/// Name of the file until it is completely written.
 const UNFINISHED_NAME: &str = "replicas.redb.new";
-/// The format that this release writes.
-const FORMAT: u64 = 2;
-/// Memory for pages read from the file, in bytes. Chosen, not measured: more costs memory on small
-/// machines, less costs reads of the file.
+/// Format version that this release reads and writes.
+const FORMAT_VERSION: u64 = 2;
+/// Size of the page cache, in bytes.
 const CACHE_BYTES: usize = 4 << 20;
-/// What a file system puts into an empty volume.
-const VOLUME_FOLDER: &str = "lost+found";
+/// Folder that some file systems create in an empty volume.
+const LOST_AND_FOUND: &str = "lost+found";
 
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
 const NAMES: TableDefinition<&str, &str> = TableDefinition::new("names");
 const FORMAT_KEY: &str = "format";
 const STORE_KEY: &str = "store";
 
-/// An open store file.
+/// Open store file.
 pub(super) struct Disk {
     path: PathBuf,
     database: Database,
@@ -38,14 +38,14 @@
 }
 
 impl Disk {
-    /// Opens the store in a folder, or makes one where the folder is empty.
+    /// Opens the store file in a folder, or creates it if the folder is empty.
     pub(super) fn open(folder: &Path, capacity_bytes: u64) -> Result<Self, StoreError> {
         let folder_error = |source| StoreError::Folder { folder: folder.to_owned(), source };
         fs::create_dir_all(folder).map_err(folder_error)?;
         let path = folder.join(FILE_NAME);
         let is_new = !path.try_exists().map_err(folder_error)?;
         if is_new {
-            refuse_foreign_files(folder)?;
+            reject_foreign_files(folder)?;
             create_file(folder, &path)?;
         }
         let database = Database::builder().set_cache_size(CACHE_BYTES).open(&path);
@@ -53,25 +53,29 @@
         Self::from_database(database, path, capacity_bytes)
     }
 
-    /// Takes an open file that has its identity.
+    /// Wraps an open database after checking its format and reading its id.
     fn from_database(database: Database, path: PathBuf, capacity_bytes: u64) -> Result<Self, StoreError> {
         let folder = path.parent().unwrap_or(&path);
         let damaged =
             |error: DiskError| StoreError::Damaged { folder: folder.to_owned(), reason: error.to_string() };
         let (format, store) = read_identity(&database).map_err(damaged)?;
-        if format != FORMAT {
-            return Err(StoreError::Format { folder: folder.to_owned(), found: format, readable: FORMAT });
+        if format != FORMAT_VERSION {
+            return Err(StoreError::Format {
+                folder: folder.to_owned(),
+                found: format,
+                readable: FORMAT_VERSION,
+            });
         }
         Ok(Self { path, database, store, capacity_bytes })
     }
 
-    /// The store that the file belongs to.
+    /// Returns the id of the store that the file belongs to.
     pub(super) fn store(&self) -> &StoreId {
         &self.store
     }
 
-    /// Runs `work` in a transaction. When it returns well, everything it wrote is on disk; otherwise nothing
-    /// is.
+    /// Runs `work` in a transaction. If it returns `Ok`, all its writes are on disk; otherwise none are
+    /// applied.
     pub(super) fn transact<T>(
         &self,
         work: impl FnOnce(&mut Transaction<'_>) -> Result<T, DiskError>,
@@ -89,7 +93,7 @@
         Ok(result)
     }
 
-    /// Opens the file again after the disk failed: the library refuses to go on with what it had in memory.
+    /// Reopens the file after a disk error, since `redb` refuses further transactions on the open database.
     pub(super) fn reopen(self) -> Result<Self, StoreError> {
         let Self { path, database, store, capacity_bytes } = self;
         drop(database);
@@ -100,8 +104,8 @@
     }
 }
 
-/// Makes the store's file under another name and renames it once it is whole, so that a first start that
-/// stopped halfway is simply begun again.
+/// Creates the store file under a temporary name and renames it once complete, so that an interrupted first
+/// start can be repeated.
 fn create_file(folder: &Path, path: &Path) -> Result<(), StoreError> {
     let folder_error = |source| StoreError::Folder { folder: folder.to_owned(), source };
     let unfinished = folder.join(UNFINISHED_NAME);
@@ -113,7 +117,7 @@
     written.map_err(|error| StoreError::Damaged { folder: folder.to_owned(), reason: error.to_string() })?;
     drop(database);
     fs::rename(&unfinished, path).map_err(folder_error)?;
-    // The file's name must last as long as its content.
+    // The rename must be durable as well.
     File::open(folder).and_then(|folder| folder.sync_all()).map_err(folder_error)
 }
 
@@ -131,11 +135,11 @@
     }
 }
 
-fn refuse_foreign_files(folder: &Path) -> Result<(), StoreError> {
+fn reject_foreign_files(folder: &Path) -> Result<(), StoreError> {
     let folder_error = |source| StoreError::Folder { folder: folder.to_owned(), source };
     for entry in fs::read_dir(folder).map_err(folder_error)? {
         let name = entry.map_err(folder_error)?.file_name();
-        if name != VOLUME_FOLDER && name != UNFINISHED_NAME {
+        if name != LOST_AND_FOUND && name != UNFINISHED_NAME {
             let found = name.to_string_lossy().into_owned();
             return Err(StoreError::Foreign { folder: folder.to_owned(), found });
         }
@@ -147,7 +151,7 @@
     let write = database.begin_write()?;
     {
         let store = format!("{:032x}", rand::random::<u128>());
-        write.open_table(NUMBERS)?.insert(FORMAT_KEY, FORMAT)?;
+        write.open_table(NUMBERS)?.insert(FORMAT_KEY, FORMAT_VERSION)?;
         write.open_table(NAMES)?.insert(STORE_KEY, store.as_str())?;
         Transaction::create_tables(&write)?;
     }
--- a/crates/daemon/src/store/disk/tests.rs
+++ b/crates/daemon/src/store/disk/tests.rs
@@ -1,4 +1,4 @@
-//! The store's file under crashes at every write, torn tails, damage and full disks.
+//! Tests that the store file survives crashes at any write and detects truncation, damage and full disks.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -14,9 +14,10 @@
 const CAPACITY_BYTES: u64 = 1 << 20;
 const ENTRIES: u64 = 4;
 
-/// A file whose cached writes are lost at a crash, the last of them halfway.
+/// File that loses its cached writes at a crash and writes only half of the operation that the crash
+/// interrupts.
 #[derive(Clone, Debug, Default)]
-struct FragileFile {
+struct CrashingFile {
     state: Arc<Mutex<FileState>>,
 }
 
@@ -25,14 +26,14 @@
     cached: Vec<u8>,
     synced: Vec<u8>,
     operations: u64,
-    /// The operation that the crash falls on.
+    /// Number of the operation at which the crash occurs.
     crash_at: Option<u64>,
-    /// Bytes that the disk holds at most.
-    room: Option<u64>,
+    /// Maximum file size, in bytes.
+    max_bytes: Option<u64>,
 }
 
 impl FileState {
-    /// Counts an operation; fails from the crash on.
+    /// Counts an operation; returns an error from the crash on.
     fn operation(&mut self) -> io::Result<()> {
         self.operations += 1;
         match self.crash_at {
@@ -42,7 +43,7 @@
     }
 }
 
-impl StorageBackend for FragileFile {
+impl StorageBackend for CrashingFile {
     fn len(&self) -> io::Result<u64> {
         Ok(self.state.lock().expect("no panic inside").cached.len() as u64)
     }
@@ -60,7 +61,7 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut state = self.state.lock().expect("no panic inside");
         state.operation()?;
-        if state.room.is_some_and(|room| len > room) {
+        if state.max_bytes.is_some_and(|max_bytes| len > max_bytes) {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
         state.cached.resize(usize::try_from(len).expect("a small file"), 0);
@@ -94,11 +95,11 @@
     Entry { epoch: Epoch(1), payload: Payload::Record { origin: Epoch(1), bytes: vec![index as u8; 300] } }
 }
 
-fn open(file: &FragileFile, is_new: bool) -> Result<Disk, StoreError> {
+fn open(file: &CrashingFile, is_new: bool) -> Result<Disk, StoreError> {
     let database = Database::builder().create_with_backend(file.clone());
     let database = database.map_err(|error| open_error(Path::new("memory"), error))?;
     if is_new {
-        write_identity(&database).expect("room");
+        write_identity(&database).expect("enough space");
     }
     Disk::from_database(database, PathBuf::from("memory"), CAPACITY_BYTES)
 }
@@ -112,9 +113,9 @@
     last.expect("readable").0
 }
 
-/// Writes entries until a crash falls on an operation; gives how many were acknowledged, and the file.
-fn write_until_crash(crash_after: u64) -> (u64, FragileFile) {
-    let file = FragileFile::default();
+/// Writes entries until the crash; returns the number of acknowledged entries and the file.
+fn write_until_crash(crash_after: u64) -> (u64, CrashingFile) {
+    let file = CrashingFile::default();
     let disk = open(&file, true).expect("a new file");
     {
         let mut state = file.state.lock().expect("no panic inside");
@@ -126,11 +127,11 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_a_crash_at_every_operation() {
+fn acknowledged_entries_survive_a_crash_at_any_operation() {
     let mut crashed = 0;
     for crash_after in (1..80).step_by(5) {
         let (acknowledged, file) = write_until_crash(crash_after);
-        // The crash loses what was not synced, or keeps some of it: both must open.
+        // A crash may lose unsynced writes or keep some of them; the file must open in both cases.
         for keeps_cached in [false, true] {
             let mut state = FileState::default();
             {
@@ -138,24 +139,24 @@
                 state.cached = if keeps_cached { old.cached.clone() } else { old.synced.clone() };
                 state.synced = state.cached.clone();
             }
-            let disk = open(&FragileFile { state: Arc::new(Mutex::new(state)) }, false).expect("opens");
+            let disk = open(&CrashingFile { state: Arc::new(Mutex::new(state)) }, false).expect("opens");
             let found = last_index(&disk);
             assert!(found >= acknowledged, "{found} of {acknowledged} after operation {crash_after}");
             assert!(found <= acknowledged + 1);
         }
         crashed += u64::from(acknowledged < ENTRIES);
     }
-    assert!(crashed > 0, "the crashes must fall into the writes");
+    assert!(crashed > 0, "some crashes must interrupt the writes");
 }
 
 #[test]
-fn a_disk_without_room_refuses_and_keeps_what_it_has() {
-    let file = FragileFile::default();
+fn a_full_disk_rejects_writes_and_keeps_existing_entries() {
+    let file = CrashingFile::default();
     let disk = open(&file, true).expect("a new file");
-    put(&disk, 1).expect("room");
+    put(&disk, 1).expect("enough space");
     {
         let mut state = file.state.lock().expect("no panic inside");
-        state.room = Some(state.cached.len() as u64);
+        state.max_bytes = Some(state.cached.len() as u64);
     }
     let mut index = 2;
     let error = loop {
@@ -172,10 +173,10 @@
 }
 
 #[test]
-fn a_file_that_is_cut_short_is_refused() {
+fn a_truncated_file_is_rejected() {
     let folder = TempDir::new().expect("a folder");
     let disk = Disk::open(folder.path(), CAPACITY_BYTES).expect("a new store");
-    put(&disk, 1).expect("room");
+    put(&disk, 1).expect("enough space");
     drop(disk);
     let path = folder.path().join(FILE_NAME);
     let file = File::options().write(true).open(&path).expect("the file");
@@ -185,10 +186,10 @@
 }
 
 #[test]
-fn a_record_that_changed_on_the_disk_is_not_believed() {
+fn a_corrupted_record_is_reported_as_damaged() {
     let folder = TempDir::new().expect("a folder");
     let disk = Disk::open(folder.path(), CAPACITY_BYTES).expect("a new store");
-    put(&disk, 7).expect("room");
+    put(&disk, 7).expect("enough space");
     drop(disk);
     let path = folder.path().join(FILE_NAME);
     let mut bytes = fs::read(&path).expect("the file");
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn a_folder_of_something_else_is_refused() {
+fn a_folder_with_foreign_files_is_rejected() {
     let folder = TempDir::new().expect("a folder");
     fs::write(folder.path().join("photos.zip"), b"...").expect("written");
     let refused = Disk::open(folder.path(), CAPACITY_BYTES);
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_folder_in_use_is_refused() {
+fn a_folder_in_use_is_rejected() {
     let folder = TempDir::new().expect("a folder");
     let _disk = Disk::open(folder.path(), CAPACITY_BYTES).expect("a new store");
     let refused = Disk::open(folder.path(), CAPACITY_BYTES);
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn a_store_keeps_its_id_and_an_empty_folder_draws_a_new_one() {
+fn a_store_keeps_its_id_and_an_empty_folder_gets_a_new_one() {
     let folder = TempDir::new().expect("a folder");
     let first = Disk::open(folder.path(), CAPACITY_BYTES).expect("a new store").store().clone();
     let again = Disk::open(folder.path(), CAPACITY_BYTES).expect("the same store").store().clone();
@@ -229,21 +230,21 @@
 }
 
 #[test]
-fn a_first_start_that_stopped_halfway_is_begun_again() {
+fn an_interrupted_first_start_is_repeated() {
     let folder = TempDir::new().expect("a folder");
     fs::write(folder.path().join(UNFINISHED_NAME), b"half a file").expect("written");
     let disk = Disk::open(folder.path(), CAPACITY_BYTES).expect("a new store");
-    put(&disk, 1).expect("room");
+    put(&disk, 1).expect("enough space");
 }
 
 #[test]
-fn limits_count_what_is_kept() {
+fn free_bytes_account_for_stored_entries() {
     let folder = TempDir::new().expect("a folder");
     let disk = Disk::open(folder.path(), 4_000).expect("a new store");
     let (free, has_room) =
         disk.transact(|disk| Ok((disk.free_bytes(), disk.has_room(4_000)))).expect("readable");
     assert_eq!((free, has_room), (3_000, true));
-    put(&disk, 1).expect("room");
+    put(&disk, 1).expect("enough space");
     let used = entry(1).cost() as u64;
     let (free, has_room) =
         disk.transact(|disk| Ok((disk.free_bytes(), disk.has_room(4_000)))).expect("readable");
--- a/crates/daemon/src/store/error.rs
+++ b/crates/daemon/src/store/error.rs
@@ -1,71 +1,73 @@
-//! Why a store can't start or can't use its disk.
+//! Errors of opening and using the store file.
 //!
-//! Each error names its remedy; errors of the database are sorted into full, damaged and failed.
+//! Each message names the remedy. Database errors are classified as full, damaged or failed.
 
 use std::path::PathBuf;
 
-/// Why a store did not start.
+/// Error returned when a store fails to start.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The data folder can't be made or read.
-    #[error("data folder {folder}: {source}; make it a folder that this process can read and write")]
+    /// The data folder can't be created or read.
+    #[error("data folder {folder}: {source}; give this process read and write access to it")]
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The data folder holds files of something else.
+    /// The data folder contains files that don't belong to a store.
     #[error("data folder {folder} holds {found}, which is not ours; name an empty folder")]
     Foreign {
         /// The folder.
         folder: PathBuf,
-        /// A file found in it.
+        /// Name of such a file.
         found: String,
     },
     /// Another process has the folder open.
-    #[error("data folder {folder} is in use; stop the other process or name another folder")]
+    #[error("data folder {folder} is in use; stop the other process or configure another folder")]
     InUse {
         /// The folder.
         folder: PathBuf,
     },
-    /// The file was written by a release that this one can't read.
+    /// The file has a format version that this release can't read.
     #[error("data folder {folder} has format {found}, this release reads {readable}; run a matching release")]
     Format {
         /// The folder.
         folder: PathBuf,
-        /// The format found.
+        /// Format version of the file.
         found: u64,
-        /// The format that this release reads.
+        /// Format version that this release reads.
         readable: u64,
     },
-    /// The file is torn or damaged beyond what its checksums can mend.
-    #[error("data folder {folder} is damaged: {reason}; empty it, and the store joins as a new one")]
+    /// The file is truncated or damaged beyond recovery.
+    #[error(
+        "data folder {folder} is damaged: {reason}; empty the folder so that the store joins with a new id"
+    )]
     Damaged {
         /// The folder.
         folder: PathBuf,
-        /// What was found.
+        /// Description of the damage.
         reason: String,
     },
     /// The settings for claims contradict each other.
     #[error(transparent)]
     ClaimWindow(#[from] lichenpulley_core::replication::claims::ClaimWindowError),
-    /// The system gave no thread.
-    #[error("no thread for the store: {0}; raise the limit of threads")]
+    /// The store thread can't be started.
+    #[error("failed to start the store thread: {0}; raise the thread limit")]
     Thread(std::io::Error),
 }
 
-/// Why a transaction could not be done. It left nothing behind.
+/// Error of a transaction. A failed transaction has no effect.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The disk has no room.
+    /// The disk is full.
     #[error("the disk is full; free space under the data folder")]
     Full,
-    /// What is on the disk can't be read.
+    /// Stored data can't be read.
     #[error("the store's state is damaged: {0}; replace the store")]
     Damaged(String),
-    /// The disk failed.
-    #[error("the disk failed: {0}; replace the store if it goes on")]
+    /// The disk or the database returned another error.
+    #[error("the disk failed: {0}; replace the store if the error persists")]
     Failed(String),
 }
 
--- a/crates/daemon/src/store/exchange.rs
+++ b/crates/daemon/src/store/exchange.rs
@@ -1,7 +1,6 @@
-//! Carries requests to store replicas and their answers back, each in a task of its own.
+//! Sends requests to store replicas and receives their answers, each in a separate task.
 //!
-//! Relies on the peers' connections and on the members' addresses in the cluster view; it decides nothing and
-//! repeats nothing.
+//! Addresses come from the cluster view. Requests are sent once; callers decide on retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +12,18 @@
 
 use crate::context::Context;
 
-/// Answers that may wait to be taken. Chosen, not measured: above the members of two sets, so that a task
-/// that answers does not wait.
+/// Capacity of the answer channel; above the members of two replica sets, so that sending tasks don't block.
 const ANSWERS_LIMIT: usize = 64;
 
-/// Where a member answers: where the cluster sees its node, or else where it was when the set was made.
-pub(super) fn address_of(context: &Context, member: &SetMember) -> Option<SocketAddr> {
+/// Returns the peer address of a member: the one in the cluster view, or else the one recorded in the replica
+/// set.
+pub(super) fn member_address(context: &Context, member: &SetMember) -> Option<SocketAddr> {
     let cluster = context.cluster.load();
     let seen = cluster.member(&member.node).map(|seen| seen.peer_address);
     seen.or_else(|| member.address.parse().ok())
 }
 
-/// Asks one replica. `None` where no answer came in time.
+/// Sends a request to one replica; returns `None` if no answer arrives in time.
 pub(crate) async fn query_replica(
     context: &Context,
     member: &SetMember,
@@ -34,7 +33,8 @@
     send(context, member, StoreRequest::Replica(Box::new(request)), deadline).await
 }
 
-/// Asks one replica for decided entries without the texts of events. `None` where no answer came in time.
+/// Reads decided entries without the texts of events from one replica; returns `None` if no answer arrives in
+/// time.
 pub(crate) async fn query_outline(
     context: &Context,
     member: &SetMember,
@@ -50,7 +50,7 @@
     request: StoreRequest,
     deadline: Duration,
 ) -> Option<ReplicaResponse> {
-    let address = address_of(context, member)?;
+    let address = member_address(context, member)?;
     match context.peers.store(address, request, deadline).await {
         Ok(StoreResponse::Replica(response)) => Some(*response),
         Ok(_) => None,
@@ -61,15 +61,15 @@
     }
 }
 
-/// An answer, or that there was none.
+/// Result of a request: an answer, or none in time.
 pub(super) struct Answer {
-    /// Who was asked.
+    /// Store that was asked.
     pub(super) store: StoreId,
-    /// What it answered.
+    /// Its answer, if one arrived.
     pub(super) response: Option<ReplicaResponse>,
 }
 
-/// Requests on their way, each in a task of its own, so that a slow replica holds up no other.
+/// Requests in flight. Each runs in a separate task, so that a slow replica delays no other.
 pub(super) struct StoreExchange {
     context: Context,
     deadline: Duration,
@@ -83,7 +83,7 @@
         Self::with_deadline(context, deadline)
     }
 
-    /// The same, where answers may take so long.
+    /// Creates an exchange with the given deadline for answers.
     pub(super) fn with_deadline(context: Context, deadline: Duration) -> Self {
         let (sender, answers) = mpsc::channel(ANSWERS_LIMIT);
         Self { context, deadline, sender, answers }
@@ -94,7 +94,7 @@
         self.send_after(Duration::ZERO, sets, to, request);
     }
 
-    /// Sends a request after a pause.
+    /// Sends a request after a delay.
     pub(super) fn send_after(
         &self,
         pause: Duration,
@@ -113,12 +113,12 @@
                 Some(member) => query_replica(&context, &member, request, deadline).await,
                 None => None,
             };
-            // An error only says that the asker has gone.
+            // Fails only if the exchange has been dropped.
             let _ = sender.send(Answer { store, response }).await;
         });
     }
 
-    /// The next answer.
+    /// Waits for the next answer.
     pub(super) async fn next(&mut self) -> Option<Answer> {
         self.answers.recv().await
     }
--- a/crates/daemon/src/store/last_answer.rs
+++ b/crates/daemon/src/store/last_answer.rs
@@ -1,7 +1,7 @@
-//! When a store of a shard last answered, shared by the tasks of the shard's owner.
+//! Time of the last answer from any store of a shard, shared by the tasks of the shard's owner.
 //!
-//! The log records each answer; the owner's watch for being cut off reads how long there was none. Times are this node's
-//! own steady clock, in milliseconds since the clock was made.
+//! The shard log records each answer, and the owner's cut-off monitor reads the time since. Times are read
+//! from this node's monotonic clock, in milliseconds since the value was created.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use lichenpulley_core::time::whole_millis;
 use tokio::time::Instant;
 
-/// The time of the last answer. Cheap to clone; all clones share it.
+/// Time of the last answer. Cheap to clone; all clones share the value.
 #[derive(Clone, Debug)]
 pub struct LastAnswer {
     origin: Instant,
@@ -18,17 +18,17 @@
 }
 
 impl LastAnswer {
-    /// Counts from now on, as if a store had just answered.
+    /// Starts at the current time, as if a store had just answered.
     pub fn start() -> Self {
         Self { origin: Instant::now(), last_ms: Arc::default() }
     }
 
-    /// A store answered.
+    /// Records that a store has just answered.
     pub fn record(&self) {
         self.last_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// How long no store has answered.
+    /// Returns the time since a store last answered.
     pub(crate) fn time_since_last_answer(&self) -> Duration {
         Duration::from_millis(self.now_ms().saturating_sub(self.last_ms.load(Ordering::Relaxed)))
     }
--- a/crates/daemon/src/store/leaders.rs
+++ b/crates/daemon/src/store/leaders.rs
@@ -1,7 +1,7 @@
-//! Who leads each shard, as this store sees it from what it answered to proposers and from heartbeats.
+//! Leader of each shard as seen by this store, from its answers to proposers and from heartbeats.
 //!
-//! Candidates ask for it to decide whether an owner is still at work. Times are of this process's steady clock; after a
-//! restart an owner counts as active since then.
+//! Candidates query it to decide whether an owner is active. Times are read from the monotonic clock of this
+//! process; after a restart an owner counts as active since the start.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -12,14 +12,14 @@
 use lichenpulley_protocol::internal::StoreResponse;
 use lichenpulley_protocol::internal::store::Leadership;
 
-use super::worker::Done;
+use super::worker::WorkResult;
 use lichenpulley_core::time::whole_millis;
 
-/// Who leads each shard, and when it last appended or read here or sent a heartbeat. Kept in memory, so that asking needs no
-/// disk: an owner that takes over reads a long log for a while.
+/// Leader of each shard and the time of its last append, read or heartbeat. Kept in memory, so that queries
+/// need no disk access while a takeover reads a long log.
 pub(super) struct Leaders {
     pub(super) started_at: Instant,
-    known: HashMap<ShardId, Leader>,
+    by_shard: HashMap<ShardId, Leader>,
 }
 
 struct Leader {
@@ -29,12 +29,12 @@
 
 impl Leaders {
     pub(super) fn new() -> Self {
-        Self { started_at: Instant::now(), known: HashMap::new() }
+        Self { started_at: Instant::now(), by_shard: HashMap::new() }
     }
 
-    /// Learns from what was answered to a proposer.
-    pub(super) fn learn(&mut self, done: &Done) {
-        let Done::Response(StoreResponse::Replica(response)) = done else { return };
+    /// Records the leader from an answer to a proposer.
+    pub(super) fn record_answer(&mut self, done: &WorkResult) {
+        let WorkResult::Response(StoreResponse::Replica(response)) = done else { return };
         let (ReplicaAnswer::Promised { ballot, .. }
         | ReplicaAnswer::Entries { ballot, .. }
         | ReplicaAnswer::Accepted { ballot, .. }) = &response.outcome
@@ -42,18 +42,18 @@
             return;
         };
         let leader = Leader { ballot: ballot.clone(), active_at: Instant::now() };
-        self.known.insert(response.shard.clone(), leader);
+        self.by_shard.insert(response.shard.clone(), leader);
     }
 
-    /// The leader says that it is at work. One that was superseded here is not believed.
-    pub(super) fn alive(&mut self, shard: &ShardId, ballot: &Ballot) {
-        if let Some(leader) = self.known.get_mut(shard).filter(|leader| &leader.ballot == ballot) {
+    /// Records a heartbeat; ignores it if the ballot is not that of the current leader.
+    pub(super) fn record_heartbeat(&mut self, shard: &ShardId, ballot: &Ballot) {
+        if let Some(leader) = self.by_shard.get_mut(shard).filter(|leader| &leader.ballot == ballot) {
             leader.active_at = Instant::now();
         }
     }
 
     pub(super) fn get(&self, shard: &ShardId) -> Option<Leadership> {
-        let leader = self.known.get(shard)?;
+        let leader = self.by_shard.get(shard)?;
         Some(leadership(&leader.ballot, leader.active_at))
     }
 }
--- a/crates/daemon/src/store/leaders/tests.rs
+++ b/crates/daemon/src/store/leaders/tests.rs
@@ -1,4 +1,4 @@
-//! Who is seen to lead.
+//! Tests which leader a store reports and when it counts as active.
 
 use std::time::Duration;
 
@@ -18,38 +18,38 @@
     ShardId::new("batch/main")
 }
 
-fn entries_read_under(ballot: Ballot) -> Done {
+fn entries_read_under(ballot: Ballot) -> WorkResult {
     let (from, through) = (LogIndex(1), LogIndex(1));
     let outcome = ReplicaAnswer::Entries { ballot, from, through, entries: Vec::new() };
     let (generation, store) = (Generation::FIRST, StoreId::new("a"));
     let response = ReplicaResponse { shard: shard(), generation, store, outcome };
-    Done::Response(StoreResponse::Replica(Box::new(response)))
+    WorkResult::Response(StoreResponse::Replica(Box::new(response)))
 }
 
 fn active_at(leaders: &Leaders) -> Option<Instant> {
-    leaders.known.get(&shard()).map(|leader| leader.active_at)
+    leaders.by_shard.get(&shard()).map(|leader| leader.active_at)
 }
 
 #[test]
-fn a_leader_that_shows_life_is_active_though_it_appends_nothing() {
+fn a_heartbeat_keeps_a_leader_active_without_appends() {
     let mut leaders = Leaders::new();
-    leaders.learn(&entries_read_under(ballot(3)));
+    leaders.record_answer(&entries_read_under(ballot(3)));
     let before = active_at(&leaders);
     std::thread::sleep(Duration::from_millis(2));
-    leaders.alive(&shard(), &ballot(3));
+    leaders.record_heartbeat(&shard(), &ballot(3));
     assert!(active_at(&leaders) > before);
 }
 
 #[test]
-fn one_that_was_superseded_here_or_never_promised_is_not_believed() {
+fn heartbeats_under_a_superseded_or_unknown_ballot_are_ignored() {
     let mut leaders = Leaders::new();
-    leaders.alive(&shard(), &ballot(3));
+    leaders.record_heartbeat(&shard(), &ballot(3));
     assert!(leaders.get(&shard()).is_none());
-    leaders.learn(&entries_read_under(ballot(3)));
+    leaders.record_answer(&entries_read_under(ballot(3)));
     let before = active_at(&leaders);
     std::thread::sleep(Duration::from_millis(2));
-    leaders.alive(&shard(), &ballot(2));
-    leaders.alive(&shard(), &ballot(4));
+    leaders.record_heartbeat(&shard(), &ballot(2));
+    leaders.record_heartbeat(&shard(), &ballot(4));
     assert_eq!(active_at(&leaders), before);
     assert_eq!(leaders.get(&shard()).map(|known| known.epoch), Some(Epoch(3)));
 }
--- a/crates/daemon/src/store/log_writer.rs
+++ b/crates/daemon/src/store/log_writer.rs
@@ -1,8 +1,7 @@
-//! Appends to a shard's log in a task of its own, so that the shard's owner goes on meanwhile.
+//! Appends to a shard's log in a separate task, so that the shard's owner can continue meanwhile.
 //!
-//! Owns the log from the takeover until its owner ends or a write fails. What becomes of appends that wait is
-//! the owner's [`AppendMode`]. Relies on [`ShardLog`] for the majority; the owner learns of each write by an
-//! [`AppendOutcome`].
+//! The task owns the log from the takeover until its owner ends or a write fails; [`AppendMode`] decides how
+//! queued appends are written. The owner receives the result of each write as an [`AppendOutcome`].
 
 mod write_queue;
 
@@ -16,60 +15,61 @@
 use crate::boot_clock::{BootClock, BootInstant};
 use write_queue::{Write, WriteQueue, WriteStep};
 
-/// An owner is asked to compact its log once so many bytes were appended after the last snapshot. Nothing
-/// else is decided while a snapshot is written, so that the owner is not confirmed meanwhile: it should come
-/// seldom, and before a small disk is full. Chosen, not measured.
+/// Bytes appended after the last snapshot at which the owner is asked to compact its log. An owner is not
+/// confirmed while it writes a snapshot, so compaction should be rare, but must come before a small disk is
+/// full.
 const COMPACT_BYTES: usize = 96 << 20;
 
-/// A member of the stores that is to be replaced.
+/// Replacement of a member of the replica set by another store.
 pub(crate) struct Replacement {
     pub(crate) leaving: StoreId,
     pub(crate) joining: SetMember,
     pub(crate) reason: &'static str,
 }
 
-/// How an owner's records become bytes of the log.
+/// Encoding of an owner's records in the log.
 #[derive(Clone, Copy)]
 pub(crate) struct RecordFormat<R> {
-    /// The owner's prefix in the node's log.
+    /// Log target of the owner.
     pub(crate) log_target: &'static str,
-    /// The bytes of a record; `None` leaves it out, once the failure is in the node's log.
+    /// Encodes a record. `None` skips the record; the encoder logs the failure.
     pub(crate) encode: fn(R) -> Option<Vec<u8>>,
 }
 
 impl RecordFormat<Vec<u8>> {
-    /// Records that are encoded already.
+    /// Format for records that are already encoded.
     pub(crate) const fn bytes(log_target: &'static str) -> Self {
         Self { log_target, encode: Some }
     }
 }
 
-/// What becomes of appends that wait for the one under way.
+/// How appends are written that are queued while another one is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AppendMode {
-    /// All go into one write. Those of an owner that has ended are written too, until another owner takes
-    /// over: what it took is kept where it can be.
+    /// All queued appends go into one write. Those of an owner that has ended are still written, until
+    /// another owner takes over, so that accepted work is committed where possible.
     Batched,
-    /// Each is a write of its own. Once the owner has ended, the append under way is the last.
+    /// Each append is a separate write. Once the owner has ended, no further append begins.
     Single,
 }
 
-/// What came of writes.
+/// Result of one or more writes.
 pub(crate) enum AppendOutcome {
-    /// So many appends are kept by a majority; the first of them was begun at `began`.
+    /// This number of appends is committed; the first of them was started at `began`.
     Appended {
         appends: usize,
         began: BootInstant,
         /// Whether the log should be compacted.
         needs_compaction: bool,
     },
-    /// The log goes on under another set of stores and the same epoch.
+    /// The log continues in another replica set under the same epoch.
     Replaced(ReplicaSet),
-    /// The log can't be used any more; nothing further is written.
+    /// The log is unusable; nothing more is written.
     Failed(ShardLogError),
 }
 
-/// Writes in the order of the calls; ends at the first failure, or when dropped as its [`AppendMode`] says.
+/// Handle of the writer task. Writes are done in the order of the calls until the first failure. After the
+/// handle is dropped, queued appends are treated according to [`AppendMode`].
 pub(crate) struct LogWriter<R> {
     writes: mpsc::UnboundedSender<Write<R>>,
     outcomes: mpsc::UnboundedReceiver<AppendOutcome>,
@@ -77,48 +77,48 @@
 }
 
 impl<R: Send + 'static> LogWriter<R> {
-    /// Starts to write to a log that has been taken over and holds so many bytes.
+    /// Starts the writer of a log that has been taken over and holds `log_bytes` bytes.
     pub(crate) fn start(
         log: ShardLog,
         format: RecordFormat<R>,
         mode: AppendMode,
-        held_bytes: usize,
+        log_bytes: usize,
         clock: BootClock,
     ) -> Self {
         let (writes, received) = mpsc::unbounded_channel();
         let (sender, outcomes) = mpsc::unbounded_channel();
         let last_answer = log.last_answer();
         let queue = WriteQueue::new(mode, received, sender.clone());
-        tokio::spawn(Task { log, format, queue, sender, held_bytes, clock }.run());
+        tokio::spawn(WriterTask { log, format, queue, sender, log_bytes, clock }.run());
         Self { writes, outcomes, last_answer }
     }
 
-    /// How long no store has answered a write.
+    /// Returns the time since a store last answered.
     pub(crate) fn time_since_last_answer(&self) -> Duration {
         self.last_answer.time_since_last_answer()
     }
 
-    /// Appends records; [`Self::next`] gives the outcome.
+    /// Appends records; [`Self::next`] returns the outcome.
     pub(crate) fn append(&self, records: Vec<R>) {
         self.write(Write::Append(records));
     }
 
-    /// Replaces everything appended so far by a snapshot. Only its failure is an outcome.
+    /// Replaces everything appended so far by a snapshot. Only a failure is reported as an outcome.
     pub(crate) fn compact(&self, snapshot: Vec<u8>) {
         self.write(Write::Compact(snapshot));
     }
 
-    /// Replaces a member of the stores that keep the log; [`Self::next`] gives the outcome.
+    /// Replaces a member of the log's replica set; [`Self::next`] returns the outcome.
     pub(crate) fn replace(&self, replacement: Replacement) {
         self.write(Write::Replace(replacement));
     }
 
     fn write(&self, write: Write<R>) {
-        // An error says that a write failed before; its outcome says so.
+        // Fails only after an earlier write has failed, which was reported as an outcome.
         let _ = self.writes.send(write);
     }
 
-    /// The next outcome. Safe to drop before it returns.
+    /// Waits for the next outcome. Cancel safe.
     pub(crate) async fn next(&mut self) -> AppendOutcome {
         match self.outcomes.recv().await {
             Some(outcome) => outcome,
@@ -127,16 +127,16 @@
     }
 }
 
-struct Task<R> {
+struct WriterTask<R> {
     log: ShardLog,
     format: RecordFormat<R>,
     queue: WriteQueue<R>,
     sender: mpsc::UnboundedSender<AppendOutcome>,
-    held_bytes: usize,
+    log_bytes: usize,
     clock: BootClock,
 }
 
-impl<R: Send + 'static> Task<R> {
+impl<R: Send + 'static> WriterTask<R> {
     async fn run(mut self) {
         while let Some(step) = self.queue.next().await {
             let result = match step {
@@ -146,7 +146,7 @@
                     let owner = self.sender.clone();
                     tokio::select! {
                         replaced = self.replace(replacement) => replaced,
-                        // An owner that has ended drives no change any further.
+                        // An owner that has ended does not continue a replica set change.
                         () = owner.closed() => return,
                     }
                 }
@@ -172,23 +172,23 @@
         let began = self.clock.now();
         let count = appends.len();
         let records: Vec<Vec<u8>> = appends.into_iter().flatten().filter_map(self.format.encode).collect();
-        self.held_bytes += records.iter().map(Vec::len).sum::<usize>();
+        self.log_bytes += records.iter().map(Vec::len).sum::<usize>();
         self.log.append(records).await?;
-        let needs_compaction = self.held_bytes >= COMPACT_BYTES;
+        let needs_compaction = self.log_bytes >= COMPACT_BYTES;
         if needs_compaction {
-            self.held_bytes = 0;
+            self.log_bytes = 0;
         }
         self.report(AppendOutcome::Appended { appends: count, began, needs_compaction });
         Ok(())
     }
 
     async fn compact(&mut self, snapshot: Vec<u8>) -> Result<(), ShardLogError> {
-        self.held_bytes = snapshot.len();
+        self.log_bytes = snapshot.len();
         self.log.compact(snapshot).await
     }
 
     fn report(&self, outcome: AppendOutcome) {
-        // An error only says that the owner has ended.
+        // Fails only if the owner has ended.
         let _ = self.sender.send(outcome);
     }
 }
--- a/crates/daemon/src/store/log_writer/write_queue/tests.rs
+++ b/crates/daemon/src/store/log_writer/write_queue/tests.rs
@@ -3,15 +3,15 @@
 use super::{Write, WriteQueue, WriteStep};
 use crate::store::log_writer::{AppendMode, AppendOutcome};
 
-/// An owner's ends of the two channels, and the queue between them.
-struct Rig {
+/// A queue with the owner's ends of its two channels.
+struct Fixture {
     writes: mpsc::UnboundedSender<Write<u8>>,
     outcomes: mpsc::UnboundedReceiver<AppendOutcome>,
     queue: WriteQueue<u8>,
 }
 
-/// Three appends, a snapshot and another append, none of them begun.
-fn five_writes(mode: AppendMode) -> Rig {
+/// Queues three appends, a snapshot and another append.
+fn five_writes(mode: AppendMode) -> Fixture {
     let (writes, received) = mpsc::unbounded_channel();
     let (owner, outcomes) = mpsc::unbounded_channel();
     for write in [
@@ -21,12 +21,12 @@
         Write::Compact(vec![9]),
         Write::Append(vec![5]),
     ] {
-        writes.send(write).expect("the queue is there");
+        writes.send(write).expect("the queue is open");
     }
-    Rig { writes, outcomes, queue: WriteQueue::new(mode, received, owner) }
+    Fixture { writes, outcomes, queue: WriteQueue::new(mode, received, owner) }
 }
 
-/// Appends as they are, a snapshot as an empty list.
+/// Returns the appends of the next write; an empty list stands for a snapshot or replacement.
 async fn next(queue: &mut WriteQueue<u8>) -> Option<Vec<Vec<u8>>> {
     queue.next().await.map(|step| match step {
         WriteStep::Append(appends) => appends,
@@ -35,16 +35,16 @@
 }
 
 #[tokio::test]
-async fn gathered_appends_go_into_one_write_and_nothing_overtakes() {
-    let Rig { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Batched);
+async fn batched_appends_share_one_write_and_keep_their_order() {
+    let Fixture { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Batched);
     assert_eq!(next(&mut queue).await, Some(vec![vec![1], vec![2, 3], vec![4]]));
     assert_eq!(next(&mut queue).await, Some(Vec::new()));
     assert_eq!(next(&mut queue).await, Some(vec![vec![5]]));
 }
 
 #[tokio::test]
-async fn single_appends_are_writes_of_their_own() {
-    let Rig { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Single);
+async fn single_appends_are_separate_writes() {
+    let Fixture { writes: _writes, outcomes: _outcomes, mut queue } = five_writes(AppendMode::Single);
     assert_eq!(next(&mut queue).await, Some(vec![vec![1]]));
     assert_eq!(next(&mut queue).await, Some(vec![vec![2, 3]]));
     assert_eq!(next(&mut queue).await, Some(vec![vec![4]]));
@@ -53,8 +53,8 @@
 }
 
 #[tokio::test]
-async fn what_an_ended_owner_gathered_is_written_to_the_last() {
-    let Rig { writes, outcomes, mut queue } = five_writes(AppendMode::Batched);
+async fn batched_writes_are_drained_after_the_owner_has_ended() {
+    let Fixture { writes, outcomes, mut queue } = five_writes(AppendMode::Batched);
     drop((writes, outcomes));
     assert_eq!(next(&mut queue).await, Some(vec![vec![1], vec![2, 3], vec![4]]));
     assert_eq!(next(&mut queue).await, Some(Vec::new()));
@@ -63,8 +63,8 @@
 }
 
 #[tokio::test]
-async fn a_single_append_under_way_is_the_last_of_an_ended_owner() {
-    let Rig { writes, outcomes, mut queue } = five_writes(AppendMode::Single);
+async fn no_single_append_begins_after_the_owner_has_ended() {
+    let Fixture { writes, outcomes, mut queue } = five_writes(AppendMode::Single);
     assert_eq!(next(&mut queue).await, Some(vec![vec![1]]));
     drop((writes, outcomes));
     assert_eq!(next(&mut queue).await, None);
--- a/crates/daemon/src/store/metrics.rs
+++ b/crates/daemon/src/store/metrics.rs
@@ -1,10 +1,10 @@
-//! Counters of the store.
+//! Prometheus metrics of the store.
 //!
-//! Registered once for each registry; the names are part of the operators' interface.
+//! They are registered once per registry; operators rely on the names.
 
 use prometheus::{IntCounter, IntGauge, Registry};
 
-/// What the store's thread counts.
+/// Counters and gauges that the store thread updates.
 #[derive(Clone)]
 pub(super) struct StoreMetrics {
     requests: IntCounter,
@@ -14,7 +14,7 @@
 }
 
 impl StoreMetrics {
-    /// Registers the counters. A second store on the same registry shares nothing with the first.
+    /// Registers the metrics.
     pub(super) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let metrics = Self {
             requests: IntCounter::new("lichenpulley_store_requests_total", "Requests done by the store")?,
@@ -29,7 +29,7 @@
         Ok(metrics)
     }
 
-    pub(super) fn transaction(&self, requests: usize, used_bytes: u64, synced: bool) {
+    pub(super) fn record_transaction(&self, requests: usize, used_bytes: u64, synced: bool) {
         self.requests.inc_by(requests as u64);
         if synced {
             self.syncs.inc();
@@ -37,11 +37,11 @@
         self.used_bytes.set(i64::try_from(used_bytes).unwrap_or(i64::MAX));
     }
 
-    pub(super) fn failure(&self) {
+    pub(super) fn record_failure(&self) {
         self.failures.inc();
     }
 
-    /// Transactions synced so far.
+    /// Returns the number of transactions synced so far.
     pub(super) fn syncs(&self) -> u64 {
         self.syncs.get()
     }
--- a/crates/daemon/src/store/mod.rs
+++ b/crates/daemon/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! Keeps replicas of logs and claims on disk, and gives owners a log kept by a majority.
+//! Stores replicas of logs and claims on disk, and gives shard owners a replicated log.
 //!
-//! - [`Store`] answers for this node's replicas; its thread owns the disk.
-//! - [`shard_log`] and [`claims`] are used by owners and gateways; they need no store role.
+//! - [`Store`] answers requests for the replicas of this node. Its thread owns the store file.
+//! - [`shard_log`] and [`claims`] are the clients that owners and gateways use; they don't need the store
+//!   role.
 //! - [`replica_sets`] finds the store replicas of a shard.
 
 pub mod claims;
@@ -42,30 +43,29 @@
 pub use error::StoreError;
 use metrics::StoreMetrics;
 use thread::StoreThread;
-use worker::{Done, Job, Work, Worker};
+use worker::{Job, Work, WorkResult, Worker};
 
-/// Time above the timeout of a call before its request is sent again, so that it is not sent while the call still runs.
-/// Chosen, not measured: any small time does; a long one delays the next try by as much.
+/// Time added to the call timeout before a request is sent again, so that it is not resent while the call is
+/// still running.
 const RETRANSMIT_MARGIN: Duration = Duration::from_millis(50);
 
-/// Requests that wait for the store's thread before callers are made to wait. Chosen, not measured: it
-/// bounds memory; with fewer, callers wait before a batch is full.
+/// Maximum number of requests queued for the store thread; further callers wait.
 const QUEUE_LIMIT: usize = 1_024;
 
-/// This node's store. Cheap to clone.
+/// Handle to the store of this node. Cheap to clone.
 #[derive(Clone)]
 pub struct Store {
     id: StoreId,
     jobs: mpsc::Sender<Job>,
     metrics: StoreMetrics,
-    /// After `jobs`, so that the last clone closes the queue before it waits for the thread.
+    /// Declared after `jobs`: the last clone must close the queue before it waits for the thread.
     _thread: Arc<StoreThread>,
 }
 
-/// Opens the store in a folder and begins to serve.
+/// Opens the store in a folder and starts its repair task.
 ///
 /// # Errors
-/// When the folder is not usable, not ours, in use or damaged; each names its remedy.
+/// Returns an error if the folder is unusable, contains other files, is in use or is damaged.
 pub fn start(context: Context, data_folder: &Path) -> Result<Store, StoreError> {
     let settings = &context.settings.store;
     let window = settings.claim_window.clone();
@@ -76,10 +76,11 @@
 }
 
 impl Store {
-    /// Opens the store in a folder and starts its thread; `capacity_bytes` bounds what entries and claims may fill.
+    /// Opens the store in a folder and starts its thread. `capacity_bytes` limits the space for entries and
+    /// claims.
     ///
     /// # Errors
-    /// When the folder is not usable, not ours, in use or damaged; each names its remedy.
+    /// Returns an error if the folder is unusable, contains other files, is in use or is damaged.
     pub fn open(
         data_folder: &Path,
         capacity_bytes: u64,
@@ -100,17 +101,17 @@
         Ok(Self { id, jobs, metrics, _thread: Arc::new(thread) })
     }
 
-    /// The store's id: new whenever it finds its folder empty.
+    /// Returns the id of the store. A store that starts in an empty folder generates a new id.
     pub fn id(&self) -> &StoreId {
         &self.id
     }
 
-    /// Transactions synced to the disk so far.
+    /// Returns the number of transactions synced to disk since the start.
     pub fn syncs(&self) -> u64 {
         self.metrics.syncs()
     }
 
-    /// Answers a peer. What the answer speaks of is on disk.
+    /// Answers a request of a peer. Everything that the answer confirms is on disk.
     pub async fn answer(&self, request: StoreRequest) -> StoreResponse {
         let is_outline = matches!(request, StoreRequest::Outline(_));
         let work = match request {
@@ -121,31 +122,32 @@
             StoreRequest::LeaderAlive { shard, ballot } => Work::LeaderAlive { shard, ballot },
             StoreRequest::Replica(request) | StoreRequest::Outline(request) => Work::Replica(request),
         };
-        match self.work(work).await {
-            Done::Response(StoreResponse::Replica(mut response)) if is_outline => {
+        match self.submit(work).await {
+            WorkResult::Response(StoreResponse::Replica(mut response)) if is_outline => {
                 if let ReplicaAnswer::Decided { entries, .. } = &mut response.outcome {
                     outline::outline_entries(entries);
                 }
                 StoreResponse::Replica(response)
             }
-            Done::Response(response) => response,
+            WorkResult::Response(response) => response,
             _ => StoreResponse::Unavailable,
         }
     }
 
-    /// The replica set of each shard that the store has a part in; empty where the disk can't be read.
+    /// Returns the replica set of each shard that has a replica here, or an empty list if the disk can't be
+    /// read.
     pub async fn replica_sets(&self) -> Vec<ReplicaSet> {
-        match self.work(Work::Groups).await {
-            Done::Groups(groups) => groups.into_iter().map(|group| group.set).collect(),
+        match self.submit(Work::Groups).await {
+            WorkResult::Groups(groups) => groups.into_iter().map(|group| group.set).collect(),
             _ => Vec::new(),
         }
     }
 
-    async fn work(&self, work: Work) -> Done {
+    async fn submit(&self, work: Work) -> WorkResult {
         let (reply, result) = oneshot::channel();
         if self.jobs.send(Job { work, reply }).await.is_err() {
-            return Done::Failed;
+            return WorkResult::Failed;
         }
-        result.await.unwrap_or(Done::Failed)
+        result.await.unwrap_or(WorkResult::Failed)
     }
 }
--- a/crates/daemon/src/store/placement.rs
+++ b/crates/daemon/src/store/placement.rs
@@ -1,7 +1,7 @@
-//! By what this node chooses the stores of a shard, and how it reports which losses the chosen ones tolerate.
+//! Placement of a shard's replica set: inputs from settings and live members, and reports of the fault
+//! tolerance of the chosen set.
 //!
-//! Relies on the core's `replication::placement` for the choice; here are its inputs from settings and live
-//! members.
+//! The core's `replication::placement` makes the choice.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,30 @@
 
 use crate::context::{Context, NodeContext};
 
-/// The policy of this node: what the settings want, with members near the stores that are most.
+/// Returns the placement policy from the settings, which prefers members in the region with the most live
+/// stores.
 pub(crate) fn policy(context: &NodeContext) -> PlacementPolicy {
     let places = &context.settings.places;
     let home = region_of_most_stores(context).or_else(|| places.region.clone());
     PlacementPolicy { target: context.settings.store.set_size, places: places.zones.clone(), home }
 }
 
-/// The region from which a shard is best owned: the one where a majority of its members stands, so that
-/// appends don't cross to another; before the set is known, the one with the most stores. `None` where there
+/// Returns the region that should own a shard: the one with a majority of the set's members, so that appends
+/// need not cross regions, or, if the set is unknown, the one with the most stores. Returns `None` if there
 /// is no such region.
 pub(crate) fn home_region(context: &NodeContext, shard: &ShardId) -> Option<RegionName> {
     match context.replica_sets.get(shard) {
         Some(set) => {
-            let (region, members) = most_common(context, set.members.iter().map(|member| &member.zone))?;
+            let (region, members) =
+                most_common_region(context, set.members.iter().map(|member| &member.zone))?;
             (members >= majority(set.members.len())).then_some(region)
         }
         None => region_of_most_stores(context),
     }
 }
 
-/// Records which losses a set tolerates in a decision and, where it is less than the settings want, in the log.
+/// Records the fault tolerance of a set in a decision, and logs a warning if it is lower than the settings
+/// require.
 pub(crate) fn record_placement(context: &Context, set: &ReplicaSet, action: &str, reason: &str) {
     let policy = policy(context);
     let tolerance = policy.fault_tolerance(&set.members);
@@ -49,15 +52,15 @@
     }
 }
 
-/// The region with more live stores than any other.
+/// Returns the region with more live stores than any other.
 fn region_of_most_stores(context: &NodeContext) -> Option<RegionName> {
     let cluster = context.cluster.load();
     let stores = cluster.members.iter().filter(|member| member.roles.store);
-    most_common(context, stores.map(|member| &member.zone)).map(|(region, _)| region)
+    most_common_region(context, stores.map(|member| &member.zone)).map(|(region, _)| region)
 }
 
-/// The region that most of these zones lie in; `None` where two have as many.
-fn most_common<'a>(
+/// Returns the region with the most of these zones and their number; `None` if two regions are tied.
+fn most_common_region<'a>(
     context: &NodeContext,
     zones: impl Iterator<Item = &'a ZoneName>,
 ) -> Option<(RegionName, usize)> {
--- a/crates/daemon/src/store/reconfiguration.rs
+++ b/crates/daemon/src/store/reconfiguration.rs
@@ -1,6 +1,7 @@
 //! Replaces a member of a shard's replica set.
 //!
-//! Drives the core's reconfigurer between the old and the next set, and settles the set's document afterwards.
+//! It runs the core's reconfigurer between the old and the next set, and marks the next set as current in the
+//! shard's document afterwards.
 
 use std::time::Duration;
 
@@ -18,46 +19,46 @@
 use super::replica_sets::{self, DocumentClient, ReplicaSetError, StoredDocument};
 use crate::context::Context;
 
-/// How many call timeouts a change may last before it is given up; it can be taken up again: too few give up a
-/// change that is under way, too many hold its caller.
+/// Number of call timeouts after which a replica set change stops; it can be continued later.
 const RECONFIGURATION_TIMEOUTS: u32 = 30;
-/// How many call timeouts a store may take to answer in a change: beside the pages of a whole log, which
-/// others read there meanwhile, its answers wait for longer than one. Requests that were given up after one
-/// came again without end, and a change of two disks was not done after six seconds.
+/// Timeout of a store's answer during a change, in call timeouts. Others may read the whole log at the same
+/// time, so an answer can take longer than one call timeout; with too short a timeout requests are repeated
+/// without progress.
 const STORE_ANSWER_TIMEOUTS: u32 = 4;
-/// How often a document that others write as well is written before the last failure is reported.
+/// Maximum number of attempts to write a document that others may write at the same time.
 const SETTLE_TRIES: u32 = 3;
 
-/// Why a member was not replaced.
+/// Error of a member replacement.
 #[derive(Debug, thiserror::Error)]
 pub enum ReconfigurationError {
-    /// The shard's document could not be read or written.
+    /// The replica set document can't be read or written.
     #[error(transparent)]
     Document(#[from] ReplicaSetError),
     /// The shard has no replica set.
-    #[error("shard {0} has no replica set; nothing is to be replaced")]
+    #[error("shard {0} has no replica set; check the name of the shard")]
     UnknownShard(ShardId),
-    /// The store is no member.
-    #[error("store {0} is no member of the replica set; read the set again")]
+    /// The store is not a member.
+    #[error("store {0} is not a member of the replica set; read the set again")]
     NotAMember(StoreId),
-    /// No other store can take the place.
+    /// No other store is available.
     #[error("no other store answers; start another node with the store role")]
     NoCandidate,
-    /// Too few members answered; what was begun can be finished later.
-    #[error("the change of replica set is not finished; restore a majority of the old members")]
+    /// Too few members answered; the change can be finished later.
+    #[error("the replica set change is not finished; restore a majority of the old members")]
     Unfinished,
-    /// The owner that changed its stores was superseded.
-    #[error("the log is held under the higher epoch {highest}; stop acting for it")]
+    /// The owner that made the change was superseded.
+    #[error("the log is owned under the higher epoch {highest}; stop acting as its owner")]
     Superseded {
         /// The highest epoch seen.
         highest: Epoch,
     },
 }
 
-/// Finishes a change of replica set that was begun: `next` is the pending set or a later one. Needs no platform.
+/// Finishes a replica set change that has begun; `next` is the pending set or a later one. Does not need the
+/// platform.
 ///
 /// # Errors
-/// When too few members answer.
+/// Returns an error if too few members answer.
 pub async fn complete(
     context: &Context,
     old: &ReplicaSet,
@@ -68,24 +69,25 @@
     tokio::spawn(async move {
         catch_up(&context, &installed).await;
         if let Err(error) = settle(&context, &installed).await {
-            log::info!(target: "store", "Shard {}: the document is settled later: {error}.", installed.shard);
+            log::info!(target: "store", "Shard {}: replica set document not updated yet: {error}.", installed.shard);
         }
     });
     Ok(())
 }
 
-/// Finishes a change of replica set up to a majority of the next set, and gives the set in force. The others begin when the shard's owner first
-/// appends to them, and are repaired by their own nodes. With an `owner` it ends once a store has promised a higher ballot.
+/// Finishes a replica set change up to a majority of the next set, and returns the set in force. The
+/// remaining members begin when the shard's owner first appends to them, and are repaired by their own nodes.
+/// With an `owner` it fails once a store has promised a higher ballot.
 ///
 /// # Errors
-/// When too few members answer, or the owner was superseded.
+/// Returns an error if too few members answer or the owner is superseded.
 pub(crate) async fn install_majority(
     context: &Context,
     old: &ReplicaSet,
     next: &ReplicaSet,
     owner: Option<ChangeOwner>,
 ) -> Result<ReplicaSet, ReconfigurationError> {
-    let installed = run(context, old, next, Extent::Majority, owner).await?;
+    let installed = run_change(context, old, next, InstallTarget::Majority, owner).await?;
     context.replica_sets.put(&installed);
     let decision = Decision::new(Component::Replication, "replaced_set", "installed", &old.shard);
     let decision = decision.with("from", old.generation).with("to", installed.generation);
@@ -93,11 +95,10 @@
     Ok(installed)
 }
 
-/// Replaces a member of a shard's replica set by another store, chosen among the live ones. `reason` is shown with
-/// the decision.
+/// Replaces a member of a shard's replica set by another live store. `reason` is recorded with the decision.
 ///
 /// # Errors
-/// When the document can't be written, no store is free, or too few members answer.
+/// Returns an error if the document can't be written, no store is available or too few members answer.
 pub async fn replace(
     context: &Context,
     shard: &ShardId,
@@ -117,27 +118,30 @@
     replica_sets::write(&client, shard, Some(stored.version), &document).await?;
     let decision = Decision::new(Component::Replication, "replacing", reason, shard);
     context.decisions.record(decision.with("leaving", leaving).with("generation", next.generation));
-    let installed = run(context, &current, &next, Extent::All, None).await?;
+    let installed = run_change(context, &current, &next, InstallTarget::All, None).await?;
     context.replica_sets.put(&installed);
     settle(context, &installed).await?;
     Ok(installed)
 }
 
-/// Brings in members of a set that have not been installed while the others have.
+/// Installs the members of a set that are not installed yet.
 pub(super) async fn catch_up(context: &Context, set: &ReplicaSet) {
     let reconfigurer = Reconfigurer::catch_up(set.clone(), new_transfer(context), retransmit_after(context));
-    if let Err(error) = drive(context, reconfigurer, &[set], Extent::All).await {
+    if let Err(error) = drive(context, reconfigurer, &[set], InstallTarget::All).await {
         log::info!(target: "store", "Shard {}: some members are not installed yet: {error}.", set.shard);
     }
 }
 
-/// Finishes a change that stopped after members of the set were heard of and before a majority of them was installed.
+/// Installs a majority of a set whose change was interrupted before.
 ///
 /// # Errors
-/// When too few members answer.
-pub(super) async fn install_rest(context: &Context, set: &ReplicaSet) -> Result<(), ReconfigurationError> {
+/// Returns an error if too few members answer.
+pub(super) async fn install_remaining(
+    context: &Context,
+    set: &ReplicaSet,
+) -> Result<(), ReconfigurationError> {
     let reconfigurer = Reconfigurer::catch_up(set.clone(), new_transfer(context), retransmit_after(context));
-    drive(context, reconfigurer, &[set], Extent::Majority).await.map(drop)
+    drive(context, reconfigurer, &[set], InstallTarget::Majority).await.map(drop)
 }
 
 async fn choose_next(
@@ -154,21 +158,21 @@
     current.with_replaced(leaving, joining).ok_or(ReconfigurationError::NoCandidate)
 }
 
-/// A change that is pending goes first: a pending set is never withdrawn.
+/// Finishes a pending change first, since a pending set is never withdrawn.
 async fn finish_pending(
     context: &Context,
     client: &DocumentClient,
     stored: StoredDocument,
 ) -> Result<StoredDocument, ReconfigurationError> {
     let Some(pending) = &stored.document.pending else { return Ok(stored) };
-    let installed = run(context, &stored.document.current, pending, Extent::All, None).await?;
+    let installed = run_change(context, &stored.document.current, pending, InstallTarget::All, None).await?;
     settle(context, &installed).await?;
     let stored = replica_sets::read(client, &installed.shard).await?;
     stored.ok_or_else(|| ReconfigurationError::UnknownShard(installed.shard))
 }
 
-/// Writes that a set is current, once it is installed. Stores and owners that finished the same change write the
-/// same, so that the document tells whether it is written, not the answer to this write.
+/// Marks an installed set as current in the document. Stores and owners that finished the same change write
+/// the same content, so success is checked by reading the document, not by the result of this write.
 async fn settle(context: &Context, installed: &ReplicaSet) -> Result<(), ReconfigurationError> {
     let client = DocumentClient::from_settings(&context.settings)?;
     let mut failure = None;
@@ -180,7 +184,7 @@
         match replica_sets::write(&client, &installed.shard, Some(stored.version), &settled).await {
             Ok(()) => return Ok(()),
             Err(error) => {
-                log::info!(target: "store", "Shard {}: the document is read again: {error}.", installed.shard);
+                log::info!(target: "store", "Shard {}: reading the replica set document again: {error}.", installed.shard);
                 failure = Some(error);
             }
         }
@@ -188,25 +192,25 @@
     failure.map_or(Ok(()), |error| Err(error.into()))
 }
 
-/// How many members of the next set must be installed.
+/// Number of members of the next set that must be installed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Extent {
-    /// Enough for it to decide.
+enum InstallTarget {
+    /// A majority.
     Majority,
-    /// All, as far as they answer.
+    /// All members that answer.
     All,
 }
 
-/// Runs a change; gives the set that is in force in the end.
-async fn run(
+/// Runs a change and returns the set that is in force afterwards.
+async fn run_change(
     context: &Context,
     old: &ReplicaSet,
     next: &ReplicaSet,
-    extent: Extent,
+    install_target: InstallTarget,
     owner: Option<ChangeOwner>,
 ) -> Result<ReplicaSet, ReconfigurationError> {
     if next.generation > old.generation.next() {
-        // Several changes behind: the later set is in force already.
+        // The caller is several changes behind: the later set is in force already.
         return Ok(next.clone());
     }
     let transfer = new_transfer(context);
@@ -214,7 +218,7 @@
     if let Some(owner) = owner {
         reconfigurer = reconfigurer.with_owner(owner);
     }
-    let later = drive(context, reconfigurer, &[old, next], extent).await?;
+    let later = drive(context, reconfigurer, &[old, next], install_target).await?;
     Ok(later.unwrap_or_else(|| next.clone()))
 }
 
@@ -230,12 +234,12 @@
     context.settings.store.call_timeout * STORE_ANSWER_TIMEOUTS
 }
 
-/// Exchanges messages until enough members are installed; gives a later set where one was met.
+/// Exchanges messages until enough members are installed; returns a later set if a store reports one.
 async fn drive(
     context: &Context,
     mut reconfigurer: Reconfigurer,
     sets: &[&ReplicaSet],
-    extent: Extent,
+    install_target: InstallTarget,
 ) -> Result<Option<ReplicaSet>, ReconfigurationError> {
     let origin = Instant::now();
     let deadline = origin + context.settings.store.call_timeout * RECONFIGURATION_TIMEOUTS;
@@ -243,7 +247,9 @@
     let mut has_majority = false;
     loop {
         match reconfigurer.poll_event() {
-            Some(ReconfigurerEvent::Installed) if extent == Extent::Majority => return Ok(None),
+            Some(ReconfigurerEvent::Installed) if install_target == InstallTarget::Majority => {
+                return Ok(None);
+            }
             Some(ReconfigurerEvent::Installed) => has_majority = true,
             Some(ReconfigurerEvent::Complete) => return Ok(None),
             Some(ReconfigurerEvent::AlreadyReplaced(later)) => return Ok(Some(later)),
--- a/crates/daemon/src/store/record.rs
+++ b/crates/daemon/src/store/record.rs
@@ -1,15 +1,15 @@
-//! Records on disk: a checksum, then a `speedy` body.
+//! Format of records on disk: a CRC-32 of the body, then the body in `speedy` encoding.
 //!
-//! A record whose checksum differs is reported as damage and never used.
+//! A record with a wrong checksum is reported as damaged.
 
 use speedy::{Readable, Writable};
 
 use super::error::DiskError;
 
-/// Bytes of the CRC-32 in front of a body.
+/// Length of the CRC-32 before the body, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A body with its checksum in front.
+/// Encodes a record with its checksum.
 pub(super) fn encode<T>(record: &T) -> Result<Vec<u8>, DiskError>
 where
     T: Writable<speedy::LittleEndian>,
@@ -21,13 +21,13 @@
     Ok(bytes)
 }
 
-/// The body, where it is the one that was written.
+/// Decodes a record and verifies its checksum.
 pub(super) fn decode<T>(bytes: &[u8]) -> Result<T, DiskError>
 where
     T: for<'a> Readable<'a, speedy::LittleEndian>,
 {
     let Some((checksum, body)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
-        return Err(DiskError::Damaged("a record is cut short".to_owned()));
+        return Err(DiskError::Damaged("a record is truncated".to_owned()));
     };
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
         return Err(DiskError::Damaged("a record does not match its checksum".to_owned()));
--- a/crates/daemon/src/store/repair.rs
+++ b/crates/daemon/src/store/repair.rs
@@ -1,5 +1,5 @@
-//! Looks after the store's replicas: fills gaps of a replica that missed appends, finishes changes of replica
-//! sets that stopped halfway, has members that are gone replaced, and drops expired claims.
+//! Periodic maintenance of the store's replicas: fills gaps left by missed appends, finishes interrupted
+//! replica set changes, replaces lost members and removes expired claims.
 
 use std::time::Duration;
 
@@ -9,34 +9,33 @@
 use rand::seq::IndexedRandom;
 
 use super::exchange::query_replica;
-use super::replacement::Replacements;
-use super::worker::{Done, Work};
+use super::replacement::MemberReplacer;
+use super::worker::{Work, WorkResult};
 use super::{Store, reconfiguration};
 use crate::context::Context;
 
-/// Time between two rounds. Chosen, not measured: longer leaves a replica that missed appends behind for
-/// longer, shorter costs calls between stores.
-const ROUND: Duration = Duration::from_secs(2);
+/// Interval between two maintenance rounds.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Repairs the store's logs and drops expired claims until the node stops.
+/// Runs the maintenance rounds until the node stops.
 pub(super) fn spawn(context: Context, store: Store) {
     tokio::spawn(async move {
-        let mut replacements = Replacements::default();
+        let mut replacer = MemberReplacer::default();
         while !context.stopped.is_cancelled() {
             tokio::select! {
                 () = context.stopped.cancelled() => return,
-                () = tokio::time::sleep(ROUND) => round(&context, &store, &mut replacements).await,
+                () = tokio::time::sleep(REPAIR_INTERVAL) => run_round(&context, &store, &mut replacer).await,
             }
         }
     });
 }
 
-async fn round(context: &Context, store: &Store, replacements: &mut Replacements) {
-    store.work(Work::ForgetExpiredClaims).await;
-    let Done::Groups(groups) = store.work(Work::Groups).await else { return };
-    // Where a metadata store is named, the owner of the shard replaces members, through its log.
+async fn run_round(context: &Context, store: &Store, replacer: &mut MemberReplacer) {
+    store.submit(Work::RemoveExpiredClaims).await;
+    let WorkResult::Groups(groups) = store.submit(Work::Groups).await else { return };
+    // With a metadata store, the owner of the shard replaces members through its log.
     if context.settings.platform.metadata_store.is_none() {
-        replacements.round(context, &store.id, &groups).await;
+        replacer.run_round(context, &store.id, &groups).await;
     }
     for group in groups {
         match &group.phase {
@@ -47,8 +46,7 @@
     }
 }
 
-/// Finishes a change of replica set that stopped halfway. A store that has left the set waits for others to
-/// do so.
+/// Finishes an interrupted replica set change. A store that is not in the next set leaves this to the others.
 async fn finish_change(context: &Context, store: &Store, group: &GroupRecord, next: &ReplicaSet) {
     if next.member(&store.id).is_none() {
         return;
@@ -84,7 +82,8 @@
             return;
         }
         let (shard, generation) = (group.set.shard.clone(), group.set.generation);
-        let Done::Repaired(through) = store.work(Work::Repair { shard, generation, entries }).await else {
+        let WorkResult::Repaired(through) = store.submit(Work::Repair { shard, generation, entries }).await
+        else {
             return;
         };
         if through <= known {
--- a/crates/daemon/src/store/replacement.rs
+++ b/crates/daemon/src/store/replacement.rs
@@ -1,9 +1,10 @@
-//! When a member of a replica set is replaced, where no metadata store is named: its disk was replaced, its
-//! node has not been seen for as long as `store.replace_after_ms` says, or the machine list says that its
-//! machine leaves. Has a set grow that was made while fewer stores stood than were wanted.
+//! Replacement of replica set members in deployments without a metadata store. A member is replaced if its
+//! disk was replaced, its node has not been seen for `store.replace_after_ms`, or the machine list says that
+//! its machine is leaving. Sets that were created with fewer stores than wanted are extended.
 //!
-//! One member a round, by the first of the others whose node is seen, so that two stores don't replace the
-//! same. Where a metadata store is named, the owner of the log replaces members instead (`batch/set_maintenance`).
+//! Each round replaces one member of a set. The first other member whose node is seen is responsible, so that
+//! two stores don't replace the same member. With a metadata store, the owner of the log replaces members
+//! instead (`batch/set_maintenance`).
 
 use std::collections::{HashMap, HashSet};
 
@@ -22,23 +23,21 @@
 use crate::configuration::platform::MachineListClient;
 use crate::context::Context;
 
-/// Rounds between two readings of the machine list, which serves few readers. With a round each 2 s, one
-/// reading a minute. Chosen, not measured: more often loads the list, more rarely delays emptying a machine
-/// that leaves.
-const ROUNDS_PER_READING: u64 = 30;
+/// Number of maintenance rounds between two reads of the machine list, which serves few readers.
+const ROUNDS_PER_LIST_READ: u64 = 30;
 
-/// Why a member is replaced.
+/// Reason why a member is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
-    /// Its node answers with another store: the disk was lost.
+enum ReplacementReason {
+    /// Its node answers with another store id: the disk was lost.
     DiskReplaced,
-    /// Its node has not been seen for as long as the settings allow.
+    /// Its node has not been seen for `store.replace_after_ms`.
     NotSeen,
-    /// The machine list says that its machine leaves.
+    /// The machine list says that its machine is leaving.
     MachineLeaves,
 }
 
-impl Reason {
+impl ReplacementReason {
     const fn as_str(self) -> &'static str {
         match self {
             Self::DiskReplaced => "disk_replaced",
@@ -48,22 +47,22 @@
     }
 }
 
-/// What is remembered from round to round.
+/// State kept between rounds.
 #[derive(Default)]
-pub(super) struct Replacements {
+pub(super) struct MemberReplacer {
     rounds: u64,
     missing_since: HashMap<NodeId, Instant>,
     leaving: HashSet<NodeId>,
 }
 
-impl Replacements {
-    /// Looks at every member that this store is to look after.
-    pub(super) async fn round(&mut self, context: &Context, store: &StoreId, groups: &[GroupRecord]) {
+impl MemberReplacer {
+    /// Checks all members for which this store is responsible.
+    pub(super) async fn run_round(&mut self, context: &Context, store: &StoreId, groups: &[GroupRecord]) {
         self.read_machine_list(context).await;
         let active = groups.iter().filter(|group| group.phase == GroupPhase::Active);
         for group in active {
-            self.note_missing(context, &group.set);
-            if !self.replace_gone(context, store, &group.set).await {
+            self.update_missing(context, &group.set);
+            if !self.replace_lost_member(context, store, &group.set).await {
                 grow_if_small(context, store, &group.set).await;
             }
         }
@@ -71,14 +70,14 @@
     }
 
     async fn read_machine_list(&mut self, context: &Context) {
-        if !self.rounds.is_multiple_of(ROUNDS_PER_READING) {
+        if !self.rounds.is_multiple_of(ROUNDS_PER_LIST_READ) {
             return;
         }
         let Some(client) = MachineListClient::from_settings(&context.settings) else { return };
         let list = match client.read().await {
             Ok(list) => list,
             Err(error) => {
-                log::debug!(target: "store", "Leaving machines stay as last read: {error}.");
+                log::debug!(target: "store", "Failed to read the machine list, keeping the previous one: {error}.");
                 return;
             }
         };
@@ -86,7 +85,7 @@
         self.leaving = leaving.map(|machine| NodeId::new(machine.id)).collect();
     }
 
-    fn note_missing(&mut self, context: &Context, set: &ReplicaSet) {
+    fn update_missing(&mut self, context: &Context, set: &ReplicaSet) {
         let cluster = context.cluster.load();
         for member in &set.members {
             if cluster.member(&member.node).is_some() {
@@ -97,11 +96,12 @@
         }
     }
 
-    /// One member a round: the next one waits until the set is whole again. Whether one was to be replaced.
-    async fn replace_gone(&self, context: &Context, store: &StoreId, set: &ReplicaSet) -> bool {
-        let looked_after = |member: &&SetMember| responsible(context, set, member) == Some(store);
-        for member in set.members.iter().filter(looked_after) {
-            let Some(reason) = self.gone(context, member).await else { continue };
+    /// Replaces at most one member per round, so that the set is complete before the next replacement.
+    /// Returns whether a replacement was needed.
+    async fn replace_lost_member(&self, context: &Context, store: &StoreId, set: &ReplicaSet) -> bool {
+        let is_responsible = |member: &&SetMember| responsible_store(context, set, member) == Some(store);
+        for member in set.members.iter().filter(is_responsible) {
+            let Some(reason) = self.replacement_reason(context, member).await else { continue };
             log::info!(
                 target: "store",
                 "Shard {}: replacing store {} of {}: {}.", set.shard, member.store, member.node, reason.as_str()
@@ -109,31 +109,32 @@
             if let Err(error) =
                 reconfiguration::replace(context, &set.shard, &member.store, reason.as_str()).await
             {
-                log::warn!(target: "store", "Shard {}: not replaced yet: {error}.", set.shard);
+                log::warn!(target: "store", "Shard {}: member not replaced yet, retrying: {error}.", set.shard);
             }
             return true;
         }
         false
     }
 
-    async fn gone(&self, context: &Context, member: &SetMember) -> Option<Reason> {
+    async fn replacement_reason(&self, context: &Context, member: &SetMember) -> Option<ReplacementReason> {
         let address = context.cluster.load().member(&member.node).map(|seen| seen.peer_address);
         let Some(address) = address else {
             let missing_for = self.missing_since.get(&member.node)?.elapsed();
-            return (missing_for >= context.settings.store.replace_after).then_some(Reason::NotSeen);
+            return (missing_for >= context.settings.store.replace_after)
+                .then_some(ReplacementReason::NotSeen);
         };
         if self.leaving.contains(&member.node) {
-            return Some(Reason::MachineLeaves);
+            return Some(ReplacementReason::MachineLeaves);
         }
         let deadline = context.settings.store.call_timeout;
         let answer = context.peers.store(address, StoreRequest::Identity, deadline).await;
         let other = matches!(answer, Ok(StoreResponse::Identity(store)) if store != member.store);
-        other.then_some(Reason::DiskReplaced)
+        other.then_some(ReplacementReason::DiskReplaced)
     }
 }
 
-/// Lets a set grow that is smaller than the settings want, where all of its members are seen and this store
-/// is the first.
+/// Adds a member to a set that is smaller than configured, if all of its members are seen and this store has
+/// the lowest id.
 async fn grow_if_small(context: &Context, store: &StoreId, set: &ReplicaSet) {
     let cluster = context.cluster.load();
     let is_seen = |member: &SetMember| cluster.member(&member.node).is_some();
@@ -146,7 +147,7 @@
     if let Some(Improvement::Grow(joining)) = placement::policy(context).improvement(set, &candidates)
         && let Err(error) = grow(context, set, joining).await
     {
-        log::warn!(target: "store", "Shard {}: its set has not grown yet: {error}.", set.shard);
+        log::warn!(target: "store", "Shard {}: no member added yet, retrying: {error}.", set.shard);
     }
 }
 
@@ -154,7 +155,7 @@
     let client = DocumentClient::from_settings(&context.settings)?;
     let stored = replica_sets::read(&client, &set.shard).await?;
     let stored = stored.filter(|stored| stored.document == ReplicaSetDocument::settled(set.clone()));
-    // Otherwise a change is under way, which another round finishes first.
+    // Otherwise a change is in progress, which a later round finishes first.
     let Some(stored) = stored else { return Ok(()) };
     let Some(next) = set.with_replaced(&joining.store.clone(), joining) else { return Ok(()) };
     let document = ReplicaSetDocument { current: set.clone(), pending: Some(next.clone()) };
@@ -164,11 +165,15 @@
     reconfiguration::complete(context, set, &next).await
 }
 
-/// The member that looks after another: the first of the others, by store id, whose node is seen. Never
-/// itself: a node that lost its disk is seen, and its old store looks after nobody any more.
-fn responsible<'a>(context: &Context, set: &'a ReplicaSet, after: &SetMember) -> Option<&'a StoreId> {
+/// Returns the member that is responsible for replacing another: the lowest store id among the others whose
+/// node is seen. A member is never responsible for itself, since a node that lost its disk is still seen.
+fn responsible_store<'a>(
+    context: &Context,
+    set: &'a ReplicaSet,
+    replaced: &SetMember,
+) -> Option<&'a StoreId> {
     let cluster = context.cluster.load();
-    let others = set.members.iter().filter(|member| member.store != after.store);
+    let others = set.members.iter().filter(|member| member.store != replaced.store);
     let seen = others.filter(|member| cluster.member(&member.node).is_some());
     seen.map(|member| &member.store).min()
 }
--- a/crates/daemon/src/store/replica_set_cache.rs
+++ b/crates/daemon/src/store/replica_set_cache.rs
@@ -1,7 +1,7 @@
-//! Replica sets that this node has met, and how long a shard has had too few stores.
+//! Cache of replica sets that this node has learned, and how long a shard has had too few stores.
 //!
-//! Part of a node's context, so that owners, gateways and the store find a set without a question. A set that is out of date
-//! does no harm: its members are sealed and name their successor.
+//! It is part of a node's context, so that owners, gateways and the store find a set without a request. An
+//! outdated set is harmless: its members are sealed and name the next set.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Mutex, PoisonError};
@@ -12,7 +12,7 @@
 use lichenpulley_core::replication::replica_set::{ReplicaSet, SetMember, StoreId};
 use tokio::time::Instant;
 
-/// Replica sets that this node has met.
+/// Cache of replica sets by shard.
 #[derive(Debug, Default)]
 pub struct ReplicaSetCache {
     sets: ArcSwap<HashMap<ShardId, ReplicaSet>>,
@@ -20,12 +20,12 @@
 }
 
 impl ReplicaSetCache {
-    /// The set last met for a shard.
+    /// Returns the latest known set of a shard.
     pub fn get(&self, shard: &ShardId) -> Option<ReplicaSet> {
         self.sets.load().get(shard).cloned()
     }
 
-    /// Keeps a set, unless a later one is kept.
+    /// Stores a set unless a later generation is known.
     pub fn put(&self, set: &ReplicaSet) {
         self.sets.rcu(|sets| {
             let mut sets = HashMap::clone(sets);
@@ -37,7 +37,7 @@
         });
     }
 
-    /// Forgets a set that led nowhere, so that it is looked for again.
+    /// Removes a set that did not work, so that it is looked up again.
     pub fn remove(&self, shard: &ShardId) {
         self.sets.rcu(|sets| {
             let mut sets = HashMap::clone(sets);
@@ -46,25 +46,25 @@
         });
     }
 
-    /// How long no store has come that was not seen before, while a shard has too few.
-    pub(super) fn short_for(&self, shard: &ShardId, stores: &[SetMember]) -> Duration {
+    /// Returns how long a shard with too few stores has seen no new store. `stores` are the live ones.
+    pub(super) fn shortage_duration(&self, shard: &ShardId, stores: &[SetMember]) -> Duration {
         let mut shortages = self.shortages.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let none = || Shortage { seen: HashSet::new(), since: now };
+        let none = || Shortage { seen_stores: HashSet::new(), since: now };
         let shortage = shortages.entry(shard.clone()).or_insert_with(none);
-        let before = shortage.seen.len();
-        shortage.seen.extend(stores.iter().map(|member| member.store.clone()));
-        if shortage.seen.len() > before {
+        let before = shortage.seen_stores.len();
+        shortage.seen_stores.extend(stores.iter().map(|member| member.store.clone()));
+        if shortage.seen_stores.len() > before {
             shortage.since = now;
         }
         shortage.since.elapsed()
     }
 }
 
-/// Fewer stores than a shard should have, as this node has seen them.
+/// State of a shard with too few stores.
 #[derive(Debug)]
 struct Shortage {
-    seen: HashSet<StoreId>,
-    /// When the last of them was seen first.
+    seen_stores: HashSet<StoreId>,
+    /// Time at which the last new store was seen.
     since: Instant,
 }
--- a/crates/daemon/src/store/replica_sets.rs
+++ b/crates/daemon/src/store/replica_sets.rs
@@ -1,7 +1,7 @@
-//! Finds the store replicas of a shard, and chooses the first ones.
+//! Finds the replica set of a shard, or chooses the first one.
 //!
-//! A set that is out of date does no harm: its members are sealed, refuse, and name their successor. So any
-//! source will do, and the ones that need no platform are asked first: this node's cache, the stores, then
+//! An outdated set is harmless: its members are sealed, refuse requests and name the next set. Any source may
+//! therefore be used, and those that don't need the platform come first: this node's cache, the stores, then
 //! the document.
 
 mod document;
@@ -19,10 +19,11 @@
 use crate::cluster::Member;
 use crate::context::Context;
 
-/// The replica set of a shard; chosen now where it has none.
+/// Returns the replica set of a shard; chooses one if it has none.
 ///
 /// # Errors
-/// When no store knows the shard and the platform doesn't help.
+/// Returns an error if no store knows the shard and the platform can't be read or written, or if too few
+/// stores are live for a first set.
 pub async fn find(context: &Context, shard: &ShardId) -> Result<ReplicaSet, ReplicaSetError> {
     if let Some(set) = find_among_stores(context, shard).await {
         return Ok(set);
@@ -32,20 +33,20 @@
     Ok(set)
 }
 
-/// Whether the platform says that it holds no set of a shard; not where it gives no answer.
-pub(crate) async fn is_unwritten(context: &Context, shard: &ShardId) -> bool {
+/// Returns whether the platform confirms that it has no set of a shard; `false` if it does not answer.
+pub(crate) async fn has_no_document(context: &Context, shard: &ShardId) -> bool {
     let Ok(client) = DocumentClient::from_settings(&context.settings) else { return false };
     matches!(read(&client, shard).await, Ok(None))
 }
 
-/// Live stores that could be members of a shard's set.
+/// Returns the live stores that are candidates for a shard's set.
 pub(crate) async fn candidates(context: &Context, shard: &ShardId) -> Vec<SetMember> {
     let asked = store_nodes(context, shard);
     let answers = asked.iter().map(|member| candidate(context, member));
     join_all(answers).await.into_iter().flatten().collect()
 }
 
-/// Live stores in the regions where the shard may be kept.
+/// Returns the nodes of live stores in the regions where the shard may be stored.
 fn store_nodes(context: &Context, shard: &ShardId) -> Vec<Member> {
     let regions = regions_of(shard);
     let allows = |member: &&Member| regions.allows_zone(&context.settings.places.zones, member.zone.as_str());
@@ -61,7 +62,7 @@
     Some(SetMember { store, node, zone, address: member.peer_address.to_string() })
 }
 
-/// The replica set of a shard as this node or a live store knows it; the platform is not asked.
+/// Returns the replica set of a shard that this node or a live store knows; does not ask the platform.
 pub(crate) async fn find_among_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
     if let Some(set) = context.replica_sets.get(shard) {
         return Some(set);
@@ -71,7 +72,7 @@
     Some(set)
 }
 
-/// The latest set that any live store knows.
+/// Returns the latest set that any live store knows.
 pub(crate) async fn query_stores(context: &Context, shard: &ShardId) -> Option<ReplicaSet> {
     let deadline = context.settings.store.call_timeout;
     let nodes = store_nodes(context, shard);
@@ -90,13 +91,13 @@
     if let Some(stored) = read(&client, shard).await? {
         return Ok(stored.document.current);
     }
-    let set = choose_first(context, shard, &candidates(context, shard).await)?;
+    let set = choose_first_set(context, shard, &candidates(context, shard).await)?;
     let written = write(&client, shard, None, &ReplicaSetDocument::settled(set)).await;
-    // Whoever was first, or whatever became of a lost reply: what the object API holds now is the set.
+    // The stored document is authoritative, whether another node wrote first or the reply was lost.
     let stored = read(&client, shard).await?;
     let Some(stored) = stored else {
         written?;
-        return Err(ReplicaSetError::NotKept);
+        return Err(ReplicaSetError::WriteLost);
     };
     let set = stored.document.current;
     let is_small = set.members.len() < context.settings.store.set_size.members();
@@ -109,9 +110,9 @@
     Ok(set)
 }
 
-/// The first set of a shard. One smaller than wanted only after others were waited for: what is decided
-/// before the set has grown tolerates fewer losses.
-fn choose_first(
+/// Chooses the first set of a shard. A set smaller than wanted is chosen only after waiting for more stores,
+/// since it tolerates fewer losses until it has grown.
+fn choose_first_set(
     context: &Context,
     shard: &ShardId,
     candidates: &[SetMember],
@@ -120,7 +121,7 @@
     let set = policy.first_set(shard, candidates)?;
     let (live, wanted) = (set.members.len(), policy.target.members());
     let small_set_after = context.settings.store.small_set_after;
-    if live < wanted && context.replica_sets.short_for(shard, candidates) < small_set_after {
+    if live < wanted && context.replica_sets.shortage_duration(shard, candidates) < small_set_after {
         return Err(ReplicaSetError::WaitingForStores { live, wanted, small_set_after });
     }
     Ok(set)
--- a/crates/daemon/src/store/replica_sets/document.rs
+++ b/crates/daemon/src/store/replica_sets/document.rs
@@ -1,5 +1,6 @@
-//! The document of a shard's replica set: read and written at the object API, or at the platform's metadata store where
-//! one is named in the settings. A write names the version that it is based on, so that of two writers one wins.
+//! Document of a shard's replica set, stored at the object API or, if one is configured, at the platform's
+//! metadata store. Each write names the version that it is based on, so that only one of two concurrent
+//! writers succeeds.
 
 use lichenpulley_core::identity::{Revision, ShardId};
 use lichenpulley_core::replication::replica_set::ReplicaSetDocument;
@@ -9,10 +10,10 @@
 use crate::metadata::client::MetadataClient;
 use crate::settings::Settings;
 
-/// Where the object API holds the replica sets of shards; also the kind under which a metadata store holds them.
+/// Key prefix of the documents at the object API, and their kind in the metadata store.
 const KIND: &str = "replica-sets";
 
-/// What keeps the documents of replica sets: the object API, or the platform's metadata store where one is named.
+/// Client of the object API or, if one is configured, of the platform's metadata store.
 #[derive(Clone, Debug)]
 pub(in crate::store) enum DocumentClient {
     Objects(ObjectClient),
@@ -20,7 +21,7 @@
 }
 
 impl DocumentClient {
-    /// A client by the settings of this node.
+    /// Creates a client from the settings of this node.
     pub(in crate::store) fn from_settings(settings: &Settings) -> Result<Self, ReplicaSetError> {
         if let Some(client) = MetadataClient::from_settings(settings) {
             return Ok(Self::Metadata(client));
@@ -59,14 +60,14 @@
     }
 }
 
-/// A replica set document and the version under which the object API holds it.
+/// Replica set document with its stored version.
 #[derive(Clone, Debug)]
 pub(in crate::store) struct StoredDocument {
     pub(in crate::store) document: ReplicaSetDocument,
     pub(in crate::store) version: Revision,
 }
 
-/// Reads a shard's document.
+/// Reads a shard's document; `None` if it does not exist.
 pub(in crate::store) async fn read(
     client: &DocumentClient,
     shard: &ShardId,
@@ -78,7 +79,7 @@
     Ok(Some(StoredDocument { document, version }))
 }
 
-/// Writes a shard's document if its version is still `base`.
+/// Writes a shard's document if its version is still `base`; `None` requires that it does not exist yet.
 pub(in crate::store) async fn write(
     client: &DocumentClient,
     shard: &ShardId,
@@ -96,7 +97,7 @@
     format!("{KIND}/{shard}")
 }
 
-/// A name within a kind holds no slash.
+/// Returns the name in the metadata store, where names can't contain slashes.
 fn document_name(shard: &ShardId) -> String {
     shard.as_str().replace('/', ".")
 }
--- a/crates/daemon/src/store/replica_sets/error.rs
+++ b/crates/daemon/src/store/replica_sets/error.rs
@@ -1,4 +1,4 @@
-//! Why no replica set is known.
+//! Errors of looking up a replica set.
 
 use std::time::Duration;
 
@@ -6,43 +6,43 @@
 
 use crate::configuration::platform::{PlatformError, WriteError};
 
-/// Why no replica set is known.
+/// Error of looking up or choosing a replica set.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaSetError {
-    /// No object API is named in the settings, and no store knows the shard.
-    #[error("no store knows the shard and no object API is set; set platform.object_api")]
+    /// No store knows the shard, and no object API is configured.
+    #[error("no store knows the shard and no object API is configured; set platform.object_api")]
     NoObjectApi,
-    /// The object API gave no answer, and no store knows the shard.
+    /// No store knows the shard, and the object API did not answer.
     #[error("no store knows the shard: {0}")]
     Platform(#[from] PlatformError),
-    /// The object API did not keep the document, or may have kept it or not.
-    #[error("the replica set's document: {0}")]
+    /// The document was not written, or the result of the write is unknown.
+    #[error("writing the replica set document: {0}")]
     Write(#[from] WriteError),
-    /// The object holds something else.
-    #[error("the object {key} is no replica set: {source}; mend or delete it")]
+    /// The object does not contain a replica set.
+    #[error("the object {key} is not a replica set: {source}; correct or delete it")]
     Unreadable {
         /// The object's key.
         key: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: serde_json::Error,
     },
-    /// What was written is not there.
-    #[error("the first replica set was taken and is not kept; it is written again")]
-    NotKept,
-    /// There are fewer stores than the smallest set has members.
+    /// The document was written but can't be read back.
+    #[error("the first replica set was written but can't be read back; the write is repeated")]
+    WriteLost,
+    /// Fewer stores are live than the smallest set needs.
     #[error("{0}, or lower store.tolerated_losses")]
     TooFewStores(#[from] TooFewStores),
-    /// There are fewer stores than a set should have, and others may be about to come.
+    /// Fewer stores are live than a set should have, and more may appear.
     #[error(
-        "{live} stores answer and {wanted} are wanted; a smaller set is made once no other store has come for \
-         {small_set_after:?} (store.small_set_after_ms)"
+        "{live} stores answer and {wanted} are wanted; a smaller set is created once no new store has appeared \
+         for {small_set_after:?} (store.small_set_after_ms)"
     )]
     WaitingForStores {
-        /// How many answer.
+        /// Number of live stores.
         live: usize,
-        /// Members of a set, by the settings.
+        /// Configured number of members.
         wanted: usize,
-        /// How long others are waited for.
+        /// Time without a new store after which a smaller set is created.
         small_set_after: Duration,
     },
 }
--- a/crates/daemon/src/store/shard_log.rs
+++ b/crates/daemon/src/store/shard_log.rs
@@ -1,8 +1,9 @@
-//! A shard's log as its owner uses it: every record is on disk at a majority of the shard's store replicas
-//! before `append` returns, and an owner that has been superseded can append nothing.
+//! Replicated log of a shard for its owner. `append` returns after the records are on disk at a majority of
+//! the shard's store replicas; a superseded owner can't append.
 //!
-//! Owns the proposer of one shard and its exchange with the stores; `take_over`, `set_change` and `driver` hold its steps.
-//! Relies on the core's `replication::proposer` for every decision, and on `replica_sets` to find the stores.
+//! [`ShardLog`] owns the proposer of one shard and its exchange with the stores; the submodules implement its
+//! steps. The core's `replication::proposer` makes the protocol decisions, and `replica_sets` finds the
+//! stores.
 
 mod driver;
 mod error;
@@ -21,74 +22,72 @@
 use super::last_answer::LastAnswer;
 use crate::context::Context;
 
-/// How many call timeouts a take-over or an append may last without any answer. Chosen, not measured: too few, and a burst
-/// of slow answers ends an owner; too many, and one that is cut off keeps its callers waiting.
+/// Number of call timeouts without any answer after which a takeover or an append fails.
 const SILENCE_TIMEOUTS: u32 = 4;
-/// How many call timeouts they may last in all: a long log is read in many pages, and a snapshot written in many parts.
-/// Traced on the grown deployment: a log of 55 MB was read in 3.2 to 9 s, and a snapshot of 48 MB was not written within four
-/// call timeouts. The number itself is chosen: too many delays only a step that makes no progress although stores answer.
+/// Number of call timeouts after which a takeover or an append fails although stores answer. A long log is
+/// read in many pages and a snapshot is written in many parts.
 const STEP_TIMEOUTS: u32 = 60;
 
-/// An owner's handle on a shard's log.
+/// Handle of an owner to its shard's log.
 pub struct ShardLog {
     context: Context,
     shard: ShardId,
     proposer: Proposer,
     exchange: StoreExchange,
     origin: Instant,
-    /// When a store last answered.
-    answered_at: Instant,
-    /// The same for other tasks.
+    /// Time of the last answer of a store in this step.
+    last_answered_at: Instant,
+    /// Time of the last answer, shared with other tasks.
     last_answer: LastAnswer,
-    /// The set that has to be brought into force first.
+    /// The set that must come into force before this log can be used.
     replaced_by: Option<ReplicaSet>,
 }
 
 impl ShardLog {
-    /// The epoch under which this owner acts; every order it sends carries it.
+    /// Returns the epoch of this owner, which every order that it sends carries.
     pub fn epoch(&self) -> Epoch {
         self.proposer.epoch()
     }
 
-    /// Appends records, all or none acknowledged. After an error other than `DiskFull` the owner must take the
-    /// shard over again before it goes on.
+    /// Appends records atomically. After an error other than `DiskFull` the owner must take the shard over
+    /// again before it continues.
     ///
     /// # Errors
-    /// When superseded, without a majority, or without room.
+    /// Returns an error if the owner is superseded, no majority answers or the disks are full.
     pub async fn append(&mut self, records: Vec<Vec<u8>>) -> Result<(), ShardLogError> {
         if records.is_empty() {
             return Ok(());
         }
-        let through = self.proposer.append(records).map_err(|refusal| self.refused(refusal))?;
-        self.decide(through).await
+        let through = self.proposer.append(records).map_err(|refusal| self.append_error(refusal))?;
+        self.wait_until_decided(through).await
     }
 
-    fn superseded(&self, highest: Epoch) -> ShardLogError {
+    fn superseded_error(&self, highest: Epoch) -> ShardLogError {
         let decision = Decision::new(Component::Replication, "superseded", "higher_epoch", &self.shard);
         self.context.decisions.record(decision.with("epoch", self.epoch()).with("highest", highest));
         ShardLogError::Superseded { shard: self.shard.clone(), highest }
     }
 
-    /// When the stores last answered.
+    /// Returns the shared time of the last answer.
     pub fn last_answer(&self) -> LastAnswer {
         self.last_answer.clone()
     }
 
-    /// The replica set in use.
+    /// Returns the current replica set.
     pub fn set(&self) -> &ReplicaSet {
         self.proposer.set()
     }
 
-    /// Replaces all records appended so far by a snapshot of what they amount to.
+    /// Replaces all records appended so far by a snapshot of the state that they produce.
     ///
     /// # Errors
-    /// As for `append`.
+    /// Returns the same errors as `append`.
     pub async fn compact(&mut self, snapshot: Vec<u8>) -> Result<(), ShardLogError> {
-        let through = self.proposer.compact(&snapshot).map_err(|refusal| self.refused(refusal))?;
-        self.decide(through).await
+        let through = self.proposer.compact(&snapshot).map_err(|refusal| self.append_error(refusal))?;
+        self.wait_until_decided(through).await
     }
 
-    fn refused(&self, refusal: AppendError) -> ShardLogError {
+    fn append_error(&self, refusal: AppendError) -> ShardLogError {
         match refusal {
             AppendError::DiskFull => {
                 let decision =
@@ -96,11 +95,11 @@
                 self.context.decisions.record(decision.with("epoch", self.epoch()));
                 ShardLogError::DiskFull { shard: self.shard.clone() }
             }
-            AppendError::NotLeading | AppendError::Undecided => self.no_majority(),
+            AppendError::NotLeading | AppendError::Undecided => self.no_majority_error(),
         }
     }
 
-    fn no_majority(&self) -> ShardLogError {
+    fn no_majority_error(&self) -> ShardLogError {
         self.context.replica_sets.remove(&self.shard);
         ShardLogError::NoMajority {
             shard: self.shard.clone(),
@@ -109,21 +108,21 @@
         }
     }
 
-    fn ended(&mut self, reason: EndReason) -> ShardLogError {
+    fn end_error(&mut self, reason: EndReason) -> ShardLogError {
         match reason {
-            EndReason::Superseded { highest } => self.superseded(highest),
+            EndReason::Superseded { highest } => self.superseded_error(highest),
             EndReason::Replaced { next } => {
-                log::info!(target: "store", "Shard {}: generation {} follows.", self.shard, next.generation);
+                log::info!(target: "store", "Shard {}: the replica set was replaced by generation {}.", self.shard, next.generation);
                 self.replaced_by = Some(next);
-                self.no_majority()
+                self.no_majority_error()
             }
             EndReason::NotInstalled => {
                 self.replaced_by = Some(self.proposer.set().clone());
-                self.no_majority()
+                self.no_majority_error()
             }
             EndReason::Damaged { store } => {
-                log::error!(target: "store", "Shard {}: store {store} lacks decided entries.", self.shard);
-                self.no_majority()
+                log::error!(target: "store", "Shard {}: store {store} is missing decided entries; replace it.", self.shard);
+                self.no_majority_error()
             }
         }
     }
--- a/crates/daemon/src/store/shard_log/driver.rs
+++ b/crates/daemon/src/store/shard_log/driver.rs
@@ -1,6 +1,6 @@
-//! Carries the proposer's requests to the stores and their answers back until it has something to report.
+//! Exchanges messages between the proposer and the stores until the proposer reports an event.
 //!
-//! Gives up when no store has answered for a while, or when the whole step takes too long.
+//! A step fails if no store answers for some time or if it takes too long in total.
 
 use std::time::Duration;
 
@@ -11,54 +11,53 @@
 
 use super::{SILENCE_TIMEOUTS, STEP_TIMEOUTS, ShardLog, ShardLogError};
 
-/// Pause before a replica that could not be reached is tried again. Chosen, not measured: shorter costs connections to a
-/// store that is down, longer delays the answer of one that restarts.
+/// Delay before an unreachable replica is tried again.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(100);
 
-/// When a step without a decision is given up: once no store has answered for `quiet`, and at `limit` in any case.
+/// Time limits of a step: it fails once no store has answered for `silence`, and at `limit` in any case.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StepTimeout {
-    pub(super) quiet: Duration,
+    pub(super) silence: Duration,
     pub(super) limit: Instant,
 }
 
 impl StepTimeout {
-    pub(super) fn deadline(self, answered_at: Instant) -> Instant {
-        self.limit.min(answered_at + self.quiet)
+    pub(super) fn deadline(self, last_answered_at: Instant) -> Instant {
+        self.limit.min(last_answered_at + self.silence)
     }
 }
 
 impl ShardLog {
-    pub(super) async fn decide(&mut self, through: LogIndex) -> Result<(), ShardLogError> {
+    pub(super) async fn wait_until_decided(&mut self, through: LogIndex) -> Result<(), ShardLogError> {
         let timeout = self.context.settings.store.call_timeout;
-        self.answered_at = Instant::now();
-        // A snapshot takes many requests: it goes on while stores take them.
+        self.last_answered_at = Instant::now();
+        // A snapshot needs many requests, so it may continue as long as stores answer.
         let limit = Instant::now() + timeout * STEP_TIMEOUTS;
-        let step_timeout = StepTimeout { quiet: timeout * SILENCE_TIMEOUTS, limit };
+        let step_timeout = StepTimeout { silence: timeout * SILENCE_TIMEOUTS, limit };
         while self.proposer.decided_through() < through {
             self.next_event(step_timeout).await?;
         }
         Ok(())
     }
 
-    /// Exchanges messages until the proposer has something to report.
+    /// Exchanges messages until the proposer reports an event.
     pub(super) async fn next_event(
         &mut self,
         step_timeout: StepTimeout,
     ) -> Result<ProposerEvent, ShardLogError> {
         loop {
             match self.proposer.poll_event() {
-                Some(ProposerEvent::Ended(reason)) => return Err(self.ended(reason)),
+                Some(ProposerEvent::Ended(reason)) => return Err(self.end_error(reason)),
                 Some(event) => return Ok(event),
                 None => {}
             }
             self.transmit();
-            let deadline = step_timeout.deadline(self.answered_at);
+            let deadline = step_timeout.deadline(self.last_answered_at);
             if Instant::now() >= deadline {
                 self.proposer.stop();
-                return Err(self.no_majority());
+                return Err(self.no_majority_error());
             }
-            self.wait(deadline).await;
+            self.wait_for_answer(deadline).await;
         }
     }
 
@@ -69,8 +68,8 @@
         }
     }
 
-    /// Waits for an answer or for the time to send again.
-    async fn wait(&mut self, deadline: Instant) {
+    /// Waits for an answer or for the next retransmission.
+    async fn wait_for_answer(&mut self, deadline: Instant) {
         let retry =
             self.proposer.poll_timeout().map(|at| self.origin + Duration::from_micros(at.as_micros()));
         let until = retry.map_or(deadline, |retry| retry.min(deadline));
@@ -78,7 +77,7 @@
         let now = self.now();
         match answer.response {
             Some(response) => {
-                self.answered_at = Instant::now();
+                self.last_answered_at = Instant::now();
                 self.last_answer.record();
                 self.proposer.step(now, response);
             }
--- a/crates/daemon/src/store/shard_log/take_over.rs
+++ b/crates/daemon/src/store/shard_log/take_over.rs
@@ -1,5 +1,5 @@
-//! Taking a shard's log over: finds its stores, raises the epoch and reads what earlier owners got decided; finishes a
-//! change of the stores that it meets.
+//! Takeover of a shard's log: finds its stores, raises the epoch, recovers the entries of earlier owners and
+//! finishes an interrupted replica set change.
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::{Epoch, ShardId};
@@ -16,11 +16,12 @@
 use crate::store::{RETRANSMIT_MARGIN, replica_sets};
 
 impl ShardLog {
-    /// Raises the shard's epoch at a majority of its store replicas, finishes what an earlier owner may have
-    /// decided, and returns all of it. Needs no platform once the shard has replicas.
+    /// Raises the shard's epoch at a majority of its store replicas, completes entries that an earlier owner
+    /// may have had decided, and returns the whole log. Does not need the platform once the shard has
+    /// replicas.
     ///
     /// # Errors
-    /// When another owner is ahead or no majority answers.
+    /// Returns an error if another owner has a higher epoch or no majority answers.
     pub async fn take_over(
         context: &Context,
         shard: &ShardId,
@@ -28,11 +29,12 @@
         Self::take_over_from(context, shard, KnownLog::default()).await
     }
 
-    /// The same for an owner that knows what is decided up to a position; recovers what follows. Where that has been
-    /// replaced by a snapshot, the snapshot is recovered too.
+    /// Takes over like [`Self::take_over`], for an owner that knows the decided entries up to a position;
+    /// recovers the entries after it. If that position has been replaced by a snapshot, the snapshot is
+    /// recovered too.
     ///
     /// # Errors
-    /// As for [`Self::take_over`].
+    /// Returns the same errors as [`Self::take_over`].
     pub(crate) async fn take_over_from(
         context: &Context,
         shard: &ShardId,
@@ -40,36 +42,37 @@
     ) -> Result<(Self, RecoveredLog), ShardLogError> {
         let timeout = context.settings.store.call_timeout;
         let limit = Instant::now() + timeout * STEP_TIMEOUTS;
-        let mut at_least = Epoch(1);
+        let mut min_epoch = Epoch(1);
         loop {
             let deadline = Instant::now() + timeout * SILENCE_TIMEOUTS;
-            let mut log = Self::begin(context, shard, deadline, known, at_least).await?;
-            match log.recover(StepTimeout { quiet: timeout * SILENCE_TIMEOUTS, limit }).await {
+            let mut log = Self::prepare_take_over(context, shard, deadline, known, min_epoch).await?;
+            match log.recover(StepTimeout { silence: timeout * SILENCE_TIMEOUTS, limit }).await {
                 Ok(recovered) => {
-                    log.record_taken_over(&recovered);
+                    log.record_take_over(&recovered);
                     let chosen = recovered.next_set.as_ref();
-                    let open = chosen.filter(|next| next.generation > log.proposer.set().generation);
-                    if let Some(next) = open {
-                        // An owner before chose the next set and did not bring it into force.
+                    let unfinished = chosen.filter(|next| next.generation > log.proposer.set().generation);
+                    if let Some(next) = unfinished {
+                        // An earlier owner had the next set decided but did not install it.
                         log.continue_in(next).await?;
                     }
                     return Ok((log, recovered));
                 }
                 Err(error) => {
-                    log.follow_replacement().await.ok_or(error)?;
-                    // The ballot before may have accepted entries in the old set: it is not used again.
-                    at_least = log.epoch().next();
+                    log.finish_replacement().await.ok_or(error)?;
+                    // Entries may have been accepted in the old set under the previous ballot, so that ballot
+                    // must not be reused.
+                    min_epoch = log.epoch().next();
                 }
             }
         }
     }
 
-    async fn begin(
+    async fn prepare_take_over(
         context: &Context,
         shard: &ShardId,
         deadline: Instant,
         known: KnownLog,
-        at_least: Epoch,
+        min_epoch: Epoch,
     ) -> Result<Self, ShardLogError> {
         let found = tokio::time::timeout_at(deadline, replica_sets::find(context, shard)).await;
         let set = match found {
@@ -90,10 +93,10 @@
         Ok(Self {
             context: context.clone(),
             shard: shard.clone(),
-            proposer: Proposer::new(set, proposer, at_least, config).with_known(known),
+            proposer: Proposer::new(set, proposer, min_epoch, config).with_known(known),
             exchange: StoreExchange::new(context.clone()),
             origin: Instant::now(),
-            answered_at: Instant::now(),
+            last_answered_at: Instant::now(),
             last_answer: LastAnswer::start(),
             replaced_by: None,
         })
@@ -107,7 +110,7 @@
         }
     }
 
-    fn record_taken_over(&self, recovered: &RecoveredLog) {
+    fn record_take_over(&self, recovered: &RecoveredLog) {
         let decision = Decision::new(Component::Replication, "taken_over", "majority_promised", &self.shard);
         let decision = decision
             .with("epoch", self.epoch())
--- a/crates/daemon/src/store/thread.rs
+++ b/crates/daemon/src/store/thread.rs
@@ -1,21 +1,19 @@
-//! The life of the store's thread.
-//!
-//! Owns the thread's handle; the folder is free once the last handle of the store is dropped.
+//! Join handle of the store thread. Dropping the last handle of the store frees its folder.
 
 use std::thread::{Builder, JoinHandle};
 
 use super::StoreError;
 
-/// The thread that owns the store's file, which ends when nobody can send it work any more.
+/// Handle of the thread that owns the store file. The thread ends once all senders of its queue are dropped.
 ///
-/// Dropping it waits for that end, so that the folder is free once the node has ended. The senders of work
-/// must be gone by then: a struct that holds both names them in that order.
+/// Dropping this waits for the thread, so that the folder is free afterwards. The senders must be dropped
+/// first: a struct with both fields declares the sender before the thread.
 pub(super) struct StoreThread {
     handle: Option<JoinHandle<()>>,
 }
 
 impl StoreThread {
-    /// Starts the thread.
+    /// Starts the thread with `work` as its body.
     pub(super) fn start(work: impl FnOnce() + Send + 'static) -> Result<Self, StoreError> {
         let handle = Builder::new().name("store".to_owned()).spawn(work).map_err(StoreError::Thread)?;
         Ok(Self { handle: Some(handle) })
@@ -26,7 +24,7 @@
     fn drop(&mut self) {
         let Some(handle) = self.handle.take() else { return };
         if handle.join().is_err() {
-            log::error!(target: "store", "The store's thread panicked; its file is checked at the next start.");
+            log::error!(target: "store", "The store thread panicked; the store file is verified at the next start.");
         }
     }
 }
--- a/crates/daemon/src/store/transaction.rs
+++ b/crates/daemon/src/store/transaction.rs
@@ -1,6 +1,7 @@
-//! One transaction on the store's file, as the acceptor sees it.
+//! Transaction on the store file, as the storage of the acceptor.
 //!
-//! Owns the open tables and the count of used bytes, which is written in the same transaction as the records.
+//! It owns the open tables and the count of used bytes, which is written in the same transaction as the
+//! records.
 
 use lichenpulley_core::identity::{RequestId, ShardId};
 use lichenpulley_core::replication::claims::ClaimRecord;
@@ -20,14 +21,13 @@
 const USAGE: TableDefinition<&str, u64> = TableDefinition::new("usage");
 const USED_BYTES_KEY: &str = "used_bytes";
 
-/// The part of the capacity that records may fill, in quarters; the rest is for snapshots and recovery.
-/// Chosen, not measured: with more, a full disk leaves no room for the snapshot that would free it.
+/// Share of the capacity for records, in quarters. The rest is reserved for the snapshots that free a full
+/// disk, and for recovery.
 const RECORD_QUARTERS: u64 = 3;
-/// Bytes that a claim counts for besides its names: two keys, checksums, page overhead, rounded up. Chosen,
-/// not measured: too little fills the disk before the limit is met.
+/// Bytes counted for a claim in addition to its strings: two keys, checksums and page overhead, rounded up.
 const CLAIM_OVERHEAD_BYTES: u64 = 192;
 
-/// An open transaction.
+/// Open transaction with its tables.
 pub(super) struct Transaction<'a> {
     groups: Table<'a, &'static str, &'static [u8]>,
     entries: Table<'a, (&'static str, u64), &'static [u8]>,
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Transaction<'a> {
-    /// Makes the tables of a new file.
+    /// Creates the tables of a new file.
     pub(super) fn create_tables(write: &WriteTransaction) -> Result<(), DiskError> {
         Transaction::open(write, 0)?;
         Ok(())
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Ends the transaction; tells whether there is anything to commit.
+    /// Writes the count of used bytes and returns whether there is anything to commit.
     pub(super) fn finish(mut self) -> Result<bool, DiskError> {
         if self.changed {
             self.usage.insert(USED_BYTES_KEY, self.used_bytes)?;
@@ -69,7 +69,7 @@
         Ok(self.changed)
     }
 
-    /// Shards that the store has a part in.
+    /// Returns the shards that have a replica in this store.
     pub(super) fn shards(&self) -> Result<Vec<ShardId>, DiskError> {
         let mut shards = Vec::new();
         for row in self.groups.iter()? {
@@ -78,12 +78,12 @@
         Ok(shards)
     }
 
-    /// Whether anything was written.
+    /// Returns whether anything was written.
     pub(super) fn is_changed(&self) -> bool {
         self.changed
     }
 
-    /// Bytes that entries and claims count for.
+    /// Returns the bytes counted for entries and claims.
     pub(super) fn used_bytes(&self) -> u64 {
         self.used_bytes
     }
--- a/crates/daemon/src/store/worker.rs
+++ b/crates/daemon/src/store/worker.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the store's file.
+//! Thread that owns the store file and runs requests on it.
 //!
-//! Requests that wait are done in one transaction, so that one sync of the disk serves them all. No answer
-//! leaves before the transaction is on disk.
+//! Queued requests share one transaction, so that one disk sync serves them all. Answers are sent only after
+//! the transaction is on disk.
 
 use std::time::{Duration, Instant};
 
@@ -24,49 +24,47 @@
 use super::transaction::Transaction;
 use crate::decisions::unix_milliseconds;
 
-/// Requests done in one transaction at most. Chosen, not measured: more lengthen a transaction and with it
-/// the wait of those that come next, fewer cost syncs.
+/// Maximum number of requests in one transaction.
 const BATCH_LIMIT: usize = 256;
-/// Pause before the file is opened again after the disk failed. Chosen, not measured: it keeps the thread
-/// from spinning on a disk that fails at once.
+/// Delay after a failed attempt to reopen the file.
 const REOPEN_PAUSE: Duration = Duration::from_millis(200);
 
-/// What the thread is asked to do.
+/// Operation for the store thread.
 #[derive(Clone, Debug)]
 pub(super) enum Work {
-    /// A request of a peer.
+    /// Request of a peer for a replica of this store.
     Replica(Box<ReplicaRequest>),
-    /// Which replica set of a shard is known here.
+    /// Query for the replica set of a shard.
     KnownSet(ShardId),
-    /// Who leads a shard.
+    /// Query for the leader of a shard.
     Leadership(ShardId),
-    /// The leader of a shard under this ballot is at work.
+    /// Heartbeat of the leader of a shard under this ballot.
     LeaderAlive { shard: ShardId, ballot: Ballot },
-    /// The store's part in each of its shards.
+    /// Query for the group records of all shards with a replica here.
     Groups,
-    /// Adds decided entries.
+    /// Addition of decided entries that the replica has missed.
     Repair { shard: ShardId, generation: Generation, entries: Vec<IndexedEntry> },
-    /// Drops claims past their retention.
-    ForgetExpiredClaims,
+    /// Removal of claims older than the retention period.
+    RemoveExpiredClaims,
 }
 
-/// What came of it.
+/// Result of [`Work`].
 #[derive(Clone, Debug)]
-pub(super) enum Done {
+pub(super) enum WorkResult {
     Response(StoreResponse),
     Groups(Vec<GroupRecord>),
     Repaired(LogIndex),
-    Forgotten,
+    ClaimsRemoved,
     Failed,
 }
 
-/// Work and where its result goes.
+/// Operation with the channel for its result.
 pub(super) struct Job {
     pub(super) work: Work,
-    pub(super) reply: oneshot::Sender<Done>,
+    pub(super) reply: oneshot::Sender<WorkResult>,
 }
 
-/// The state of the thread.
+/// State of the store thread.
 pub(super) struct Worker {
     disk: Option<Disk>,
     acceptor: Acceptor,
@@ -79,7 +77,7 @@
         Self { disk: Some(disk), acceptor, metrics, leaders: Leaders::new() }
     }
 
-    /// Works until every sender is gone.
+    /// Processes jobs until every sender is dropped.
     pub(super) fn run(mut self, mut jobs: mpsc::Receiver<Job>) {
         while let Some(first) = jobs.blocking_recv() {
             let mut batch = vec![first];
@@ -94,7 +92,7 @@
         }
     }
 
-    /// Answers what needs no disk.
+    /// Answers the jobs that need no disk access and removes them from the batch.
     fn answer_from_memory(&mut self, batch: &mut Vec<Job>) {
         let mut remaining = Vec::with_capacity(batch.len());
         for job in batch.drain(..) {
@@ -103,15 +101,15 @@
                     self.leaders.get(shard).map(|known| StoreResponse::Leadership(Some(known)))
                 }
                 Work::LeaderAlive { shard, ballot } => {
-                    self.leaders.alive(shard, ballot);
+                    self.leaders.record_heartbeat(shard, ballot);
                     Some(StoreResponse::Leadership(self.leaders.get(shard)))
                 }
                 _ => None,
             };
             match response {
                 Some(response) => {
-                    // An error only says that the peer has stopped waiting.
-                    let _ = job.reply.send(Done::Response(response));
+                    // Fails only if the peer no longer waits.
+                    let _ = job.reply.send(WorkResult::Response(response));
                 }
                 None => remaining.push(job),
             }
@@ -123,41 +121,41 @@
         let work: Vec<Work> = batch.iter().map(|job| job.work.clone()).collect();
         let results = match self.transact(&work) {
             Ok(results) => results,
-            // One request may have spoilt the transaction for all: each gets its own.
+            // One request may have failed the transaction for all, so each runs in its own.
             Err(_) if work.len() > 1 => work.iter().map(|work| self.run_alone(work)).collect(),
-            Err(error) => work.iter().map(|work| self.failed(work, &error)).collect(),
+            Err(error) => work.iter().map(|work| self.failed_result(work, &error)).collect(),
         };
         for (job, done) in batch.into_iter().zip(results) {
-            self.leaders.learn(&done);
-            // An error only says that the peer has stopped waiting.
+            self.leaders.record_answer(&done);
+            // Fails only if the peer no longer waits.
             let _ = job.reply.send(done);
         }
     }
 
-    fn run_alone(&mut self, work: &Work) -> Done {
+    fn run_alone(&mut self, work: &Work) -> WorkResult {
         match self.transact(std::slice::from_ref(work)) {
-            Ok(mut results) => results.pop().unwrap_or(Done::Failed),
-            Err(error) => self.failed(work, &error),
+            Ok(mut results) => results.pop().unwrap_or(WorkResult::Failed),
+            Err(error) => self.failed_result(work, &error),
         }
     }
 
-    fn transact(&mut self, work: &[Work]) -> Result<Vec<Done>, DiskError> {
+    fn transact(&mut self, work: &[Work]) -> Result<Vec<WorkResult>, DiskError> {
         let Some(disk) = &self.disk else { return Err(DiskError::Failed("the file is closed".to_owned())) };
         let acceptor = &self.acceptor;
         let started_at = self.leaders.started_at;
         let result = disk.transact(|transaction| {
             let done = work.iter().map(|work| perform(acceptor, transaction, work, started_at));
-            let done = done.collect::<Result<Vec<Done>, DiskError>>()?;
+            let done = done.collect::<Result<Vec<WorkResult>, DiskError>>()?;
             Ok((done, transaction.used_bytes(), transaction.is_changed()))
         });
         match result {
             Ok((done, used_bytes, synced)) => {
-                self.metrics.transaction(work.len(), used_bytes, synced);
+                self.metrics.record_transaction(work.len(), used_bytes, synced);
                 Ok(done)
             }
             Err(error) => {
-                self.metrics.failure();
-                log::warn!(target: "store", "A transaction was dropped: {error}.");
+                self.metrics.record_failure();
+                log::warn!(target: "store", "Transaction rolled back: {error}.");
                 self.reopen();
                 Err(error)
             }
@@ -169,19 +167,19 @@
         match disk.reopen() {
             Ok(disk) => self.disk = Some(disk),
             Err(error) => {
-                log::error!(target: "store", "The store's file can't be opened again: {error}.");
+                log::error!(target: "store", "Failed to reopen the store file: {error}.");
                 std::thread::sleep(REOPEN_PAUSE);
             }
         }
     }
 
-    fn failed(&self, work: &Work, error: &DiskError) -> Done {
-        let Work::Replica(request) = work else { return Done::Failed };
+    fn failed_result(&self, work: &Work, error: &DiskError) -> WorkResult {
+        let Work::Replica(request) = work else { return WorkResult::Failed };
         let refusal = match error {
             DiskError::Full => StoreRefusal::DiskFull,
             DiskError::Damaged(_) | DiskError::Failed(_) => StoreRefusal::Damaged,
         };
-        Done::Response(StoreResponse::Replica(Box::new(ReplicaResponse {
+        WorkResult::Response(StoreResponse::Replica(Box::new(ReplicaResponse {
             shard: request.shard.clone(),
             generation: request.generation,
             store: self.acceptor.store().clone(),
@@ -195,40 +193,40 @@
     transaction: &mut Transaction<'_>,
     work: &Work,
     started_at: Instant,
-) -> Result<Done, DiskError> {
+) -> Result<WorkResult, DiskError> {
     let now_unix_ms = unix_milliseconds();
     match work {
         Work::Replica(request) => {
             let response = acceptor.answer(transaction, now_unix_ms, ReplicaRequest::clone(request))?;
-            Ok(Done::Response(StoreResponse::Replica(Box::new(response))))
+            Ok(WorkResult::Response(StoreResponse::Replica(Box::new(response))))
         }
         Work::KnownSet(shard) => {
             let known = transaction.group(shard)?.map(known_set);
-            Ok(Done::Response(StoreResponse::KnownSet(known)))
+            Ok(WorkResult::Response(StoreResponse::KnownSet(known)))
         }
         Work::Leadership(shard) => {
             let promised = transaction.group(shard)?.map(|group| group.position.promised);
             let promised = promised.filter(|promised| promised.epoch > Epoch::default());
             let known = promised.map(|promised| leadership(&promised, started_at));
-            Ok(Done::Response(StoreResponse::Leadership(known)))
+            Ok(WorkResult::Response(StoreResponse::Leadership(known)))
         }
         // Answered from memory.
-        Work::LeaderAlive { .. } => Ok(Done::Response(StoreResponse::Ready)),
+        Work::LeaderAlive { .. } => Ok(WorkResult::Response(StoreResponse::Ready)),
         Work::Groups => {
             let shards = transaction.shards()?;
             let groups = shards.iter().map(|shard| transaction.group(shard));
             let groups = groups.collect::<Result<Vec<_>, DiskError>>()?;
-            Ok(Done::Groups(groups.into_iter().flatten().collect()))
+            Ok(WorkResult::Groups(groups.into_iter().flatten().collect()))
         }
         Work::Repair { shard, generation, entries } => {
             let through = acceptor.repair(transaction, shard, *generation, entries.clone())?;
-            Ok(Done::Repaired(through))
+            Ok(WorkResult::Repaired(through))
         }
-        Work::ForgetExpiredClaims => {
+        Work::RemoveExpiredClaims => {
             for shard in transaction.shards()? {
                 acceptor.remove_expired_claims(transaction, now_unix_ms, &shard)?;
             }
-            Ok(Done::Forgotten)
+            Ok(WorkResult::ClaimsRemoved)
         }
     }
 }
