--- a/crates/daemon/src/ownership/mod.rs
+++ b/crates/daemon/src/ownership/mod.rs
@@ -1,7 +1,7 @@
-//! Where a shard of batch jobs may stand, and who may come to own it.
+//! Selects the nodes that may own a shard of batch jobs or store its log.
 //!
-//! Owns nothing: it reads the members, the settings and the replica sets in the context. The batch jobs choose an owner
-//! by it, and the watchers of the platform's metadata choose those that read for others.
+//! It only reads the members, settings and replica sets in the context. Batch jobs use it to elect an owner,
+//! and the watchers of the platform's metadata to choose the nodes that read for others.
 
 pub(crate) mod order;
 pub(crate) mod scope;
--- a/crates/daemon/src/ownership/order.rs
+++ b/crates/daemon/src/ownership/order.rs
@@ -1,4 +1,5 @@
-//! In which order coordinators come to own a shard of batch jobs, and which of them read for the others.
+//! Order in which coordinators become owners of a shard of batch jobs, and in which they read metadata for
+//! the others.
 
 use std::cmp::Reverse;
 
@@ -9,14 +10,14 @@
 use crate::cluster::{Member, NodeCapacity, rendezvous_weight};
 use crate::store::placement;
 
-/// Whether this node may come to own the shard, or owns it.
+/// Returns whether this node owns the shard or is a candidate for it.
 pub(crate) fn is_candidate(scope: &Scope) -> bool {
     let owns = scope.owner.load().as_ref().is_some_and(|owner| **owner == scope.context.node);
     owns || (scope.context.settings.roles.coordinator && rank(scope) < CANDIDATES)
 }
 
-/// How much a node is preferred as one that reads for others, the same on every node: the most capable
-/// machines first, among equals by their weights.
+/// Preference for a node as a metadata reader, the same on every node: by machine capacity, then by
+/// rendezvous weight.
 type Preference = (NodeCapacity, u64, NodeId);
 
 fn preference(scope: &Scope, node: &NodeId, capacity: NodeCapacity) -> Preference {
@@ -27,13 +28,13 @@
     preference(scope, &member.node, member.capacity)
 }
 
-/// How much a node is preferred as the owner of a shard.
+/// Preference for a node as the owner of a shard.
 type OwnerKey = (bool, NodeCapacity, bool, u64, NodeId);
 
-/// The order of coordinators as owners of the shard: among machines that are alike those go first from which
-/// an append does not cross to another region. The owner of the main shard comes last as the owner of
-/// another, since its machine has enough to do. Time alone hangs on it: nodes that know of different sets may
-/// differ in it.
+/// Order of coordinators as owners of a shard. Of machines with equal capacity, those in the home region come
+/// first, since their appends don't cross regions. The owner of the main shard comes last for other shards,
+/// as its machine is already loaded. The order only affects when a node takes over, so nodes that know
+/// different replica sets may disagree on it.
 struct OwnerOrder<'a> {
     scope: &'a Scope,
     home: Option<RegionName>,
@@ -49,7 +50,7 @@
         self.home.as_ref().is_none_or(|home| region == Some(home))
     }
 
-    fn is_free(&self, node: &NodeId) -> bool {
+    fn is_not_main_owner(&self, node: &NodeId) -> bool {
         let owns_main =
             || self.scope.context.batch_owner.load().as_ref().is_some_and(|owner| **owner == *node);
         self.scope.is_main() || !owns_main()
@@ -57,7 +58,7 @@
 
     fn key(&self, node: &NodeId, capacity: NodeCapacity, zone: &ZoneName) -> OwnerKey {
         let (capacity, weight, name) = preference(self.scope, node, capacity);
-        (self.is_free(node), capacity, self.is_home(zone), weight, name)
+        (self.is_not_main_owner(node), capacity, self.is_home(zone), weight, name)
     }
 
     fn key_of(&self, member: &Member) -> OwnerKey {
@@ -69,22 +70,22 @@
         self.key(&context.node, context.settings.machine.capacity(), &context.zone)
     }
 
-    /// The first of the coordinators that are not `without`.
-    fn first(&self, without: &NodeId) -> Option<Member> {
-        let others = self.scope.coordinators().into_iter().filter(|member| member.node != *without);
+    /// Returns the most preferred coordinator other than `excluded`.
+    fn first_except(&self, excluded: &NodeId) -> Option<Member> {
+        let others = self.scope.coordinators().into_iter().filter(|member| member.node != *excluded);
         others.max_by_key(|member| self.key_of(member))
     }
 }
 
-/// This node's place among the coordinators as owners.
+/// Returns the number of coordinators that are preferred to this node as owners.
 pub(crate) fn rank(scope: &Scope) -> usize {
     let order = OwnerOrder::new(scope);
     let own = order.own_key();
     scope.coordinators().iter().filter(|member| order.key_of(member) > own).count()
 }
 
-/// This node's place among the coordinators, and how many there are. Regions don't count: those that read the
-/// platform's metadata store stand in all of them.
+/// Returns the number of coordinators that are preferred to this node as metadata readers, and the number of
+/// all. Regions are ignored, since metadata readers exist in all of them.
 pub(crate) fn preference_rank(scope: &Scope) -> (usize, usize) {
     let own = preference(scope, &scope.context.node, scope.context.settings.machine.capacity());
     let coordinators = scope.coordinators();
@@ -92,7 +93,7 @@
     (before, coordinators.len())
 }
 
-/// The first coordinators in the order of preference.
+/// Returns the `count` most preferred coordinators as metadata readers.
 pub(crate) fn first_coordinators(scope: &Scope, count: usize) -> Vec<Member> {
     let mut coordinators = scope.coordinators();
     coordinators.sort_by_cached_key(|member| Reverse(preference_of(scope, member)));
@@ -100,12 +101,12 @@
     coordinators
 }
 
-/// The coordinator that should come after this node, or before it.
+/// Returns the most preferred coordinator other than this node.
 pub(crate) fn preferred_successor(scope: &Scope) -> Option<Member> {
-    OwnerOrder::new(scope).first(&scope.context.node)
+    OwnerOrder::new(scope).first_except(&scope.context.node)
 }
 
-/// Whether this node is the first coordinator beside the owner.
+/// Returns whether this node is the most preferred coordinator other than the owner.
 pub(crate) fn is_first_successor(scope: &Scope, owner: &NodeId) -> bool {
-    OwnerOrder::new(scope).first(owner).is_some_and(|next| next.node == scope.context.node)
+    OwnerOrder::new(scope).first_except(owner).is_some_and(|next| next.node == scope.context.node)
 }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -1,4 +1,5 @@
-//! A data folder that an earlier release wrote is read with exact values. `data/README.md` says how it was made.
+//! Tests that a data folder written by an earlier release is read with exact values. `data/README.md`
+//! describes how it was created.
 
 use std::fs;
 use std::time::Duration;
@@ -24,13 +25,13 @@
 use tempfile::TempDir;
 
 const CAPACITY_BYTES: u64 = 1 << 20;
-/// The id that the store drew when the folder was written.
+/// Id of the store that wrote the folder.
 const STORE: &str = "f1d0b0b190c31dacb09030bcab887b8a";
-/// Bytes of a block in the kept form of the file.
+/// Block size of the run-length encoded file, in bytes.
 const BLOCK_BYTES: usize = 64;
 const ISSUED_AT_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// Keeps claims for a century, so that those of the folder never expire.
+/// Returns a claim window of a century, so that the claims in the folder never expire.
 fn window() -> ClaimWindow {
     ClaimWindow {
         retention: Duration::from_secs(100 * 365 * 86_400),
@@ -38,8 +39,8 @@
     }
 }
 
-/// The store's file from its runs of equal blocks: how often a block is repeated, then the block.
-fn unpack(runs: &[u8]) -> Vec<u8> {
+/// Expands the store file from its run-length encoding: a repetition count before each block.
+fn expand_runs(runs: &[u8]) -> Vec<u8> {
     let run = |run: &[u8]| {
         let (count, block) = run.split_first_chunk::<4>().expect("a count");
         block.repeat(u32::from_le_bytes(*count) as usize)
@@ -47,10 +48,10 @@
     runs.chunks_exact(4 + BLOCK_BYTES).flat_map(run).collect()
 }
 
-/// Opens a copy of the folder.
+/// Opens the store in a copy of the folder.
 fn open_copy() -> (TempDir, Store) {
     let copy = TempDir::new().expect("a folder");
-    let file = unpack(include_bytes!("data/replicas.redb.runs"));
+    let file = expand_runs(include_bytes!("data/replicas.redb.runs"));
     fs::write(copy.path().join("replicas.redb"), file).expect("written");
     let store =
         Store::open(copy.path(), CAPACITY_BYTES, window(), &Registry::new()).expect("a readable folder");
@@ -149,7 +150,7 @@
     payloads
 }
 
-/// The entries of a log from a position on.
+/// Returns the entries of a log from a position on.
 fn entries(payloads: Vec<Payload>, from: u64) -> Vec<IndexedEntry> {
     let entry =
         |(index, payload)| IndexedEntry { index: LogIndex(index), entry: Entry { epoch: Epoch(7), payload } };
@@ -185,7 +186,7 @@
     }
 }
 
-async fn ask(store: &Store, shard: &str, generation: u64, operation: Operation) -> ReplicaAnswer {
+async fn query(store: &Store, shard: &str, generation: u64, operation: Operation) -> ReplicaAnswer {
     let (shard, own) = (ShardId::new(shard), store.id().clone());
     let request = ReplicaRequest { shard, generation: Generation(generation), store: own, operation };
     match store.answer(StoreRequest::Replica(Box::new(request))).await {
@@ -201,11 +202,11 @@
     }
 }
 
-async fn log_of(store: &Store, shard: &str) -> (LogPosition, LogIndex, Vec<IndexedEntry>) {
-    let promised = ask(store, shard, 1, Operation::Prepare(ballot())).await;
+async fn read_log(store: &Store, shard: &str) -> (LogPosition, LogIndex, Vec<IndexedEntry>) {
+    let promised = query(store, shard, 1, Operation::Prepare(ballot())).await;
     let ReplicaAnswer::Promised { position, last, .. } = promised else { panic!("no promise: {promised:?}") };
     let read = Operation::Read(Read { ballot: ballot(), from: LogIndex(1) });
-    let read = ask(store, shard, 1, read).await;
+    let read = query(store, shard, 1, read).await;
     let ReplicaAnswer::Entries { entries, .. } = read else { panic!("no entries: {read:?}") };
     (position, last, entries)
 }
@@ -238,14 +239,14 @@
         assert_eq!((leader.epoch, leader.proposer), (ballot().epoch, ballot().proposer));
     }
     let lower = Ballot { epoch: Epoch(6), proposer: ProposerId::new("node-1/1") };
-    let refused = ask(&store, "batch/main", 1, Operation::Prepare(lower)).await;
+    let refused = query(&store, "batch/main", 1, Operation::Prepare(lower)).await;
     assert_eq!(refused, ReplicaAnswer::Refused(StoreRefusal::HigherBallot { promised: ballot() }));
 }
 
 #[tokio::test]
 async fn the_log_of_batch_jobs_is_read() {
     let (_folder, store) = open_copy();
-    let (position, last, found) = log_of(&store, "batch/main").await;
+    let (position, last, found) = read_log(&store, "batch/main").await;
     let expected = LogPosition { promised: ballot(), decided_through: LogIndex(5), ..LogPosition::default() };
     assert_eq!((position, last), (expected, LogIndex(8)));
     assert_eq!(found, entries(batch_payloads(STORE), 1));
@@ -254,15 +255,15 @@
         _ => None,
     });
     assert_eq!(records.collect::<Vec<_>>(), batch_records());
-    let decided = ask(&store, "batch/main", 1, Operation::ReadDecided(LogIndex(1))).await;
+    let decided = query(&store, "batch/main", 1, Operation::ReadDecided(LogIndex(1))).await;
     let ReplicaAnswer::Decided { entries: decided, .. } = decided else { panic!("not decided: {decided:?}") };
     assert_eq!(decided, entries(batch_payloads(STORE), 1)[..5]);
 }
 
 #[tokio::test]
-async fn the_log_of_a_rollout_job_is_read_from_its_first_kept_position() {
+async fn the_log_of_a_rollout_job_is_read_from_its_first_retained_position() {
     let (_folder, store) = open_copy();
-    let (position, last, found) = log_of(&store, "job/pricing").await;
+    let (position, last, found) = read_log(&store, "job/pricing").await;
     let base = LogIndex(2);
     let decided_through = LogIndex(4);
     let expected = LogPosition { promised: ballot(), base, decided_through, ..LogPosition::default() };
@@ -278,29 +279,29 @@
 #[tokio::test]
 async fn claims_are_read() {
     let (_folder, store) = open_copy();
-    let held = ask(&store, "claims/3", 1, Operation::Claim(claim("request-1", "attempt-3"))).await;
+    let held = query(&store, "claims/3", 1, Operation::Claim(claim("request-1", "attempt-3"))).await;
     assert!(matches!(held, ReplicaAnswer::Voted { vote: ClaimVote::Held, .. }), "{held:?}");
-    let granted = ask(&store, "claims/3", 1, Operation::Claim(claim("request-1", "attempt-1"))).await;
+    let granted = query(&store, "claims/3", 1, Operation::Claim(claim("request-1", "attempt-1"))).await;
     assert!(matches!(granted, ReplicaAnswer::Voted { vote: ClaimVote::Granted, .. }), "{granted:?}");
-    ask(&store, "claims/3", 1, Operation::Seal(set("claims/3", 2, STORE))).await;
-    let page = ask(&store, "claims/3", 1, Operation::ReadState(PagePosition::Claims(None))).await;
+    query(&store, "claims/3", 1, Operation::Seal(set("claims/3", 2, STORE))).await;
+    let page = query(&store, "claims/3", 1, Operation::ReadState(PagePosition::Claims(None))).await;
     let ReplicaAnswer::StatePage { page, .. } = page else { panic!("no page: {page:?}") };
     assert_eq!(page.claims, [claimed("request-1", "attempt-1"), claimed("request-2", "attempt-2")]);
 }
 
 #[tokio::test]
-async fn a_copying_goes_on_where_it_stopped() {
+async fn a_copy_resumes_at_its_next_page() {
     let (_folder, store) = open_copy();
-    let repeated = ask(&store, "job/joining", 2, Operation::Copy(copied_page(0, STORE))).await;
+    let repeated = query(&store, "job/joining", 2, Operation::Copy(copied_page(0, STORE))).await;
     assert!(matches!(repeated, ReplicaAnswer::Copied { next: 1, .. }), "{repeated:?}");
-    let next = ask(&store, "job/joining", 2, Operation::Copy(copied_page(1, STORE))).await;
+    let next = query(&store, "job/joining", 2, Operation::Copy(copied_page(1, STORE))).await;
     assert!(matches!(next, ReplicaAnswer::Copied { next: 2, .. }), "{next:?}");
 }
 
 #[tokio::test]
-async fn the_room_that_is_used_is_read() {
+async fn the_used_bytes_are_read() {
     let (_folder, store) = open_copy();
-    let promised = ask(&store, "batch/main", 1, Operation::Prepare(ballot())).await;
+    let promised = query(&store, "batch/main", 1, Operation::Prepare(ballot())).await;
     let ReplicaAnswer::Promised { free_bytes, .. } = promised else { panic!("no promise: {promised:?}") };
     assert_eq!(free_bytes, 784_722);
 }
