--- a/crates/daemon/src/ingress/batch_calls.rs
+++ b/crates/daemon/src/ingress/batch_calls.rs
@@ -1,8 +1,7 @@
-//! Callers' calls for batch jobs: submits them, reads their results and item bodies, through the owner of
-//! their shard.
+//! Serves callers' batch job calls: submits jobs and reads their results and item bodies.
 //!
-//! Owns nothing beyond one call. Relies on `batch` for the owner, and on [`job_placement`] for whether a job can
-//! be kept.
+//! Calls are forwarded to the owner of the job's shard through `batch`. [`job_placement`] selects the shard
+//! that stores a new job.
 
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -22,19 +21,17 @@
 use crate::batch::JobShard;
 use crate::http::{Body, request, response};
 
-/// A job whose body is not whole after this time is refused. Chosen, not measured: longer lets slow callers
-/// hold memory.
+/// Time limit for receiving the body of a job.
 const JOB_BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest time that a reader without new results is held, in milliseconds. Chosen, not measured: longer
-/// holds connections, shorter has readers ask again more often.
+/// Longest wait for new results in one read, in milliseconds.
 const MAX_READ_WAIT_MS: u64 = 5_000;
 
-/// Whether a path is a call for a batch job that was taken.
-pub(super) fn is_call(path: &str) -> bool {
+/// Whether a path refers to an existing batch job or one of its items.
+pub(super) fn is_batch_call(path: &str) -> bool {
     path.starts_with(batch::JOB_PREFIX) || path.starts_with(batch::ITEM_PREFIX)
 }
 
-/// Takes a job.
+/// Submits a batch job to the owner of its shard.
 pub(super) async fn submit(
     ingress: &Ingress,
     table: &RouteTable,
@@ -47,8 +44,8 @@
         return Refusal::Incomplete.respond(&ingress.context, &request);
     };
     let refuse = |refusal: Refusal| refusal.respond_to(&ingress.context, Some(&id));
-    let limit = Instant::now() + JOB_BODY_TIMEOUT;
-    let body = match read_body(request.into_body(), table.limits.body_bytes, limit).await {
+    let deadline = Instant::now() + JOB_BODY_TIMEOUT;
+    let body = match read_body(request.into_body(), table.limits.body_bytes, deadline).await {
         Ok(body) => body,
         Err(refusal) => return refuse(refusal),
     };
@@ -58,21 +55,21 @@
         Ok(job) => job,
         Err(cause) => {
             ::log::info!(target: "batch", "Batch job {id} is refused: {cause}.");
-            return Refusal::BadBody.respond_because(&ingress.context, Some(&id), &cause);
+            return Refusal::BadBody.respond_with_cause(&ingress.context, Some(&id), &cause);
         }
     };
     let regions = table.allowed_regions(route, job.tenant.as_ref());
     let shard = match job_placement::shard(ingress, table, route, &regions, &job) {
         Ok(shard) => shard,
-        Err(refusal) => return refusal.respond_within(&ingress.context, Some(&id), &regions),
+        Err(refusal) => return refusal.respond_with_regions(&ingress.context, Some(&id), &regions),
     };
     match submit_to(ingress, &shard, job).await {
-        Ok(()) => answer_empty(StatusCode::ACCEPTED, &id),
+        Ok(()) => empty_response(StatusCode::ACCEPTED, &id),
         Err(refusal) => refuse(refusal),
     }
 }
 
-/// Has the owner of a shard take a job.
+/// Submits a job to the owner of `shard` and remembers the shard of an accepted job.
 async fn submit_to(ingress: &Ingress, shard: &JobShard, job: BatchJob) -> Result<(), Refusal> {
     let batch = job.id.clone();
     match shard.ask(BatchRequest::Submit(job)).await {
@@ -87,7 +84,7 @@
     }
 }
 
-/// The job, where each scorer's host has a route; otherwise what is wrong with it.
+/// Returns the job if every scorer host has a route, and a description of the problem otherwise.
 fn check_scorers(table: &RouteTable, job: BatchJob) -> Result<BatchJob, String> {
     match unknown_scorer_host(table, &job) {
         Some(host) => {
@@ -97,7 +94,8 @@
     }
 }
 
-/// A host of a scorer that no route serves. A path without a route may get one while the job is open.
+/// Returns the first scorer host that no route serves. Paths are not checked, since a route for them may be
+/// added while the job is open.
 fn unknown_scorer_host<'a>(table: &RouteTable, job: &'a BatchJob) -> Option<&'a str> {
     let hosts = job.items.iter().filter_map(|item| item.scorer.as_ref()).map(|scorer| scorer.host.as_str());
     let mut checked = None;
@@ -113,7 +111,7 @@
     None
 }
 
-/// Answers a call for a job that was taken.
+/// Answers a call for an existing job.
 pub(super) async fn handle(ingress: &Ingress, caller: &Caller, call: Request<Incoming>) -> Response<Body> {
     let path = call.uri().path().to_owned();
     let method = call.method().clone();
@@ -121,7 +119,8 @@
         let id = BatchId::new(id);
         return match method {
             Method::GET => read(ingress, caller, id, &call).await,
-            // The first configuration came after this end was read: it is held, and nobody waits for it.
+            // `ends` holds this end since it was read before the first configuration; the caller has to
+            // retry.
             Method::DELETE => Refusal::NoConfiguration.respond(&ingress.context, &call),
             _ => Refusal::NoRoute.respond(&ingress.context, &call),
         };
@@ -146,7 +145,7 @@
     let Ok(from) = from.map_or(Ok(0), |from| from.parse::<u64>()) else {
         return Refusal::Incomplete.respond(&ingress.context, call);
     };
-    // Without a time to wait, or with one that is no number, the answer comes at once.
+    // A missing or invalid wait time means no wait.
     let wait_ms = headers::text(call.headers(), names::WAIT_MS).and_then(|wait| wait.trim().parse().ok());
     let wait_ms = wait_ms.unwrap_or(0).min(MAX_READ_WAIT_MS);
     let subject = batch.to_string();
@@ -174,7 +173,7 @@
             answer
         }
         Err(error) => {
-            ::log::error!(target: "batch", "Results can't be written: {error}.");
+            ::log::error!(target: "batch", "Failed to encode batch results: {error}.");
             Refusal::NoOwner.respond_to(&ingress.context, Some(subject))
         }
     }
@@ -189,7 +188,8 @@
     }
 }
 
-/// Reading and ending can always be repeated: whoever can't be sure says "come back".
+/// Returns the refusal of a read or an end that failed. Both are safe to repeat, so every response other than
+/// an unknown job asks the caller to retry.
 pub(super) fn refuse(ingress: &Ingress, subject: &str, response: &BatchResponse) -> Response<Body> {
     let refusal = match response {
         BatchResponse::Unknown => Refusal::UnknownBatch,
@@ -198,7 +198,7 @@
     refusal.respond_to(&ingress.context, Some(subject))
 }
 
-pub(super) fn answer_empty(status: StatusCode, id: &str) -> Response<Body> {
+pub(super) fn empty_response(status: StatusCode, id: &str) -> Response<Body> {
     let mut answer = response::empty(status);
     if let Ok(id) = HeaderValue::from_str(id) {
         answer.headers_mut().insert(names::REQUEST_ID, id);
--- a/crates/daemon/src/ingress/caller_request.rs
+++ b/crates/daemon/src/ingress/caller_request.rs
@@ -1,8 +1,7 @@
-//! A caller's request, read whole, and what is sent to replicas of it.
+//! A caller's request with its complete body, and the requests to replicas that are built from it.
 //!
-//! Owns the request's head and body, its deadline, the service that was drawn for it and where it may be
-//! served. Relies on the route table for these and on the quarantine for whether it may be sent. Requests
-//! that are sent again, as plain requests or as resumed streams, are built anew from it.
+//! [`CallerRequest`] holds the head and body, the deadline, the service selected by the route's weights and
+//! the allowed regions. Each send, including a retry or a resumed stream, builds a new request from it.
 
 use std::time::Duration;
 
@@ -29,37 +28,36 @@
 use crate::metrics::Latency;
 use crate::quarantine::begin_trial;
 
-/// How long a request is held whose caller names no deadline. Shorter cuts off callers that wait longer
-/// without naming it, longer keeps places at replicas for callers that have given up.
+/// Deadline of a request whose caller sends none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// A caller's request, read whole.
+/// A caller's request with its complete body.
 pub(super) struct CallerRequest {
     pub(super) parts: Parts,
     pub(super) body: Bytes,
     pub(super) request_id: Option<String>,
-    /// When the caller's deadline or the route's timeout ends it.
-    pub(super) limit: Instant,
+    /// The deadline: the earlier of the caller's deadline and the route's timeout.
+    pub(super) deadline: Instant,
     pub(super) service: String,
-    /// Who sent it.
+    /// The authenticated caller.
     pub(super) caller: Caller,
-    /// Where it may be served.
+    /// The regions in which it may be served.
     pub(super) regions: AllowedRegions,
-    /// The same for the same request sent again, under whatever id.
+    /// Identifies the request's content. A repeated request has the same fingerprint, whatever its id.
     pub(super) fingerprint: Fingerprint,
-    /// Whether it may be sent to one replica though it is quarantined.
+    /// Whether it may be sent to one replica as a trial although it is quarantined.
     pub(super) is_trial: bool,
-    /// When it was read whole.
-    began: Instant,
+    /// When the body was complete.
+    received_at: Instant,
     /// The version of the configuration by which it was routed.
-    configuration: u64,
+    configuration_version: u64,
 }
 
 impl CallerRequest {
-    /// Reads a request whole and picks the service that it goes to.
+    /// Reads the body of a request and selects the service that it goes to.
     ///
     /// # Errors
-    /// The answer to the caller, where the body can't be read or no service takes the request.
+    /// Returns the refusal to send to the caller if the body can't be read or the route has no service.
     pub(super) async fn read(
         ingress: &Ingress,
         table: &RouteTable,
@@ -67,37 +65,37 @@
         caller: Caller,
         request: Request<Incoming>,
     ) -> Result<Self, Response<Body>> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let host = headers::host(&request);
         let (parts, body) = request.into_parts();
         let request_id = headers::text(&parts.headers, names::REQUEST_ID).map(str::to_owned);
         let refuse = |refusal: Refusal| refusal.respond_to(&ingress.context, request_id.as_deref());
-        let wanted = headers::deadline(&parts.headers).unwrap_or(DEFAULT_DEADLINE);
-        let limit = began + route.timeout.map_or(wanted, |timeout| timeout.min(wanted));
-        let body = read_body(body, table.limits.body_bytes, limit).await.map_err(refuse)?;
+        let wanted = headers::requested_timeout(&parts.headers).unwrap_or(DEFAULT_DEADLINE);
+        let deadline = started_at + route.timeout.map_or(wanted, |timeout| timeout.min(wanted));
+        let body = read_body(body, table.limits.body_bytes, deadline).await.map_err(refuse)?;
         let Some(service) = route.service_at(rand::random()).map(str::to_owned) else {
             return Err(refuse(Refusal::NoReplica));
         };
         let regions = table.allowed_regions(route, caller.tenant());
         let fingerprint = fingerprint(&parts, &host, &caller, &body);
-        let (began, configuration) = (Instant::now(), table.version);
+        let (received_at, configuration_version) = (Instant::now(), table.version);
         Ok(Self {
             parts,
             body,
             request_id,
-            limit,
+            deadline,
             service,
             caller,
             regions,
             fingerprint,
             is_trial: false,
-            began,
-            configuration,
+            received_at,
+            configuration_version,
         })
     }
 
-    /// How many replicas it may be sent to: as many as the route allows; one where it is quarantined, which
-    /// lets it through once after [`lichenpulley_core::quarantine::TRIAL_DELAY`].
+    /// Returns the maximum number of sends: the route's limit, or one for a quarantined request. A
+    /// quarantined request may be sent once as a trial after [`lichenpulley_core::quarantine::TRIAL_DELAY`].
     pub(super) async fn sends_allowed(&mut self, ingress: &Ingress, route: &Route) -> u32 {
         let quarantine = &ingress.context.quarantine;
         if !quarantine.contains(&self.fingerprint) {
@@ -114,10 +112,10 @@
     }
 
     pub(super) fn remaining(&self) -> Duration {
-        self.limit.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The request for one replica; a stream begins after the event `last_event`.
+    /// Builds the request to one replica. A stream is requested from the event after `last_event`.
     pub(super) fn build(&self, replica: &str, last_event: Option<&str>) -> Request<Full<Bytes>> {
         let mut fields = headers::end_to_end(&self.parts.headers);
         self.caller.replace_identity(&mut fields);
@@ -133,7 +131,7 @@
         request
     }
 
-    /// Records a decision about this request, with the facts that it rests on.
+    /// Records a decision about this request and observes the latency so far.
     pub(super) fn record(
         &self,
         ingress: &Ingress,
@@ -148,18 +146,18 @@
             .with("service", &self.service)
             .with("tenant", self.caller.tenant().map_or("none", TenantName::as_str))
             .with("sends", sends)
-            .with("milliseconds", in_flight.began.elapsed().as_millis())
+            .with("milliseconds", in_flight.started_at.elapsed().as_millis())
             .with("remaining_ms", self.remaining().as_millis())
-            .with("configuration", self.configuration)
+            .with("configuration", self.configuration_version)
             .with("fingerprint", self.fingerprint);
-        let is_bound = !self.regions.is_all();
-        let decision = if is_bound { decision.with("regions", &self.regions) } else { decision };
+        let is_region_bound = !self.regions.is_all();
+        let decision = if is_region_bound { decision.with("regions", &self.regions) } else { decision };
         ingress.context.decisions.record(decision);
         let latency = if action == "stream_begun" { Latency::StreamBegin } else { Latency::Request };
-        ingress.context.metrics.observe(latency, action, self.began.elapsed());
+        ingress.context.metrics.observe(latency, action, self.received_at.elapsed());
     }
 
-    /// Records that the request goes on waiting at a replica for longer than its share of the time.
+    /// Records that the request stays at a replica beyond its attempt timeout.
     pub(super) fn record_stay(&self, ingress: &Ingress, replica: &str, reason: StayReason) {
         let subject = self.request_id.as_deref().unwrap_or("-");
         let decision = Decision::new(Component::Request, "stayed", reason.as_str(), subject)
@@ -169,7 +167,7 @@
         ingress.context.decisions.record(decision);
     }
 
-    /// The answer where no replica can be sent the request; records the reason.
+    /// Refuses the request because no replica can be selected, and records the reason.
     pub(super) fn refuse_no_candidate(&self, ingress: &Ingress, no_candidate: NoCandidate) -> Response<Body> {
         let subject = self.request_id.as_deref().unwrap_or("-");
         let decision = Decision::new(Component::Request, "nowhere_to_send", no_candidate.as_str(), subject);
@@ -179,11 +177,11 @@
     }
 
     pub(super) fn refuse(&self, ingress: &Ingress, refusal: Refusal) -> Response<Body> {
-        refusal.respond_within(&ingress.context, self.request_id.as_deref(), &self.regions)
+        refusal.respond_with_regions(&ingress.context, self.request_id.as_deref(), &self.regions)
     }
 }
 
-/// What identifies the request among others, under whatever id it is sent.
+/// Computes the fingerprint of the request's content, which is independent of its id.
 fn fingerprint(parts: &Parts, host: &str, caller: &Caller, body: &Bytes) -> Fingerprint {
     Fingerprint::of(&RequestContent {
         method: parts.method.as_str(),
@@ -198,8 +196,8 @@
     uri.path_and_query().map_or("/", |path| path.as_str())
 }
 
-/// Path and query alone, as a server expects them that is no proxy.
+/// Returns the URI in origin form: path and query only.
 fn origin_form(uri: &Uri) -> Uri {
-    // A path and query that were part of a URI are one by themselves.
+    // The path and query of a valid URI always parse.
     path_and_query(uri).parse().unwrap_or_default()
 }
--- a/crates/daemon/src/ingress/callers.rs
+++ b/crates/daemon/src/ingress/callers.rs
@@ -1,7 +1,7 @@
-//! Who sends a request: the tenant whose key it brings.
+//! Authenticates callers by the tenant key in the `Authorization` header.
 //!
-//! Relies on the route table's directory of tenants, which holds digests of keys only. Replicas get the
-//! tenant's name and never the key.
+//! The route table's tenant directory stores only digests of keys. Replicas receive the tenant's name, never
+//! the key.
 
 use hyper::HeaderMap;
 use hyper::header::{AUTHORIZATION, HeaderName, HeaderValue};
@@ -11,50 +11,50 @@
 
 use super::headers;
 
-/// The field that tells replicas the tenant.
+/// Header that carries the tenant's name to replicas.
 const TENANT: HeaderName = HeaderName::from_static(names::TENANT);
 
-/// Who sends a request.
+/// The sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Caller {
-    /// Anybody: no tenants are configured.
+    /// Any caller, since no tenants are configured.
     Anyone,
-    /// Somebody without a known key, where none is needed.
-    Unnamed,
-    /// A caller with a key of this tenant.
+    /// A caller of a public route without a known key.
+    Anonymous,
+    /// A caller that presented a key of this tenant.
     Tenant(TenantName),
 }
 
-/// The caller needs a key and brought none that is known.
+/// The route requires a key, and the caller presented none that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UnknownKey;
 
 impl Caller {
-    /// Who sends a request with these header fields. Without a key that is known only public routes are
-    /// served.
+    /// Identifies the caller by the header fields of its request. A caller without a known key is accepted
+    /// only on public routes.
     pub(super) fn identify(
         table: &RouteTable,
         fields: &HeaderMap,
         is_public: bool,
     ) -> Result<Self, UnknownKey> {
         let Some(directory) = &table.tenants else { return Ok(Self::Anyone) };
-        let holder = key(fields).and_then(|key| directory.find_by_key(key));
-        match holder {
+        let tenant = key(fields).and_then(|key| directory.find_by_key(key));
+        match tenant {
             Some(tenant) => Ok(Self::Tenant(tenant.name.clone())),
-            None if is_public => Ok(Self::Unnamed),
+            None if is_public => Ok(Self::Anonymous),
             None => Err(UnknownKey),
         }
     }
 
-    /// The tenant, where there is one.
+    /// Returns the caller's tenant, if it has one.
     pub(super) const fn tenant(&self) -> Option<&TenantName> {
         match self {
             Self::Tenant(name) => Some(name),
-            Self::Anyone | Self::Unnamed => None,
+            Self::Anyone | Self::Anonymous => None,
         }
     }
 
-    /// Makes the fields those that a replica may see: no key, and no tenant but the caller's own.
+    /// Replaces the credentials in the fields by the caller's tenant name before they are sent to a replica.
     pub(super) fn replace_identity(&self, fields: &mut HeaderMap) {
         if *self == Self::Anyone {
             return;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Names the tenant to a replica, in place of what stood there.
+/// Sets the tenant header to `tenant`, replacing any previous value.
 pub(crate) fn set_tenant(fields: &mut HeaderMap, tenant: Option<&TenantName>) {
     fields.remove(TENANT);
     if let Some(name) = tenant.and_then(|tenant| HeaderValue::from_str(tenant.as_str()).ok()) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// The key that a request brings.
+/// Returns the key of the request if it has exactly one `Authorization` field with the expected scheme.
 fn key(fields: &HeaderMap) -> Option<&str> {
     let mut given = fields.get_all(AUTHORIZATION).iter();
     let only = given.next().filter(|_| given.next().is_none())?;
--- a/crates/daemon/src/ingress/end_trace.rs
+++ b/crates/daemon/src/ingress/end_trace.rs
@@ -1,5 +1,5 @@
-//! Records as decisions what became of a caller's end of a batch job at this node: that it was read, and how
-//! it was answered or that its caller left before.
+//! Records decisions about a caller's request to end a batch job: when it was read, and how it was answered
+//! or that the caller disconnected first.
 
 use lichenpulley_core::decision::{Component, Decision};
 use lichenpulley_core::identity::BatchId;
@@ -9,7 +9,7 @@
 
 use crate::context::Context;
 
-/// One end that was read. Dropping it unanswered tells that its caller has left.
+/// Traces one request to end a batch job. Dropping it unanswered records that the caller disconnected.
 pub(super) struct EndTrace {
     context: Context,
     batch: BatchId,
@@ -18,15 +18,15 @@
 }
 
 impl EndTrace {
-    /// An end was read.
+    /// Records that the request was read.
     pub(super) fn begin(context: &Context, batch: &BatchId) -> Self {
         context.decisions.record(Decision::new(Component::Rollout, "end_read", "caller", batch));
         let (context, batch) = (Arc::clone(context), batch.clone());
         Self { context, batch, read_at: Instant::now(), is_answered: false }
     }
 
-    /// It is answered by what the owner said.
-    pub(super) fn answered(&mut self, response: &BatchResponse) {
+    /// Records the owner's response as the answer.
+    pub(super) fn record_answer(&mut self, response: &BatchResponse) {
         self.is_answered = true;
         let reason = match response {
             BatchResponse::Ended => "kept",
--- a/crates/daemon/src/ingress/ends.rs
+++ b/crates/daemon/src/ingress/ends.rs
@@ -1,6 +1,8 @@
-//! Callers' requests to end batch jobs, held from the moment in which they are read: a caller that leaves at
-//! once must not take the end with it. Owns those that wait for this node's first configuration; the others
-//! belong to `batch::end_holder`.
+//! Handles callers' requests to end batch jobs. An end is held from the moment it is read, so that it takes
+//! effect even if the caller disconnects at once.
+//!
+//! This module holds ends that arrive before the node's first configuration; `batch::end_holder` holds all
+//! others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,40 +18,39 @@
 use lichenpulley_protocol::internal::BatchResponse;
 
 use super::Ingress;
-use super::batch_calls::{answer_empty, refuse};
+use super::batch_calls::{empty_response, refuse};
 use super::callers::Caller;
 use super::end_trace::EndTrace;
 use crate::http::Body;
 
-/// The most ends that wait for this node's first configuration. Chosen, not measured: bounds the memory of a
-/// node that starts.
+/// Maximum number of ends that wait for the node's first configuration.
 pub(super) const MAX_EARLY_ENDS: usize = 256;
-/// How long they wait. A node that starts has a configuration within seconds of reaching the platform or a
-/// peer. Chosen, not measured.
+/// How long an end waits for the first configuration.
 const EARLY_END_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// An end that is held, and the answer that its caller waits for.
-pub(super) struct BegunEnd {
+/// A held end and the pending response to its caller.
+pub(super) struct HeldEnd {
     ingress: Ingress,
     batch: BatchId,
     trace: EndTrace,
     response: BoxFuture<'static, BatchResponse>,
 }
 
-impl BegunEnd {
+impl HeldEnd {
     /// Waits for the owner's answer.
     pub(super) async fn answer(mut self) -> Response<Body> {
         let response = self.response.await;
-        self.trace.answered(&response);
+        self.trace.record_answer(&response);
         match response {
-            BatchResponse::Ended => answer_empty(StatusCode::OK, self.batch.as_str()),
+            BatchResponse::Ended => empty_response(StatusCode::OK, self.batch.as_str()),
             other => refuse(&self.ingress, self.batch.as_str(), &other),
         }
     }
 }
 
-/// Holds what a request ends; `None` where it ends nothing, or its caller may not.
-pub(super) fn begin(ingress: &Ingress, request: &Request<Incoming>) -> Option<BegunEnd> {
+/// Holds the end if the request is one. Returns `None` for other requests, for callers without a known key,
+/// and while the node has no configuration.
+pub(super) fn begin(ingress: &Ingress, request: &Request<Incoming>) -> Option<HeldEnd> {
     if request.method() != Method::DELETE {
         return None;
     }
@@ -61,7 +62,7 @@
     let key = key(&table, batch.clone(), request.headers())?;
     let trace = EndTrace::begin(&ingress.context, &batch);
     let response = Box::pin(ingress.batch.ends().end(key));
-    Some(BegunEnd { ingress: ingress.clone(), batch, trace, response })
+    Some(HeldEnd { ingress: ingress.clone(), batch, trace, response })
 }
 
 fn key(table: &RouteTable, batch: BatchId, fields: &HeaderMap) -> Option<EndKey> {
@@ -69,24 +70,27 @@
     Some(EndKey { batch, caller: caller.tenant().cloned() })
 }
 
-/// A node that has no configuration yet can't tell who its callers are. It asks them to come back, and holds
-/// the end once it can.
+/// Holds an end that arrived before the first configuration. The node can't authenticate its caller yet, so
+/// the caller is asked to retry, and the end is passed on once a configuration is loaded.
 fn hold_early(ingress: &Ingress, batch: BatchId, fields: &HeaderMap) {
-    let Ok(place) = Arc::clone(&ingress.early_ends).try_acquire_owned() else {
-        log::warn!(target: "batch", "The end of {batch} is not held: {MAX_EARLY_ENDS} wait for a configuration already.");
+    let Ok(permit) = Arc::clone(&ingress.early_ends).try_acquire_owned() else {
+        log::warn!(
+            target: "batch",
+            "Dropped the end of batch job {batch}: {MAX_EARLY_ENDS} ends are already waiting for a configuration; send it again."
+        );
         return;
     };
     let trace = EndTrace::begin(&ingress.context, &batch);
     let ingress = ingress.clone();
-    let mut known = HeaderMap::new();
-    known.extend(fields.get(AUTHORIZATION).map(|key| (AUTHORIZATION, key.clone())));
+    let mut authorization = HeaderMap::new();
+    authorization.extend(fields.get(AUTHORIZATION).map(|key| (AUTHORIZATION, key.clone())));
     tokio::spawn(async move {
         let table = tokio::time::timeout(EARLY_END_TIMEOUT, first_configuration(&ingress)).await;
-        drop((place, trace));
-        // Without a configuration in time, or with a key that it does not know, there is nothing to hold: the
-        // caller was refused, and the trace above records that its end was not answered.
-        let Some(key) = table.ok().and_then(|table| key(&table, batch, &known)) else { return };
-        // The caller was asked to come back: nobody waits.
+        drop((permit, trace));
+        // Without a configuration in time, or with an unknown key, the end is discarded. The caller was
+        // refused, and the trace has recorded that the end was not answered.
+        let Some(key) = table.ok().and_then(|table| key(&table, batch, &authorization)) else { return };
+        // The caller was already asked to retry, so the response is not awaited.
         drop(ingress.batch.ends().end(key));
     });
 }
--- a/crates/daemon/src/ingress/forward.rs
+++ b/crates/daemon/src/ingress/forward.rs
@@ -1,6 +1,6 @@
-//! Passes plain requests on whole, and their answers back whole.
+//! Forwards plain requests to replicas and returns their buffered responses.
 //!
-//! Owns nothing beyond one request. Relies on the [`AttemptLoop`] for the choice of replicas and for retries.
+//! [`AttemptLoop`] selects replicas and retries.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -20,18 +20,17 @@
 use crate::duties::RunCount;
 use crate::http::{Body, response};
 
-/// Longest plain answer that is passed back, in bytes: it is held whole in memory before its first byte is
-/// passed on. Smaller breaks off long answers, larger lets few of them fill the memory.
-const PLAIN_ANSWER_LIMIT_BYTES: usize = 64 << 20;
+/// Maximum size of a plain response body, in bytes. The body is buffered in memory before it is returned.
+const MAX_PLAIN_ANSWER_BYTES: usize = 64 << 20;
 
-/// An answer of a replica, read whole.
-struct WholeAnswer {
+/// A replica's response with its complete body.
+struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Answers one request.
+/// Answers one plain request.
 pub(super) async fn handle(
     ingress: &Ingress,
     table: &RouteTable,
@@ -45,26 +44,26 @@
     };
     let max_sends = request.sends_allowed(ingress, route).await;
     let mut attempts = AttemptLoop::new(route, max_sends);
-    let attempt = PlainAttempt { ingress, needs_fresh: !route.is_repeatable() };
+    let attempt = PlainAttempt { ingress, needs_new_connection: !route.is_repeatable() };
     match attempts.run(ingress, &request, &attempt).await {
         Ok((in_flight, answer)) => {
             request.record(ingress, &in_flight, "answered", answer.status.as_str(), attempts.sends());
-            pass_back(answer)
+            build_response(answer)
         }
         Err(refused) => refused,
     }
 }
 
-/// A send of a plain request, whose answer is read whole.
+/// Sends a plain request and reads the complete response.
 struct PlainAttempt<'a> {
     ingress: &'a Ingress,
-    /// Whether each send uses a connection of its own: one that the replica is closing could leave a request
-    /// that may run only once in doubt.
-    needs_fresh: bool,
+    /// Whether each send opens a new connection. On a pooled connection that the replica is closing, it could
+    /// remain unknown whether a non-repeatable request ran.
+    needs_new_connection: bool,
 }
 
 impl ReplicaAttempt for PlainAttempt<'_> {
-    type Answer = WholeAnswer;
+    type Answer = BufferedAnswer;
 
     const MAY_MOVE: bool = true;
 
@@ -72,13 +71,18 @@
         &self,
         request: &CallerRequest,
         in_flight: &mut InFlightRequest,
-    ) -> (SendOutcome, Option<WholeAnswer>) {
-        let limit = request.limit;
+    ) -> (SendOutcome, Option<BufferedAnswer>) {
+        let deadline = request.deadline;
         let connect_timeout = REPLICA_CONNECT_TIMEOUT.min(request.remaining());
-        let options = SendOptions { last_event: None, needs_fresh: self.needs_fresh, connect_timeout, limit };
+        let options = SendOptions {
+            last_event: None,
+            needs_new_connection: self.needs_new_connection,
+            connect_timeout,
+            deadline,
+        };
         let mut count = RunCount::begin(&self.ingress.context, request.caller.tenant());
         let (outcome, answer) = match in_flight.send(request, options).await {
-            Ok(exchange) => self.read_answer(request, in_flight, exchange, limit).await,
+            Ok(exchange) => self.read_answer(request, in_flight, exchange, deadline).await,
             Err(outcome) => (outcome, None),
         };
         if outcome.has_not_run() {
@@ -102,20 +106,20 @@
         request: &CallerRequest,
         in_flight: &mut InFlightRequest,
         exchange: HttpExchange,
-        limit: Instant,
-    ) -> (SendOutcome, Option<WholeAnswer>) {
+        deadline: Instant,
+    ) -> (SendOutcome, Option<BufferedAnswer>) {
         let HttpExchange { response, connection } = exchange;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, PLAIN_ANSWER_LIMIT_BYTES).collect();
-        let body = match tokio::time::timeout_at(limit, body).await {
+        let body = Limited::new(body, MAX_PLAIN_ANSWER_BYTES).collect();
+        let body = match tokio::time::timeout_at(deadline, body).await {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => {
-                in_flight.was_silent();
+                in_flight.record_no_answer();
                 in_flight.run.record_broken().await;
                 return (SendOutcome::Broken, None);
             }
             Err(_) => {
-                in_flight.was_silent();
+                in_flight.record_no_answer();
                 return (SendOutcome::TimedOut, None);
             }
         };
@@ -125,17 +129,17 @@
         self.ingress.pool.give_back(connection, &head.headers);
         let outcome = headers::outcome(head.status, &head.headers);
         if outcome == SendOutcome::Rejected {
-            in_flight.was_full();
+            in_flight.record_rejected();
         } else {
-            in_flight.answered();
+            in_flight.record_answered();
             in_flight.run.record_complete();
         }
-        let answer = WholeAnswer { status: head.status, headers: head.headers, body: body.to_bytes() };
+        let answer = BufferedAnswer { status: head.status, headers: head.headers, body: body.to_bytes() };
         (outcome, Some(answer))
     }
 }
 
-fn pass_back(answer: WholeAnswer) -> Response<Body> {
+fn build_response(answer: BufferedAnswer) -> Response<Body> {
     let mut passed = Response::new(response::full(answer.body));
     *passed.status_mut() = answer.status;
     *passed.headers_mut() = headers::end_to_end(&answer.headers);
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -1,7 +1,7 @@
-//! Header fields of requests that are passed on, and of answers that are passed back.
+//! Reads and rewrites header fields of forwarded requests and responses.
 //!
-//! Their names stand in the platform's adapter; here they are read into the core's terms, among them how a
-//! send ended by the head of its answer.
+//! Field names are defined in the platform crate. This module maps them to core types, including the outcome
+//! of a send from the response head.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use lichenpulley_core::time::whole_millis;
 use lichenpulley_platform::headers;
 
-/// The host that a request names, without its port, in lower case.
+/// Returns the request's host without the port, in lower case, or an empty string if it has none.
 pub(super) fn host(request: &Request<Incoming>) -> String {
     let named = request.headers().get(HOST).and_then(|host| host.to_str().ok());
-    // Without any the host is empty, which no route has.
+    // No route has an empty host.
     let named = named.or_else(|| request.uri().host()).unwrap_or_default();
     let bare = named.rsplit_once(':').map_or(named, |(host, port)| {
         if port.chars().all(|digit| digit.is_ascii_digit()) { host } else { named }
@@ -23,23 +23,23 @@
     bare.to_ascii_lowercase()
 }
 
-/// A field as text.
+/// Returns the value of a field if it is present and visible ASCII.
 pub(super) fn text<'a>(fields: &'a HeaderMap, name: &str) -> Option<&'a str> {
     as_text(fields.get(name)?)
 }
 
-/// A value as text.
+/// Returns a field value if it is visible ASCII.
 pub(super) fn as_text(value: &HeaderValue) -> Option<&str> {
     value.to_str().ok()
 }
 
-/// How long the caller will wait; `None` where it names no time, or what is none: the default applies then.
-pub(super) fn deadline(fields: &HeaderMap) -> Option<Duration> {
+/// Returns the caller's deadline, or `None` if it is missing or invalid.
+pub(super) fn requested_timeout(fields: &HeaderMap) -> Option<Duration> {
     let milliseconds: f64 = text(fields, headers::DEADLINE_MS)?.trim().parse().ok()?;
     (milliseconds.is_finite() && milliseconds >= 0.0).then(|| Duration::from_secs_f64(milliseconds / 1_000.0))
 }
 
-/// The fields without those that concern one connection only.
+/// Returns the fields without the hop-by-hop ones, `Content-Length` and `Expect`.
 pub(super) fn end_to_end(fields: &HeaderMap) -> HeaderMap {
     let mut passed = fields.clone();
     let named: Vec<String> = fields
@@ -58,7 +58,7 @@
     passed
 }
 
-/// Names the replica and what is left of the time.
+/// Sets the fields that name the expected replica and the remaining time.
 pub(crate) fn set_replica_and_deadline(fields: &mut HeaderMap, replica: &str, remaining: Duration) {
     if let Ok(replica) = HeaderValue::from_str(replica) {
         fields.insert(headers::EXPECT_REPLICA, replica);
@@ -67,17 +67,17 @@
     fields.insert(headers::DEADLINE_MS, HeaderValue::from(milliseconds));
 }
 
-/// Whether an answer belongs to the request with this id.
+/// Whether a response carries the id of its request.
 pub(crate) fn echoes_request_id(fields: &HeaderMap, request_id: Option<&str>) -> bool {
     text(fields, headers::REQUEST_ID) == request_id
 }
 
-/// Whether an answer is signed and comes as the replica made it.
+/// Whether a response is signed and was not re-encoded on the way.
 pub(crate) fn is_signed(fields: &HeaderMap) -> bool {
     fields.contains_key(headers::SIGNATURE) && !fields.contains_key(CONTENT_ENCODING)
 }
 
-/// Requests that run and wait at the replica, where it says so.
+/// Returns the number of requests running and queued at the replica, if it reports its load.
 pub(crate) fn reported_load(fields: &HeaderMap) -> Option<u32> {
     let mut numbers = text(fields, headers::LOAD)?.split(',').map(|number| number.trim().parse::<u32>());
     let running = numbers.next()?.ok()?;
@@ -85,8 +85,8 @@
     Some(running.saturating_add(waiting))
 }
 
-/// How a send ended, by the head of its answer. Only the replica's own statement proves that it did not run
-/// the request.
+/// Returns the outcome of a send by the response head. Only an explicit statement of the replica proves that
+/// it did not run the request.
 pub(super) fn outcome(status: StatusCode, fields: &HeaderMap) -> SendOutcome {
     if fields.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
         return SendOutcome::Rejected;
--- a/crates/daemon/src/ingress/in_flight.rs
+++ b/crates/daemon/src/ingress/in_flight.rs
@@ -1,8 +1,8 @@
-//! A request in flight at a replica: sends it, and reports its end to the selector of replicas and to the
+//! A request in flight at a replica. Sends the request and reports its end to the replica selector and to the
 //! quarantine.
 //!
-//! Owns one place in the selector's count of the replica's requests. Dropping it ends the request with the
-//! feedback that was set last, [`ReplicaFeedback::Abandoned`] at first.
+//! An [`InFlightRequest`] occupies one slot in the selector's count of the replica's requests. Dropping it
+//! frees the slot and reports the feedback that was set last, [`ReplicaFeedback::Abandoned`] initially.
 
 use std::time::Duration;
 
@@ -18,50 +18,49 @@
 use super::{Ingress, headers};
 use crate::quarantine::TracedRun;
 
-/// The longest time for the connection to a replica. Too short gives up replicas that are merely far, too
-/// long keeps a request from the next replica while this one is dead.
+/// Timeout for connecting to a replica.
 pub(super) const REPLICA_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How a request is sent.
+/// Options for sending a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendOptions<'a> {
-    /// Begin the stream after this event.
+    /// Number of the last event that the caller received; a stream begins after it.
     pub(super) last_event: Option<&'a str>,
-    /// Use a connection of its own, which the replica can't be closing just now.
-    pub(super) needs_fresh: bool,
-    /// The longest time for a new connection.
+    /// Opens a new connection instead of using a pooled one, which the replica may be closing.
+    pub(super) needs_new_connection: bool,
+    /// Timeout for a new connection.
     pub(super) connect_timeout: Duration,
-    /// The time until which the head of the answer must have come.
-    pub(super) limit: Instant,
+    /// Deadline for the response head.
+    pub(super) deadline: Instant,
 }
 
-/// A request in flight at one replica, from the selection of the replica until its end.
+/// A request in flight at one replica, from the selection of the replica until the request ends.
 pub(super) struct InFlightRequest {
     ingress: Ingress,
-    /// The replica.
+    /// The selected replica.
     pub(super) replica: ReplicaRecord,
     /// Whether the replica was cold when it was selected.
     pub(super) is_cold: bool,
     /// When the replica was selected.
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     feedback: ReplicaFeedback,
-    /// Reports its end to the quarantine.
+    /// Reports the end of the run to the quarantine.
     pub(super) run: TracedRun,
 }
 
 impl InFlightRequest {
-    /// Counts from here on; the selector has counted it at the replica already.
+    /// Begins a request at the selected replica, at which the selector has already counted it.
     pub(super) fn begin(ingress: &Ingress, request: &CallerRequest, selected: SelectedReplica) -> Self {
         let SelectedReplica { record: replica, is_cold } = selected;
         let run = TracedRun::begin(&ingress.context, request.fingerprint, &replica, RunSender::Gateway);
         let feedback = ReplicaFeedback::Abandoned;
-        Self { ingress: ingress.clone(), replica, is_cold, began: Instant::now(), feedback, run }
+        Self { ingress: ingress.clone(), replica, is_cold, started_at: Instant::now(), feedback, run }
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the response head.
     ///
     /// # Errors
-    /// How the send ended where no head came.
+    /// Returns the outcome of the send if no response head arrived.
     pub(super) async fn send(
         &mut self,
         request: &CallerRequest,
@@ -70,44 +69,50 @@
         let message = request.build(&self.replica.name, options.last_event);
         let may_send = || self.ingress.may_send(request, &self.replica);
         let pool = &self.ingress.pool;
-        let sent = pool.send(&self.replica, message, options.needs_fresh, options.connect_timeout, may_send);
-        let exchange = match tokio::time::timeout_at(options.limit, sent).await {
+        let sent = pool.send(
+            &self.replica,
+            message,
+            options.needs_new_connection,
+            options.connect_timeout,
+            may_send,
+        );
+        let exchange = match tokio::time::timeout_at(options.deadline, sent).await {
             Ok(Ok(exchange)) => exchange,
             Ok(Err(error)) => return Err(self.record_send_error(error).await),
             Err(_) => {
-                self.was_silent();
+                self.record_no_answer();
                 return Err(SendOutcome::TimedOut);
             }
         };
         if let Some(busy) = headers::reported_load(exchange.response.headers()) {
-            self.ingress.reported(&self.replica.id, busy);
+            self.ingress.record_reported_load(&self.replica.id, busy);
         }
         Ok(exchange)
     }
 
-    /// The replica answered.
-    pub(super) fn answered(&mut self) {
-        let took = self.began.elapsed();
+    /// Records that the replica answered.
+    pub(super) fn record_answered(&mut self) {
+        let took = self.started_at.elapsed();
         self.feedback =
             if self.is_cold { ReplicaFeedback::AnsweredCold } else { ReplicaFeedback::Answered(took) };
     }
 
-    /// The replica stated that it did not run the request.
-    pub(super) fn was_full(&mut self) {
+    /// Records that the replica rejected the request without running it.
+    pub(super) fn record_rejected(&mut self) {
         self.run.record_not_run();
         self.feedback = ReplicaFeedback::Full;
     }
 
-    /// No whole answer came.
-    pub(super) fn was_silent(&mut self) {
+    /// Records that no complete answer arrived.
+    pub(super) fn record_no_answer(&mut self) {
         self.feedback = ReplicaFeedback::NoAnswer;
     }
 
-    /// The send failed before the head of an answer.
+    /// Records a send that failed before the response head and returns its outcome.
     async fn record_send_error(&mut self, error: SendError) -> SendOutcome {
         self.run.record_send_error(error).await;
         if error != SendError::Withheld {
-            self.was_silent();
+            self.record_no_answer();
         }
         match error {
             SendError::Withheld => SendOutcome::Withheld,
--- a/crates/daemon/src/ingress/job_placement.rs
+++ b/crates/daemon/src/ingress/job_placement.rs
@@ -1,6 +1,5 @@
-//! Whether a batch job can be kept and run in its allowed regions, and which shard keeps it.
-//!
-//! Relies on the route table for regions, on the metadata for replicas and on `batch` for the shards.
+//! Selects the shard that stores a batch job, and checks that the job can be stored and run in its allowed
+//! regions.
 
 use lichenpulley_core::batch::job::BatchJob;
 use lichenpulley_core::ingress::places::AllowedRegions;
@@ -10,10 +9,11 @@
 use super::refusal::Refusal;
 use crate::batch::JobShard;
 
-/// The shard that keeps a job of these regions.
+/// Selects the shard that stores a job with these allowed regions.
 ///
 /// # Errors
-/// Where no replica, coordinator or store stands in them, or a scorer may be served in fewer of them.
+/// Returns the refusal if the regions lack a replica, a coordinator or enough stores, or if a scorer's route
+/// doesn't allow all of them.
 pub(super) fn shard(
     ingress: &Ingress,
     table: &RouteTable,
@@ -32,14 +32,14 @@
     match shortage {
         None => Ok(shard),
         Some(shortage) => {
-            ::log::warn!(target: "batch", "Batch job {} can't be kept in {regions}: {shortage}.", job.id);
+            ::log::warn!(target: "batch", "Batch job {} can't be stored in {regions}: {shortage}.", job.id);
             Err(Refusal::NoPlace)
         }
     }
 }
 
-/// Whether what a job keeps for its scorers may be kept wherever the job is. Invariant: a request of a bound
-/// route is never kept by a job that is bound less.
+/// Whether the routes of all scorers allow every region of the job. The job stores the scorers' requests, so
+/// it must not be stored in a region that a scorer's route excludes.
 fn scorers_fit(table: &RouteTable, regions: &AllowedRegions, job: &BatchJob) -> bool {
     job.items.iter().filter_map(|item| item.scorer.as_ref()).all(|scorer| {
         let route = table.find(&scorer.host, &scorer.path);
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -1,11 +1,10 @@
-//! Serves callers in the platform's form: plain requests and streams go to replicas, batch jobs to their
-//! owner.
+//! Serves callers of the platform's HTTP interface. Plain requests and streams are forwarded to replicas,
+//! batch job calls to the job's owner.
 //!
-//! Way of a request: [`Ingress::handle`] finds its route, `forward` or `stream` reads it as a
-//! `CallerRequest` and runs the `attempt_loop`, which selects a replica by the core's
-//! `ingress::selection` and sends it there through the [`pool`]. Owns the connections to replicas, the lock
-//! round the selector, and the requests in flight. Relies on the node's metadata for routes, replicas and
-//! evacuated zones, and on the quarantine for requests that end replicas.
+//! [`Ingress::handle`] finds the route of a request. `forward` or `stream` reads it into a `CallerRequest`
+//! and runs the `attempt_loop`, which selects a replica by the core's `ingress::selection` and sends the
+//! request through the [`pool`]. Routes, replicas and evacuated zones come from the node's metadata; the
+//! quarantine excludes requests that crash replicas.
 
 mod attempt_loop;
 mod batch_calls;
@@ -49,13 +48,13 @@
 use pool::ReplicaPool;
 use refusal::Refusal;
 
-/// The selector of replicas with the lists that it was given last. Locked for single steps, never across a
-/// wait.
+/// The replica selector and the inputs it was last updated from. The lock on it is never held across an
+/// await.
 struct SelectionState {
     selector: ReplicaSelector,
-    /// The configuration whose cold bounds the selector holds.
+    /// The route table whose bounds for cold replicas the selector uses.
     routes: Option<Arc<RouteTable>>,
-    /// The replicas that the selector was given last.
+    /// The replicas that the selector was last updated from.
     replicas: Arc<ReplicaTable>,
 }
 
@@ -67,32 +66,32 @@
     }
 }
 
-/// Serves callers. Cheap to clone.
+/// Request handler of the callers' port. Cheap to clone.
 #[derive(Clone)]
 pub struct Ingress {
     context: Context,
     pool: ReplicaPool,
     batch: BatchJobs,
     selection: Arc<Mutex<SelectionState>>,
-    /// Places for ends that wait for the first configuration.
+    /// Permits for ends that wait for the first configuration.
     early_ends: Arc<Semaphore>,
     origin: Instant,
 }
 
 impl Ingress {
-    /// An ingress that sends to replicas through `pool`, and batch jobs to their owner through `batch`. It
-    /// looks after cold replicas on the current runtime until the node has stopped.
+    /// Creates an ingress that sends requests to replicas through `pool` and batch jobs to their owner
+    /// through `batch`. Spawns a task that keeps the replica selector up to date until the node has stopped.
     pub fn spawn(context: Context, pool: ReplicaPool, batch: BatchJobs) -> Self {
         let selection = Arc::new(Mutex::new(SelectionState::new(&context.node)));
         let early_ends = Arc::new(Semaphore::new(ends::MAX_EARLY_ENDS));
         let ingress = Self { context, pool, batch, selection, early_ends, origin: Instant::now() };
-        tokio::spawn(selector_update::watch(ingress.clone()));
+        tokio::spawn(selector_update::run(ingress.clone()));
         ingress
     }
 
-    /// Answers one request on the callers' port. What must not be lost with its caller is held before this
-    /// returns: where the close of a connection is read beside the request, the answer is dropped without
-    /// having been polled.
+    /// Answers one request on the callers' port. An end of a batch job is held before this function returns:
+    /// if the connection is closed together with the request, the returned future is dropped without being
+    /// polled.
     pub fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send + use<> {
         let end = ends::begin(self, &request);
         let ingress = self.clone();
@@ -108,7 +107,7 @@
         let Some(table) = self.context.metadata.routes.load_full() else {
             return Refusal::NoConfiguration.respond(&self.context, &request);
         };
-        if batch_calls::is_call(request.uri().path()) {
+        if batch_calls::is_batch_call(request.uri().path()) {
             return match Caller::identify(&table, request.headers(), false) {
                 Ok(caller) => batch_calls::handle(self, &caller, request).await,
                 Err(_) => Refusal::UnknownKey.respond(&self.context, &request),
@@ -130,7 +129,7 @@
         }
     }
 
-    /// The limits in force for new connections.
+    /// Returns the limits for new connections, if a configuration is loaded.
     pub fn limits(&self) -> Option<Limits> {
         self.context.metadata.routes.load().as_ref().map(|table: &Arc<RouteTable>| table.limits)
     }
@@ -139,41 +138,40 @@
         Timestamp::ORIGIN + self.origin.elapsed()
     }
 
-    /// Whether a request that would be sent to a replica now may be; asked once more just before its first
-    /// byte.
+    /// Whether a request may be sent to a replica now. Checked again just before the first byte is written.
     fn may_send(&self, request: &CallerRequest, replica: &ReplicaRecord) -> bool {
-        !self.context.metadata.is_closed(replica) && !self.holds(request)
+        !self.context.metadata.is_closed(replica) && !self.is_quarantined(request)
     }
 
-    /// Whether a request must reach no replica, since replicas ended under it.
-    fn holds(&self, request: &CallerRequest) -> bool {
+    /// Whether a request is quarantined and is not a trial.
+    fn is_quarantined(&self, request: &CallerRequest) -> bool {
         !request.is_trial && self.context.quarantine.contains(&request.fingerprint)
     }
 
-    /// Selects a replica for a request and counts it there until the returned value is dropped.
+    /// Selects a replica for a request. The request counts there until the returned value is dropped.
     fn select(&self, request: &CallerRequest, tried: &[String]) -> Result<InFlightRequest, NoCandidate> {
-        let selected = self.select_by(request, tried, |selector, query, table, evacuated, now| {
+        let selected = self.select_with(request, tried, |selector, query, table, evacuated, now| {
             selector.select(query, table, evacuated, now, rand::random())
         })?;
         Ok(InFlightRequest::begin(self, request, selected))
     }
 
-    /// Selects a replica for a request that waits at the last of `tried`, which was cold where
-    /// `waits_at_cold`, and counts it there as well.
+    /// Selects another replica for a request that waits at the last of `tried`. `waits_at_cold` tells
+    /// whether that replica was cold. The request counts at both replicas.
     fn select_alternative(
         &self,
         request: &CallerRequest,
         tried: &[String],
         waits_at_cold: bool,
     ) -> Result<InFlightRequest, StayReason> {
-        let selected = self.select_by(request, tried, |selector, query, table, evacuated, now| {
+        let selected = self.select_with(request, tried, |selector, query, table, evacuated, now| {
             selector.select_alternative(query, waits_at_cold, table, evacuated, now, rand::random())
         })?;
         Ok(InFlightRequest::begin(self, request, selected))
     }
 
-    /// Runs `select` on the selector with what this node knows now.
-    fn select_by<Selected>(
+    /// Runs `select` on the selector with the node's current metadata.
+    fn select_with<Selected>(
         &self,
         request: &CallerRequest,
         tried: &[String],
@@ -191,21 +189,21 @@
             regions: &request.regions,
             zones: &self.context.settings.places.zones,
             tried,
-            is_quarantined: self.holds(request),
+            is_quarantined: self.is_quarantined(request),
         };
         let (table, now) = (metadata.replicas.load(), self.now());
         let mut selection = self.selection();
-        // Read under the lock, so that older zones never replace newer ones.
+        // Loaded under the lock, so that older zones never replace newer ones.
         let evacuated = metadata.knows_evacuations().then(|| metadata.evacuated.load_full());
         select(&mut selection.selector, &query, &table, evacuated, now)
     }
 
-    /// A request stays at a replica that has had its share of the time.
-    fn late(&self, replica: &str) {
+    /// Records that a replica exceeded the attempt timeout of a request that stays there.
+    fn mark_late(&self, replica: &str) {
         self.selection().selector.mark_late(replica, self.now());
     }
 
-    fn reported(&self, replica: &str, busy: u32) {
+    fn record_reported_load(&self, replica: &str, busy: u32) {
         self.selection().selector.record_reported_load(replica, busy, self.now());
     }
 
--- a/crates/daemon/src/ingress/pool.rs
+++ b/crates/daemon/src/ingress/pool.rs
@@ -1,14 +1,14 @@
-//! Connections to replicas: one request at a time on each, kept for the next one where the replica allows it.
+//! Connection pool for replicas. Each connection carries one request at a time and is reused if the replica
+//! allows it.
 //!
-//! Invariant: a connection goes back to the pool only after a whole answer to the request sent on it, and is
-//! closed when anything arrives on it that nobody asked for. Dropping a connection closes it, by which the
-//! replica learns that its answer is not wanted any more.
+//! Invariant: a connection returns to the pool only after the complete response to its last request, and is
+//! closed if unsolicited data arrives on it. Dropping a connection closes it, which tells the replica that
+//! the response is no longer needed.
 //!
-//! [`crate::http::client`] pools connections too, by `hyper_util`. It can't serve here: its pool retries a
-//! request on a connection that has closed and keeps connections by address, while here each send is counted,
-//! asks `may_send` just before its first byte, belongs to one incarnation of a replica, and keeps a
-//! connection as long as the replica's `Keep-Alive` allows. Socket options differ as well: a request here has
-//! a caller's deadline, so keep-alive probes are not needed.
+//! [`crate::http::client`] pools connections with `hyper_util`, which retries requests on closed connections
+//! and keys connections by address. Here each send is counted, calls `may_send` just before its first byte,
+//! is bound to one incarnation of a replica, and honours the replica's `Keep-Alive` timeout. TCP keep-alive
+//! probes are not needed, since every request has a deadline.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -28,23 +28,20 @@
 
 use crate::boot_clock::{BootClock, BootInstant};
 
-/// How long a connection is kept where the replica does not state how long it keeps it. Chosen, not measured:
-/// longer sends requests on connections that the replica has closed, shorter makes more connections.
+/// Idle timeout of a connection whose replica states none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(2);
-/// The longest time that a connection is kept. Chosen, not measured.
+/// Maximum idle timeout, whatever the replica states.
 const MAX_IDLE: Duration = Duration::from_secs(20);
-/// A connection is given up this time before the replica closes it: a request that is sent just then may be
-/// lost with it. Chosen, not measured.
+/// Margin by which a connection is dropped before the replica closes it. A request sent just then could be
+/// lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
-/// Idle connections kept for each replica. Chosen, not measured: fewer reconnect after each burst, more hold
-/// descriptors.
+/// Maximum number of idle connections per replica.
 const REPLICA_IDLE_CONNECTIONS: usize = 24;
-/// A connection on which a replica acknowledges nothing for this time is closed. Chosen, not measured: longer
-/// leaves streams that can't be resumed waiting on a dead machine, shorter closes them for a short cut.
+/// A connection is closed after the replica leaves data unacknowledged for this time (`TCP_USER_TIMEOUT`).
 const REPLICA_UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Idle connections by the incarnation of the replica that they were made to: a connection to an earlier
-/// incarnation is dead, though that may not show yet. Cheap to clone.
+/// Pool of idle connections, keyed by replica incarnation: a connection to an earlier incarnation is dead
+/// even if its close has not been seen yet. Cheap to clone.
 #[derive(Clone)]
 pub struct ReplicaPool {
     clock: BootClock,
@@ -53,13 +50,13 @@
 
 struct IdleConnection {
     connection: Connection,
-    /// Replicas close idle connections also while this machine is suspended.
+    /// Boot time, since replicas also close idle connections while this machine is suspended.
     expires_at: BootInstant,
 }
 
-/// An open connection; dropping it closes it.
+/// An open connection to a replica. Dropping it closes the connection.
 pub struct Connection {
-    /// The incarnation of the replica to which it was made.
+    /// Id of the replica incarnation at the other end.
     replica: String,
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -71,46 +68,46 @@
     }
 }
 
-/// Why a request got no answer's head.
+/// Error of a send that received no response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of it was written: the replica may be sent nothing any more.
+    /// No byte was written because `may_send` returned false.
     Withheld,
-    /// No byte of it was written.
+    /// No byte was written.
     NotSent,
-    /// It may have arrived.
+    /// The request may have reached the replica.
     Broken,
 }
 
-/// An answer whose body is still to come, with the connection that it comes on.
+/// A response whose body has not been read, and its connection.
 pub struct HttpExchange {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// Its connection.
+    /// The connection that the body arrives on.
     pub connection: Connection,
 }
 
 impl ReplicaPool {
-    /// An empty pool whose connections expire by this clock.
+    /// Creates an empty pool whose connections expire by `clock`.
     pub fn new(clock: BootClock) -> Self {
         Self { clock, idle: Arc::default() }
     }
 
-    /// Sends a request and waits for the head of its answer. `needs_fresh` asks for a connection of its own,
-    /// which the replica can't be closing just now. `may_send` is asked just before the first byte: a request
-    /// that waited for a connection may have been let through under what no longer holds.
+    /// Sends a request and waits for the response head. `needs_new_connection` opens a new connection instead
+    /// of using a pooled one, which the replica may be closing. `may_send` is called just before the first
+    /// byte, since conditions may have changed while the request waited for a connection.
     ///
     /// # Errors
-    /// Tells apart whether anything was written.
+    /// Returns a [`SendError`] that tells whether the request may have reached the replica.
     pub async fn send(
         &self,
         replica: &ReplicaRecord,
         request: Request<Full<Bytes>>,
-        needs_fresh: bool,
+        needs_new_connection: bool,
         connect_timeout: Duration,
         may_send: impl Fn() -> bool,
     ) -> Result<HttpExchange, SendError> {
-        let idle = if needs_fresh { None } else { self.take(&replica.id) };
+        let idle = if needs_new_connection { None } else { self.take_idle(&replica.id) };
         let mut connection = match idle {
             Some(connection) => connection,
             None => connect(replica, connect_timeout).await?,
@@ -125,11 +122,11 @@
         }
     }
 
-    fn take(&self, replica: &str) -> Option<Connection> {
+    fn take_idle(&self, replica: &str) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(replica)?;
+        let connections = idle.get_mut(replica)?;
         let now = self.clock.now();
-        while let Some(candidate) = kept.pop() {
+        while let Some(candidate) = connections.pop() {
             if candidate.expires_at > now && candidate.connection.sender.is_ready() {
                 return Some(candidate.connection);
             }
@@ -137,34 +134,34 @@
         None
     }
 
-    /// Keeps a connection for the next request, after the whole answer with these headers came on it.
+    /// Returns a connection to the pool after the complete response with these headers was read from it.
     pub fn give_back(&self, connection: Connection, headers: &HeaderMap) {
-        let Some(idle_for) = idle_time(headers) else { return };
+        let Some(idle_for) = idle_timeout(headers) else { return };
         if connection.sender.is_closed() {
             return;
         }
         let now = self.clock.now();
         let expires_at = now + idle_for;
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_kept = |kept: &IdleConnection| kept.expires_at > now && !kept.connection.sender.is_closed();
+        let is_open = |entry: &IdleConnection| entry.expires_at > now && !entry.connection.sender.is_closed();
         if !idle.contains_key(&connection.replica) {
-            // Connections of incarnations that have ended are dropped.
-            idle.retain(|_, kept| kept.iter().any(is_kept));
+            // Drops the connections of ended incarnations.
+            idle.retain(|_, connections| connections.iter().any(is_open));
         }
-        let kept = idle.entry(connection.replica.clone()).or_default();
-        kept.retain(is_kept);
-        if kept.len() < REPLICA_IDLE_CONNECTIONS {
-            kept.push(IdleConnection { connection, expires_at });
+        let connections = idle.entry(connection.replica.clone()).or_default();
+        connections.retain(is_open);
+        if connections.len() < REPLICA_IDLE_CONNECTIONS {
+            connections.push(IdleConnection { connection, expires_at });
         }
     }
 }
 
-/// How long a connection may be kept; `None` where it is to be closed.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
-    let says = |value: &hyper::header::HeaderValue, word: &str| {
+/// Returns how long a connection may stay idle, or `None` if it has to be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let contains = |value: &hyper::header::HeaderValue, word: &str| {
         value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains(word))
     };
-    if headers.get_all(CONNECTION).iter().any(|value| says(value, "close")) {
+    if headers.get_all(CONNECTION).iter().any(|value| contains(value, "close")) {
         return None;
     }
     let Some(keep_alive) = headers.get("keep-alive").and_then(|value| value.to_str().ok()) else {
@@ -189,8 +186,7 @@
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let Ok((sender, driver)) = handshake else { return Err(SendError::NotSent) };
     let task = tokio::spawn(async move {
-        // A failure also reaches the request or the body that waits on this connection, and is reported
-        // there.
+        // An error also fails the request or body read on this connection, which reports it.
         let _ = driver.await;
     });
     Ok(Connection { replica: replica.id.clone(), sender, task: task.abort_handle() })
--- a/crates/daemon/src/ingress/readiness.rs
+++ b/crates/daemon/src/ingress/readiness.rs
@@ -1,12 +1,12 @@
-//! Answers load balancers whether this node takes new connections: it must know what it may send to which
-//! replica.
+//! Readiness check for load balancers.
 
 use hyper::{Response, StatusCode};
 
 use crate::context::Context;
 use crate::http::{Body, response};
 
-/// Ready once the configuration and the evacuated zones are known, until a planned stop begins.
+/// Answers a readiness check. The node is ready once the configuration and the evacuated zones are known,
+/// until it starts draining.
 pub fn answer(context: &Context) -> Response<Body> {
     let has_routes = context.metadata.routes.load().is_some() && context.metadata.knows_evacuations();
     let is_ready = has_routes && !context.draining.is_cancelled();
--- a/crates/daemon/src/ingress/refusal.rs
+++ b/crates/daemon/src/ingress/refusal.rs
@@ -1,9 +1,9 @@
-//! Answers to requests that no replica answered: status, kind, remedy and `Retry-After` of each reason.
+//! Error responses to requests that no replica answered: the status, kind, remedy and `Retry-After` of each
+//! reason.
 //!
-//! The platform's callers read `Retry-After` in tenths of a second and get the request's id back in a field;
-//! callers of the project's own interface get `retry_after_ms` and whether the request ran in the body, see
-//! `gateway::refusal`. So the two forms stay apart; the times of both come from the core's
-//! `retry::retry_after`.
+//! The platform's callers read `Retry-After` with tenths of a second and get the request id back in a header
+//! field. Callers of the native interface get `retry_after_ms` and whether the request ran in the body; see
+//! `gateway::refusal`. Both take the delays from the core's `retry::retry_after`.
 
 use std::time::Duration;
 
@@ -19,54 +19,54 @@
 use crate::context::Context;
 use crate::http::{Body, response};
 
-/// Why a request got no answer of a replica.
+/// Reason for refusing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// This node knows no configuration yet.
+    /// This node has not loaded a configuration yet.
     NoConfiguration,
     /// This node does not know yet which zones are evacuated.
     EvacuationsUnknown,
-    /// The caller needs a key and brought none that is known.
+    /// The route requires a key, and the caller presented none that is known.
     UnknownKey,
-    /// No route fits the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No replica of the service takes work.
+    /// No replica of the service accepts requests.
     NoReplica,
-    /// No region in which the request may be served has a replica of the service.
+    /// No allowed region of the request has a replica of the service.
     OutsideRegions,
-    /// No region in which the batch job may be kept has a coordinator, or stores enough.
+    /// No allowed region of the batch job has a coordinator and enough stores.
     NoPlace,
-    /// A scorer may be served in fewer regions than its batch job.
+    /// A scorer's route doesn't allow all regions of the batch job.
     ScorerRegions,
-    /// All replicas of the service stand in zones that are evacuated.
+    /// All replicas of the service are in evacuated zones.
     Evacuated,
-    /// Replicas ended under it: it is sent to no other.
+    /// The request is quarantined because replicas crashed while running it.
     Quarantined,
-    /// The replicas that could take it are cold; one may be sent a request after this time.
+    /// All candidate replicas are cold and at their limit. One may take a request after this time.
     Warming(Duration),
-    /// Every replica that was tried stated that it did not run the request.
+    /// No replica ran the request.
     NotRun,
-    /// A replica may have run the request, and no whole answer came.
+    /// A replica may have run the request, and no complete answer arrived.
     Unknown,
-    /// The time is over, and a replica may have run the request.
+    /// The deadline passed, and a replica may have run the request.
     TimedOut,
-    /// The body is longer than the configuration allows.
+    /// The body exceeds the configured limit.
     BodyTooLong,
-    /// The body did not come whole in time.
+    /// The body was not complete in time.
     BodyTooSlow,
-    /// The body can't be read.
+    /// The body can't be read or parsed.
     BadBody,
-    /// A field or parameter that the call needs is absent.
+    /// A required header field or query parameter is missing or invalid.
     Incomplete,
-    /// There is no such batch job or item.
+    /// The batch job or item does not exist.
     UnknownBatch,
-    /// The batch jobs' owner can't be asked now, and nothing was begun.
+    /// The owner of the batch job can't be reached, and nothing was started.
     NoOwner,
-    /// There is no room for a batch job.
+    /// The limit of batch jobs is reached.
     Full,
-    /// Another tenant's batch job has the id.
+    /// A batch job of another tenant has this id.
     IdTaken,
-    /// The batch job may have been taken, or not.
+    /// It is unknown whether the batch job was accepted.
     InDoubt,
 }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Why the caller should come back; `None` where the same request would be refused again.
+    /// Returns the cause that determines `Retry-After`, or `None` if the response has no `Retry-After`.
     const fn retry_cause(self) -> Option<RetryCause> {
         match self {
             Self::NoReplica | Self::NotRun => Some(RetryCause::NoReplica),
@@ -193,19 +193,19 @@
         }
     }
 
-    /// The answer, with a decision and a line in the log that name the request.
+    /// Builds the error response to `request` and records the decision.
     pub(super) fn respond<B>(self, context: &Context, request: &Request<B>) -> Response<Body> {
         let id = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
         self.respond_to(context, id)
     }
 
-    /// The same, for the request with this id.
+    /// Builds the error response to the request with this id and records the decision.
     pub(super) fn respond_to(self, context: &Context, request_id: Option<&str>) -> Response<Body> {
-        self.respond_because(context, request_id, self.kind())
+        self.respond_with_cause(context, request_id, self.kind())
     }
 
-    /// The same, with what exactly is wrong.
-    pub(super) fn respond_because(
+    /// Like [`Self::respond_to`], with a specific cause in the message.
+    pub(super) fn respond_with_cause(
         self,
         context: &Context,
         request_id: Option<&str>,
@@ -214,8 +214,8 @@
         self.answer(context, request_id, cause, &AllowedRegions::all())
     }
 
-    /// The same, for a request that may be served in these regions: a refusal names them.
-    pub(super) fn respond_within(
+    /// Like [`Self::respond_to`], with the allowed regions of the request in the message.
+    pub(super) fn respond_with_regions(
         self,
         context: &Context,
         request_id: Option<&str>,
@@ -236,11 +236,11 @@
     ) -> Response<Body> {
         let subject = request_id.unwrap_or("-");
         let decision = Decision::new(Component::Request, "refused", self.kind(), subject);
-        let is_bound = !regions.is_all();
-        if is_bound {
+        let is_region_bound = !regions.is_all();
+        if is_region_bound {
             context.metrics.count_region_refusal(&regions.to_string(), self.kind());
         }
-        context.decisions.record(if is_bound { decision.with("regions", regions) } else { decision });
+        context.decisions.record(if is_region_bound { decision.with("regions", regions) } else { decision });
         let body = ErrorBody::new(self.kind(), format!("the request was refused: {cause}"), self.remedy());
         let mut answer = response::json(self.status(), &body);
         if let Some(id) = request_id.and_then(|id| HeaderValue::from_str(id).ok()) {
--- a/crates/daemon/src/ingress/request_body.rs
+++ b/crates/daemon/src/ingress/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading of callers' bodies, within bounds of bytes and time.
+//! Reads request bodies of callers within limits of size and time.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,40 +7,38 @@
 
 use super::refusal::Refusal;
 
-/// How much of a body that is too long is read and dropped before the answer, in bytes. Chosen, not measured:
-/// smaller loses the answer to callers that send more without reading, larger lets one caller hold a
-/// connection longer.
-const MAX_DROPPED_BYTES: usize = 16 << 20;
+/// Maximum number of bytes of an oversized body that are read and discarded before the refusal.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// Reads a body whole. The rest of one that is too long is read and dropped, within bounds: a connection that
-/// is closed with unread bytes is reset, and the caller would lose the answer that states the reason.
+/// Reads a complete body. The rest of an oversized body is read and discarded up to a limit: a connection
+/// closed with unread bytes is reset, and the caller would lose the response with the reason.
 ///
 /// # Errors
-/// When it is longer than `limit_bytes`, breaks off, or is not whole by `limit`.
+/// Returns a refusal if the body is longer than `limit_bytes`, ends early, or is not complete by `deadline`.
 pub(super) async fn read_body(
     mut body: Incoming,
     limit_bytes: usize,
-    limit: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, Refusal> {
-    let mut whole = BytesMut::new();
-    let mut dropped_bytes = 0;
+    let mut buffer = BytesMut::new();
+    let mut discarded_bytes = 0;
     loop {
-        let frame = match tokio::time::timeout_at(limit, body.frame()).await {
+        let frame = match tokio::time::timeout_at(deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) => return Err(Refusal::BadBody),
-            Ok(None) if dropped_bytes > 0 => return Err(Refusal::BodyTooLong),
-            Ok(None) => return Ok(whole.freeze()),
-            Err(_) if dropped_bytes > 0 => return Err(Refusal::BodyTooLong),
+            Ok(None) if discarded_bytes > 0 => return Err(Refusal::BodyTooLong),
+            Ok(None) => return Ok(buffer.freeze()),
+            Err(_) if discarded_bytes > 0 => return Err(Refusal::BodyTooLong),
             Err(_) => return Err(Refusal::BodyTooSlow),
         };
         let Ok(bytes) = frame.into_data() else { continue };
-        if dropped_bytes > 0 || whole.len() + bytes.len() > limit_bytes {
-            dropped_bytes += bytes.len();
-            whole = BytesMut::new();
+        if discarded_bytes > 0 || buffer.len() + bytes.len() > limit_bytes {
+            discarded_bytes += bytes.len();
+            buffer = BytesMut::new();
         } else {
-            whole.extend_from_slice(&bytes);
+            buffer.extend_from_slice(&bytes);
         }
-        if dropped_bytes > MAX_DROPPED_BYTES {
+        if discarded_bytes > MAX_DISCARDED_BYTES {
             return Err(Refusal::BodyTooLong);
         }
     }
--- a/crates/daemon/src/ingress/selector_update.rs
+++ b/crates/daemon/src/ingress/selector_update.rs
@@ -1,8 +1,7 @@
-//! Keeps the gateway's selector of replicas up to date, and lists for operators what may be sent to each
-//! replica.
+//! Keeps the gateway's replica selector up to date and reports the send state of each replica to operators.
 //!
-//! Owns the task that polls the configuration, the replicas, the evacuated zones and the members. Relies on
-//! the node's metadata for all of them; the rules for cold replicas stand in the core's `ingress::warmups`.
+//! A task polls the configuration, the replicas, the evacuated zones and the cluster members. The limits for
+//! cold replicas are implemented in the core's `ingress::warmups`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +14,12 @@
 
 use super::{Ingress, SelectionState};
 
-/// The pause between two polls. A record by which a replica turned cold counts at once without a poll; a
-/// later poll only holds a replica cold for longer by this time. Shorter costs a pass over all replicas each
-/// time.
+/// Interval between polls. A replica that turns cold is limited at once, without a poll; polling delays only
+/// the end of a cold period.
 const METADATA_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Polls what the selector depends on until the node has stopped.
-pub(super) async fn watch(ingress: Ingress) {
+/// Updates the selector at each poll until the node has stopped.
+pub(super) async fn run(ingress: Ingress) {
     let mut polls = tokio::time::interval(METADATA_POLL_INTERVAL);
     polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -36,7 +34,7 @@
     fn update_selector(&self) {
         let (context, now) = (&self.context, self.now());
         let mut selection = self.selection();
-        selection.take_routes(context.metadata.routes.load_full());
+        selection.update_routes(context.metadata.routes.load_full());
         selection.selector.gate_mut().set_evacuated(context.metadata.evacuated.load_full(), now);
         let warmups = selection.selector.gate_mut().warmups_mut();
         if let Some(order) = warmups.order_mut() {
@@ -55,13 +53,14 @@
         context.metrics.set_cold_replicas(warmups.count(now));
         selection.replicas = replicas;
         drop(selection);
-        // The owner of the batch jobs records each change; a gateway those of replicas that it sends to.
+        // The owner of the batch jobs records every change, a gateway only those of replicas that it may send
+        // to.
         for change in changes.iter().filter(|change| change.interval.is_some()) {
             context.decisions.record(change.decision("gateway"));
         }
     }
 
-    /// What this node's gateway may send to each replica now.
+    /// Returns the current send state of each replica at this gateway.
     pub(crate) fn replica_states(&self) -> Vec<ReplicaSendStatus> {
         let now = self.now();
         let replicas = self.context.metadata.replicas.load();
@@ -71,25 +70,26 @@
 }
 
 impl SelectionState {
-    fn take_routes(&mut self, routes: Option<Arc<super::RouteTable>>) {
+    fn update_routes(&mut self, routes: Option<Arc<super::RouteTable>>) {
         let Some(routes) = routes else { return };
-        if self.routes.as_ref().is_some_and(|taken| Arc::ptr_eq(taken, &routes)) {
+        if self.routes.as_ref().is_some_and(|current| Arc::ptr_eq(current, &routes)) {
             return;
         }
         self.selector.gate_mut().warmups_mut().set_routes(&routes);
         self.routes = Some(routes);
-        // Replicas of services that have bounds from now on were not passed to the gate yet.
+        // Forces an update with all replicas, since services that have bounds from now on were not tracked
+        // before.
         self.replicas = Arc::default();
     }
 
     fn status(&self, record: &ReplicaRecord, now: Timestamp) -> ReplicaSendStatus {
         let gate = self.selector.gate();
-        let spell = gate.warmups().cold_period(&record.id, now);
+        let period = gate.warmups().cold_period(&record.id, now);
         let state = if gate.is_evacuated(record) {
             ReplicaSendState::Evacuated
         } else if record.is_draining {
             ReplicaSendState::Draining
-        } else if spell.is_some() {
+        } else if period.is_some() {
             ReplicaSendState::Cold
         } else {
             ReplicaSendState::Warm
@@ -99,17 +99,17 @@
             service: record.service.clone(),
             zone: record.zone.clone(),
             state,
-            cold: spell.map(|spell| cold_status(spell, now)),
+            cold: period.map(|period| cold_status(period, now)),
         }
     }
 }
 
-fn cold_status(spell: &ColdPeriod, now: Timestamp) -> ColdStatus {
+fn cold_status(period: &ColdPeriod, now: Timestamp) -> ColdStatus {
     ColdStatus {
-        cause: spell.cause.as_str().to_owned(),
-        since_ms: whole_millis(now.saturating_since(spell.since)),
-        left_ms: whole_millis(spell.until.saturating_since(now)),
-        interval_ms: spell.interval.map(whole_millis),
-        sent: spell.sent,
+        cause: period.cause.as_str().to_owned(),
+        since_ms: whole_millis(now.saturating_since(period.since)),
+        left_ms: whole_millis(period.until.saturating_since(now)),
+        interval_ms: period.interval.map(whole_millis),
+        sent: period.sent,
     }
 }
--- a/crates/daemon/src/ingress/sse.rs
+++ b/crates/daemon/src/ingress/sse.rs
@@ -1,70 +1,68 @@
-//! Server-sent events of replicas, cut into whole events as their bytes arrive.
+//! Incremental parser for server-sent events of replicas.
 //!
-//! [`crate::http::events`] reads events too, those of the project's own engines and stores. The two differ in
-//! what an event is, so they stay apart: here any of the three line endings ends one, its bytes are kept to
-//! be passed on unchanged (also those of comments), and it carries a number and a version of weights. There
-//! the peer is of the same release: one line ending, comments are dropped, and the data is parsed as JSON.
+//! It accepts all three line endings, keeps the raw bytes (including comments) so that events can be
+//! forwarded unchanged, and reads the event number and weight version. [`crate::http::events`] parses the
+//! events of the project's own engines and stores, which use one line ending and JSON data.
 
 use bytes::{Buf, Bytes, BytesMut};
 use lichenpulley_platform::headers;
 
-/// The longest event of a replica, in bytes. Chosen, not measured: bounds the memory of a stream whose
-/// replica sends no end of an event.
-const REPLICA_EVENT_LIMIT_BYTES: usize = 4 << 20;
+/// Maximum size of an event, in bytes. Bounds the memory used by an unterminated event.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, with the blank line that ends it.
+    /// The raw bytes, including the blank line at the end.
     pub raw: Bytes,
-    /// Its number, where it has one.
+    /// The event number from the `id` field, if present.
     pub number: Option<u64>,
-    /// Its data, lines separated by line feeds.
+    /// The `data` lines, joined by line feeds.
     pub data: String,
-    /// The version of the weights from here on, where the event says that it changed.
+    /// The weight version from this event on, if the event states one.
     pub version: Option<u64>,
 }
 
-/// An event that is too long or not text.
+/// An event that is too long or not valid UTF-8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is too long or no text; break the stream off")]
-pub struct BadEvent;
+#[error("the event is too long or not valid UTF-8; close the stream")]
+pub struct InvalidEvent;
 
-/// Cuts a stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes at the start of the buffer that hold no end of an event.
-    searched: usize,
+    /// Number of bytes at the start of the buffer that were already searched for the end of an event.
+    searched_bytes: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they arrive.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of an event is left.
+    /// Whether the buffer holds an incomplete event.
     pub(crate) fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
-    /// When an event is too long or not text.
-    pub(crate) fn next_event(&mut self) -> Result<Option<Event>, BadEvent> {
+    /// Returns an error if the event is too long or not valid UTF-8.
+    pub(crate) fn next_event(&mut self) -> Result<Option<Event>, InvalidEvent> {
         let Some(end) = self.find_end() else {
-            return if self.buffer.len() > REPLICA_EVENT_LIMIT_BYTES { Err(BadEvent) } else { Ok(None) };
+            return if self.buffer.len() > MAX_EVENT_BYTES { Err(InvalidEvent) } else { Ok(None) };
         };
         let raw = self.buffer.copy_to_bytes(end);
-        self.searched = 0;
+        self.searched_bytes = 0;
         parse(raw).map(Some)
     }
 
-    /// The length of the first whole event.
+    /// Returns the length of the first complete event.
     fn find_end(&mut self) -> Option<usize> {
-        let start = self.searched.saturating_sub(3);
+        let start = self.searched_bytes.saturating_sub(3);
         let bytes = &self.buffer[start..];
         for position in 0..bytes.len() {
             let rest = &bytes[position..];
@@ -74,13 +72,13 @@
                 }
             }
         }
-        self.searched = self.buffer.len();
+        self.searched_bytes = self.buffer.len();
         None
     }
 }
 
-fn parse(raw: Bytes) -> Result<Event, BadEvent> {
-    let text = std::str::from_utf8(&raw).map_err(|_| BadEvent)?;
+fn parse(raw: Bytes) -> Result<Event, InvalidEvent> {
+    let text = std::str::from_utf8(&raw).map_err(|_| InvalidEvent)?;
     let mut number = None;
     let mut version = None;
     let mut data: Vec<&str> = Vec::new();
--- a/crates/daemon/src/ingress/stream.rs
+++ b/crates/daemon/src/ingress/stream.rs
@@ -1,8 +1,8 @@
-//! Passes streams on event by event. A resumable stream that breaks is resumed at another replica within the
-//! same answer, after the last whole event that was passed on.
+//! Forwards streams event by event. A resumable stream that breaks is resumed at another replica within the
+//! same response, after the last complete event that was forwarded.
 //!
-//! Owns the task of each stream from its head on. Relies on the [`AttemptLoop`] for the choice of replicas
-//! and for retries, and on [`EventSplitter`] for whole events.
+//! After the response head, each stream runs in a task of its own. [`AttemptLoop`] selects replicas and
+//! retries; [`EventSplitter`] finds complete events.
 
 use std::io;
 use std::time::Duration;
@@ -30,20 +30,16 @@
 use crate::duties::RunCount;
 use crate::http::{Body, response};
 
-/// Events that may wait for a caller that reads slowly; then the replica's stream is read no further. Fewer
-/// let a short pause of the caller hold up the replica, more cost memory for each slow caller.
+/// Maximum number of events buffered for a slow caller before reading from the replica pauses.
 const CALLER_EVENT_BACKLOG: usize = 64;
-/// Longest answer other than a stream that is passed back, in bytes. Error bodies are short; a smaller limit
-/// loses their text, a larger one lets them fill the memory.
-const FAILURE_BODY_LIMIT_BYTES: usize = 4 << 20;
-/// A resumable stream without a new event for this time is resumed at another replica, where one may take it:
-/// too short runs streams twice whose replica is merely slow, too long leaves the caller without events while
-/// a replica is silent.
+/// Maximum size of an error response body that is forwarded, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 4 << 20;
+/// A resumable stream without a new event for this time is resumed at another replica, if one is available.
 const EVENT_STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-type Pieces = mpsc::Sender<io::Result<Frame<Bytes>>>;
+type FrameSender = mpsc::Sender<io::Result<Frame<Bytes>>>;
 
-/// A stream that has begun at a replica.
+/// A stream in progress at a replica.
 struct Stream {
     request: CallerRequest,
     is_resumable: bool,
@@ -51,21 +47,21 @@
     in_flight: InFlightRequest,
 }
 
-/// How the events of one replica ended.
+/// How the event stream of one replica ended.
 enum StreamEnd {
-    /// Well-formed, and all of them.
-    Whole,
-    /// The connection closed before their end.
+    /// The stream is complete.
+    Complete,
+    /// The connection closed before the end of the stream.
     Broken,
-    /// Nothing came for too long, and another replica may take it or the time is over.
+    /// No event arrived for too long, and a slot at another replica is reserved or the deadline passed.
     Stalled,
-    /// What came is no event.
+    /// The replica sent an invalid event.
     Malformed,
-    /// The caller has left or given up.
-    CallerGone,
+    /// The caller disconnected.
+    CallerDisconnected,
 }
 
-/// Answers one request.
+/// Answers one streaming request.
 pub(super) async fn handle(
     ingress: &Ingress,
     table: &RouteTable,
@@ -87,24 +83,24 @@
     };
     if !exchange.response.status().is_success() {
         in_flight.run.record_complete();
-        return pass_failure(exchange, &request).await;
+        return forward_error_response(exchange, &request).await;
     }
     request.record(ingress, &in_flight, "stream_begun", "answered", attempts.sends());
     let stream = Stream { request, is_resumable: route.is_resumable, attempts, in_flight };
-    begin(ingress, stream, exchange, last_event.as_deref())
+    start_forwarding(ingress, stream, exchange, last_event.as_deref())
 }
 
-/// A send of a request whose answer is a stream, up to the head of the answer.
+/// Sends a streaming request and waits for the response head.
 struct StreamAttempt<'a> {
     ingress: &'a Ingress,
-    /// The stream begins after this event.
+    /// Number of the last event that the caller received; the stream begins after it.
     last_event: Option<&'a str>,
 }
 
 impl ReplicaAttempt for StreamAttempt<'_> {
     type Answer = HttpExchange;
 
-    /// How long a prompt takes to be read before the head comes is not known.
+    /// The time to process the prompt before the response head is not known in advance.
     const MAY_MOVE: bool = false;
 
     async fn send(
@@ -114,9 +110,9 @@
     ) -> (SendOutcome, Option<HttpExchange>) {
         let options = SendOptions {
             last_event: self.last_event,
-            needs_fresh: true,
+            needs_new_connection: true,
             connect_timeout: REPLICA_CONNECT_TIMEOUT,
-            limit: request.limit,
+            deadline: request.deadline,
         };
         let exchange = match in_flight.send(request, options).await {
             Ok(exchange) => exchange,
@@ -128,17 +124,17 @@
         }
         let outcome = headers::outcome(exchange.response.status(), fields);
         if outcome == SendOutcome::Answered {
-            // A stream begins to run with its first event, which follows the head at once.
+            // A stream counts as one run from its head on; its first event follows at once.
             drop(RunCount::begin(&self.ingress.context, request.caller.tenant()));
         }
         match outcome {
-            SendOutcome::Rejected => in_flight.was_full(),
+            SendOutcome::Rejected => in_flight.record_rejected(),
             SendOutcome::Failed => {
-                in_flight.answered();
+                in_flight.record_answered();
                 in_flight.run.record_complete();
             }
-            // The events are still to come.
-            _ => in_flight.answered(),
+            // The run ends with the events, which have not arrived yet.
+            _ => in_flight.record_answered(),
         }
         (outcome, Some(exchange))
     }
@@ -151,13 +147,12 @@
     }
 }
 
-/// Passes an answer other than a stream back.
-async fn pass_failure(exchange: HttpExchange, request: &CallerRequest) -> Response<Body> {
+/// Forwards an unsuccessful response of a replica.
+async fn forward_error_response(exchange: HttpExchange, request: &CallerRequest) -> Response<Body> {
     let (head, body) = exchange.response.into_parts();
-    let body = Limited::new(body, FAILURE_BODY_LIMIT_BYTES).collect();
-    let body = tokio::time::timeout_at(request.limit, body).await;
-    // The status alone says that the stream can't begin: where its text is not whole in time, it is passed
-    // back without.
+    let body = Limited::new(body, MAX_ERROR_BODY_BYTES).collect();
+    let body = tokio::time::timeout_at(request.deadline, body).await;
+    // The status alone reports the failure, so a body that is not complete in time is left out.
     let body = body.ok().and_then(Result::ok).map(Collected::to_bytes).unwrap_or_default();
     let mut passed = Response::new(response::full(body));
     *passed.status_mut() = head.status;
@@ -165,8 +160,8 @@
     passed
 }
 
-/// The answer keeps the head and the signature of its first replica.
-fn begin(
+/// Spawns the task that forwards the stream, and returns the response with the head of the first replica.
+fn start_forwarding(
     ingress: &Ingress,
     stream: Stream,
     exchange: HttpExchange,
@@ -174,9 +169,9 @@
 ) -> Response<Body> {
     let status = exchange.response.status();
     let fields = headers::end_to_end(exchange.response.headers());
-    let (pieces, received) = mpsc::channel(CALLER_EVENT_BACKLOG);
+    let (frames, received) = mpsc::channel(CALLER_EVENT_BACKLOG);
     let last_event = last_event.and_then(|number| number.parse().ok());
-    tokio::spawn(forward(ingress.clone(), stream, exchange, pieces, last_event));
+    tokio::spawn(forward_stream(ingress.clone(), stream, exchange, frames, last_event));
     let mut answer = Response::new(StreamBody::new(ReceiverStream::new(received)).boxed_unsync());
     *answer.status_mut() = status;
     *answer.headers_mut() = fields;
@@ -184,14 +179,15 @@
 }
 
 impl Stream {
-    /// When the stream counts as stalled unless an event comes before.
-    fn next_stall(&self) -> Instant {
-        let limit = self.request.limit;
-        if self.is_resumable { limit.min(Instant::now() + EVENT_STALL_TIMEOUT) } else { limit }
+    /// Returns when the stream counts as stalled unless an event arrives before.
+    fn stall_deadline(&self) -> Instant {
+        let deadline = self.request.deadline;
+        if self.is_resumable { deadline.min(Instant::now() + EVENT_STALL_TIMEOUT) } else { deadline }
     }
 
-    /// Whether a stalled stream has to wait for its replica: there is time left, and no place at another one
-    /// could be reserved. Broken off now, the caller would lose what the replica still makes.
+    /// Whether a stalled stream keeps waiting for its replica: the deadline has not passed, and no slot at
+    /// another replica could be reserved. Ending it now would lose the events that the replica may still
+    /// send.
     fn must_stay(&mut self, ingress: &Ingress) -> bool {
         let has_time = !self.request.remaining().is_zero();
         has_time && !self.attempts.reserve(ingress, &self.request, self.in_flight.is_cold)
@@ -203,17 +199,17 @@
     }
 }
 
-async fn forward(
+async fn forward_stream(
     ingress: Ingress,
     mut stream: Stream,
     mut exchange: HttpExchange,
-    pieces: Pieces,
+    frames: FrameSender,
     mut last_event: Option<u64>,
 ) {
     loop {
-        match pass_events(&ingress, &mut stream, &mut exchange, &pieces, &mut last_event).await {
-            StreamEnd::Whole => return stream.in_flight.run.record_complete(),
-            StreamEnd::CallerGone => return,
+        match forward_events(&ingress, &mut stream, &mut exchange, &frames, &mut last_event).await {
+            StreamEnd::Complete => return stream.in_flight.run.record_complete(),
+            StreamEnd::CallerDisconnected => return,
             StreamEnd::Broken => {
                 stream.in_flight.run.record_broken().await;
                 stream.record_break(&ingress, "broken");
@@ -221,39 +217,41 @@
             StreamEnd::Stalled => stream.record_break(&ingress, "stalled"),
             StreamEnd::Malformed => stream.record_break(&ingress, "malformed"),
         }
-        // The replica before must not go on beside the next one.
+        // Closes the connection, so that the previous replica stops before the next one starts.
         drop(exchange);
-        let Some(resumed) = resume(&ingress, &mut stream, last_event, &pieces).await else {
-            // An error breaks the connection off, so that a part is not taken for the whole.
-            let broken = io::Error::new(io::ErrorKind::UnexpectedEof, "the stream broke off before its end");
-            // A failed send means that the caller has left, who then needs no error.
-            let _ = pieces.send(Err(broken)).await;
+        let Some(resumed) = resume(&ingress, &mut stream, last_event, &frames).await else {
+            // The error aborts the connection, so that the caller can't mistake a partial response for a
+            // complete one.
+            let broken =
+                io::Error::new(io::ErrorKind::UnexpectedEof, "the stream ended before it was complete");
+            // The send fails only if the caller disconnected.
+            let _ = frames.send(Err(broken)).await;
             return;
         };
         exchange = resumed;
     }
 }
 
-async fn pass_events(
+async fn forward_events(
     ingress: &Ingress,
     stream: &mut Stream,
     exchange: &mut HttpExchange,
-    pieces: &Pieces,
+    frames: &FrameSender,
     last_event: &mut Option<u64>,
 ) -> StreamEnd {
     let mut splitter = EventSplitter::default();
-    let mut stalls_at = stream.next_stall();
+    let mut stalls_at = stream.stall_deadline();
     loop {
         let body = exchange.response.body_mut();
         let frame = tokio::select! {
             frame = tokio::time::timeout_at(stalls_at, body.frame()) => frame,
-            () = pieces.closed() => return StreamEnd::CallerGone,
+            () = frames.closed() => return StreamEnd::CallerDisconnected,
         };
         let frame = match frame {
             Ok(Some(Ok(frame))) => frame,
-            Ok(None) if !splitter.has_partial_event() => return StreamEnd::Whole,
+            Ok(None) if !splitter.has_partial_event() => return StreamEnd::Complete,
             Ok(None | Some(Err(_))) => {
-                stream.in_flight.was_silent();
+                stream.in_flight.record_no_answer();
                 return StreamEnd::Broken;
             }
             Err(_) if stream.must_stay(ingress) => {
@@ -261,34 +259,34 @@
                 continue;
             }
             Err(_) => {
-                stream.in_flight.was_silent();
+                stream.in_flight.record_no_answer();
                 return StreamEnd::Stalled;
             }
         };
-        stalls_at = stream.next_stall();
+        stalls_at = stream.stall_deadline();
         let Ok(bytes) = frame.into_data() else { continue };
         splitter.push(&bytes);
-        if let Err(end) = pass_whole_events(&mut splitter, pieces, last_event).await {
+        if let Err(end) = forward_complete_events(&mut splitter, frames, last_event).await {
             return end;
         }
     }
 }
 
-/// Passes on the whole events that have arrived, without those that the caller has already.
+/// Forwards the complete events that have arrived, except those that the caller already has.
 ///
 /// # Errors
-/// How the stream ended: its caller left, or what arrived is no event.
-async fn pass_whole_events(
+/// Returns how the stream ended if the caller disconnected or an event is invalid.
+async fn forward_complete_events(
     splitter: &mut EventSplitter,
-    pieces: &Pieces,
+    frames: &FrameSender,
     last_event: &mut Option<u64>,
 ) -> Result<(), StreamEnd> {
     loop {
         match splitter.next_event() {
             Ok(Some(event)) if is_new(&event, *last_event) => {
                 *last_event = event.number.or(*last_event);
-                let sent = pieces.send(Ok(Frame::data(event.raw))).await;
-                sent.map_err(|_| StreamEnd::CallerGone)?;
+                let sent = frames.send(Ok(Frame::data(event.raw))).await;
+                sent.map_err(|_| StreamEnd::CallerDisconnected)?;
             }
             Ok(Some(_)) => {}
             Ok(None) => return Ok(()),
@@ -304,12 +302,12 @@
     }
 }
 
-/// Resumes a broken stream at another replica; `None` where none was found.
+/// Resumes a broken stream at another replica. Returns `None` if that is not possible.
 async fn resume(
     ingress: &Ingress,
     stream: &mut Stream,
     last_event: Option<u64>,
-    pieces: &Pieces,
+    frames: &FrameSender,
 ) -> Option<HttpExchange> {
     if !stream.is_resumable {
         return None;
@@ -318,8 +316,8 @@
     let attempt = StreamAttempt { ingress, last_event: last_event.as_deref() };
     let mut outcome = SendOutcome::Broken;
     loop {
-        let next = stream.attempts.after(&stream.request, outcome);
-        if next != NextStep::TryAnother || pieces.is_closed() {
+        let next = stream.attempts.next_step(&stream.request, outcome);
+        if next != NextStep::TryAnother || frames.is_closed() {
             return None;
         }
         let sent = stream.attempts.send_next(ingress, &stream.request, &attempt).await.ok()?;
