--- a/crates/daemon/src/quarantine/handle.rs
+++ b/crates/daemon/src/quarantine/handle.rs
@@ -1,7 +1,7 @@
-//! What a node knows of requests under which replicas end, as its other parts reach it.
+//! State of the quarantine on this node, shared with its other parts.
 //!
-//! Owns the watch of crashes, the verdict in force, and what waits to be written by `reporter`. Imports nothing of the
-//! node's other parts but its clock; what also changes their state stands in the module above.
+//! Holds the crash monitor, the current quarantine and the data that `reporter` has yet to write. Depends on
+//! no other part of the node but its clock; updates that also change other parts are in the parent module.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -16,39 +16,39 @@
 
 use crate::boot_clock::{BootClock, BootInstant};
 
-/// The most reports that wait to be written; the oldest of this node's own are dropped. Bounds the memory
-/// while the store is away; fewer lose crashes.
-pub(super) const OUTBOX_LIMIT: usize = 64;
-/// The most quarantined requests that came again of which the records wait to be renewed.
-const REPEATED_LIMIT: usize = 1_024;
+/// Maximum number of reports that wait to be written. The oldest are dropped, and further reports of peers
+/// are refused.
+pub(super) const MAX_OUTBOX_REPORTS: usize = 64;
+/// Maximum number of repeated quarantined requests whose records wait to be renewed.
+const MAX_REPEATED_REQUESTS: usize = 1_024;
 
-/// What this node knows of requests under which replicas end.
+/// State of the quarantine on this node.
 #[derive(Debug)]
 pub struct QuarantineHandle {
-    pub(super) watch: Mutex<CrashMonitor>,
-    pub(super) verdict: ArcSwap<Quarantine>,
-    /// When this node came to quarantine each request, by `clock`.
-    pub(super) held_since: Mutex<BTreeMap<Fingerprint, BootInstant>>,
+    pub(super) monitor: Mutex<CrashMonitor>,
+    pub(super) current: ArcSwap<Quarantine>,
+    /// When this node put each request into quarantine, by `clock`.
+    pub(super) quarantined_since: Mutex<BTreeMap<Fingerprint, BootInstant>>,
     pub(super) clock: BootClock,
-    /// Quarantined requests that came again.
+    /// Quarantined requests that were received again.
     repeated: Mutex<BTreeSet<Fingerprint>>,
-    /// Replicas of which it is being found out whether they ended: one connection for all runs that broke off
-    /// there.
+    /// Probes in progress by replica, so that all runs that broke at a replica share one probe connection.
+    /// The result tells whether the replica refuses connections.
     probes: Mutex<HashMap<String, Weak<OnceCell<bool>>>>,
-    /// Reports that peers could not write, for as long as this node spreads any.
+    /// Reports handed over by peers that could not write them. `None` until this node's reporter runs.
     handed_over: Mutex<Option<VecDeque<KeepReport>>>,
     pub(super) changed: Notify,
     origin: Instant,
 }
 
 impl QuarantineHandle {
-    /// Nothing is known yet; how long requests are held goes by this clock.
+    /// Creates an empty quarantine that measures durations by `clock`.
     pub fn new(clock: BootClock) -> Self {
         Self {
             clock,
-            watch: Mutex::default(),
-            verdict: ArcSwap::default(),
-            held_since: Mutex::default(),
+            monitor: Mutex::default(),
+            current: ArcSwap::default(),
+            quarantined_since: Mutex::default(),
             repeated: Mutex::default(),
             probes: Mutex::default(),
             handed_over: Mutex::default(),
@@ -57,28 +57,28 @@
         }
     }
 
-    /// Whether a request must reach no replica.
+    /// Whether a request is quarantined.
     pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
-        self.verdict.load().contains(fingerprint)
+        self.current.load().contains(fingerprint)
     }
 
-    /// What follows from all that this node knows.
+    /// Returns the current quarantine.
     pub fn current(&self) -> Arc<Quarantine> {
-        self.verdict.load_full()
+        self.current.load_full()
     }
 
-    /// A quarantined request has come again.
+    /// Records that a quarantined request was received again.
     pub(crate) fn record_repeat(&self, fingerprint: Fingerprint) {
         let mut repeated = lock(&self.repeated);
-        if repeated.len() < REPEATED_LIMIT {
+        if repeated.len() < MAX_REPEATED_REQUESTS {
             repeated.insert(fingerprint);
         }
     }
 
-    /// Takes a report that a peer could not write.
+    /// Accepts a report that a peer could not write, if this node has room for it.
     pub(crate) fn accept_report(&self, request: KeepReport) -> KeepResponse {
         match &mut *lock(&self.handed_over) {
-            Some(waiting) if waiting.len() < OUTBOX_LIMIT => waiting.push_back(request),
+            Some(waiting) if waiting.len() < MAX_OUTBOX_REPORTS => waiting.push_back(request),
             Some(_) | None => return KeepResponse::Refused,
         }
         self.changed.notify_one();
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn take_handed_over(&self) -> VecDeque<KeepReport> {
-        // `None` before the first call: from then on reports of peers are taken.
+        // The first call replaces `None`; from then on, reports of peers are accepted.
         let mut waiting = lock(&self.handed_over);
         waiting.replace(VecDeque::new()).unwrap_or_default()
     }
@@ -95,13 +95,15 @@
         std::mem::take(&mut lock(&self.repeated))
     }
 
-    /// Whether a request was quarantined long enough to be let through once.
+    /// Whether a request was quarantined long enough to be sent once as a trial.
     pub(crate) fn is_trial_due(&self, fingerprint: &Fingerprint) -> bool {
-        lock(&self.held_since).get(fingerprint).is_some_and(|since| self.clock.since(*since) >= TRIAL_DELAY)
+        lock(&self.quarantined_since)
+            .get(fingerprint)
+            .is_some_and(|since| self.clock.since(*since) >= TRIAL_DELAY)
     }
 
-    /// The probe of a replica that is under way, or a new one.
-    pub(super) fn probe_of(&self, replica: &str) -> Arc<OnceCell<bool>> {
+    /// Returns the probe in progress for a replica, or a new one.
+    pub(super) fn probe_for(&self, replica: &str) -> Arc<OnceCell<bool>> {
         let mut probes = lock(&self.probes);
         if let Some(probe) = probes.get(replica).and_then(Weak::upgrade) {
             return probe;
@@ -116,18 +118,18 @@
         Timestamp::ORIGIN + self.origin.elapsed()
     }
 
-    /// The requests that are held back, for operators.
+    /// Lists the quarantined requests for operators.
     pub fn list(&self) -> Vec<QuarantinedRequest> {
-        let verdict = self.verdict.load();
-        let held_since = lock(&self.held_since);
+        let current = self.current.load();
+        let quarantined_since = lock(&self.quarantined_since);
         let status = |fingerprint: &Fingerprint| QuarantinedRequest {
             fingerprint: fingerprint.to_string(),
-            replicas: verdict.crashes(fingerprint).map(str::to_owned).collect(),
-            held_for_ms: held_since
+            replicas: current.crashes(fingerprint).map(str::to_owned).collect(),
+            held_for_ms: quarantined_since
                 .get(fingerprint)
                 .map_or(0, |since| whole_millis(self.clock.since(*since))),
         };
-        verdict.requests().iter().map(status).collect()
+        current.requests().iter().map(status).collect()
     }
 }
 
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Requests under which replicas end: what this node observed of them, and which are quarantined.
+//! Quarantine of requests that crash replicas.
 //!
-//! Every sender of this node, for plain requests, streams, items and scores, follows its runs by a
-//! `TracedRun`; the crashes that follow are reported to all nodes through the platform's metadata store by
-//! `reporter`. The watch and the verdict in force are the handle's; the rules stand in the core's `quarantine`. Relies
-//! on the node's metadata for replicas and reports.
+//! Every sender on this node (plain requests, streams, items and scores) traces its runs with a `TracedRun`.
+//! `reporter` publishes the observed crashes to all nodes through the platform's metadata store. The handle
+//! holds the crash monitor and the current quarantine; the policy is in the core's `quarantine`. Replicas and
+//! reports of other nodes come from the node's metadata.
 
 pub(crate) mod handle;
 pub(crate) mod records;
@@ -24,31 +24,34 @@
 pub(crate) use traced_run::TracedRun;
 
 impl QuarantineHandle {
-    /// Changes the watch by `take`, and puts the verdict that follows into force.
-    fn update(&self, context: &Context, take: impl FnOnce(&mut CrashMonitor, Timestamp) -> bool) {
+    /// Applies a change to the crash monitor and publishes the resulting quarantine. `apply` returns whether
+    /// it changed anything.
+    fn update(&self, context: &Context, apply: impl FnOnce(&mut CrashMonitor, Timestamp) -> bool) {
         let now = self.now();
-        let mut watch = lock(&self.watch);
-        if !take(&mut watch, now) {
+        let mut monitor = lock(&self.monitor);
+        if !apply(&mut monitor, now) {
             return;
         }
-        // All under the lock, so that a later verdict is never replaced by an earlier one.
-        let after = watch.quarantine();
-        let before = self.verdict.swap(Arc::new(after.clone()));
+        // Published under the lock, so that an older quarantine never replaces a newer one.
+        let after = monitor.quarantine();
+        let before = self.current.swap(Arc::new(after.clone()));
         self.changed.notify_one();
         if before.requests() != after.requests() {
-            self.show(context, &before, &after);
-            // The owner of batch jobs may have an item to hold.
+            self.record_changes(context, &before, &after);
+            // Wakes the owner of batch jobs, which may have to hold an item.
             context.metadata.notify();
         }
     }
 
-    fn show(&self, context: &Context, before: &Quarantine, after: &Quarantine) {
-        let mut held_since = lock(&self.held_since);
-        held_since.retain(|fingerprint, _| after.contains(fingerprint));
+    /// Updates the start times and metrics, and records a decision for each request that entered or left the
+    /// quarantine.
+    fn record_changes(&self, context: &Context, before: &Quarantine, after: &Quarantine) {
+        let mut quarantined_since = lock(&self.quarantined_since);
+        quarantined_since.retain(|fingerprint, _| after.contains(fingerprint));
         for fingerprint in after.requests() {
-            held_since.entry(*fingerprint).or_insert_with(|| self.clock.now());
+            quarantined_since.entry(*fingerprint).or_insert_with(|| self.clock.now());
         }
-        drop(held_since);
+        drop(quarantined_since);
         context.metrics.set_quarantined_requests(after.requests().len());
         for fingerprint in after.requests().difference(before.requests()) {
             let replicas: Vec<&str> = after.crashes(fingerprint).collect();
@@ -64,11 +67,12 @@
         }
     }
 
-    /// Lets a request through again, as an operator asked; `None` where no replica ended under it.
+    /// Releases a request from the quarantine on an operator's request. Returns `None` if no crash is
+    /// attributed to it.
     pub fn release(&self, context: &Context, fingerprint: Fingerprint) -> Option<QuarantineReleased> {
         let mut is_released = false;
-        self.update(context, |watch, now| {
-            is_released = watch.release(&fingerprint, now);
+        self.update(context, |monitor, now| {
+            is_released = monitor.release(&fingerprint, now);
             is_released
         });
         let released = QuarantineReleased { fingerprint: fingerprint.to_string() };
--- a/crates/daemon/src/quarantine/traced_run.rs
+++ b/crates/daemon/src/quarantine/traced_run.rs
@@ -1,5 +1,5 @@
-//! One run of one request at one replica, followed to its end: reports to the quarantine's watch how it
-//! ended, and finds out whether a replica at which it broke off refuses connections.
+//! Traces one run of a request at a replica. Reports to the crash monitor how the run ended, and probes
+//! whether a replica at which it broke refuses connections.
 
 use std::io;
 use std::sync::Arc;
@@ -13,26 +13,28 @@
 use crate::context::Context;
 use crate::ingress::pool::SendError;
 
-/// A replica that neither takes nor refuses a connection within this time may have ended or not: its entry
-/// will show. Chosen, not measured: longer delays the next send of the request.
+/// Timeout of the connection probe. If it expires, whether the replica ended is learned from its metadata
+/// record.
 const PORT_PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How far a run has come.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
-    /// It may be under way, or be dropped in the middle.
+    /// The run may be in progress.
     Sent,
-    /// Nothing of it reached the replica, or the replica did not run it.
+    /// The request did not reach the replica, or the replica did not run it.
     NotRun,
-    /// The replica gave a whole answer.
-    Whole,
-    /// The watch knows that it broke off.
+    /// The replica sent a complete response.
+    Complete,
+    /// The crash monitor was told that the run broke.
     Reported,
 }
 
-/// A run at a replica. Dropping it reports how it ended. A caller's run that is dropped in the middle may end
-/// its replica all the same; runs that the owner of batch jobs stops are many, and replicas drop what nobody
-/// reads.
+/// A run at a replica. Dropping it reports how the run ended.
+///
+/// A gateway's run that is dropped before its end is reported as given up, since it may still crash its
+/// replica. Runs that the owner of batch jobs drops are not reported: they are frequent, and replicas cancel
+/// abandoned runs.
 pub(crate) struct TracedRun {
     context: Context,
     run: SentRun,
@@ -40,7 +42,7 @@
 }
 
 impl TracedRun {
-    /// A run that is about to be sent.
+    /// Begins the trace of a run that is about to be sent.
     pub(crate) fn begin(
         context: &Context,
         fingerprint: Fingerprint,
@@ -54,18 +56,19 @@
             may_restart: replica.may_restart(),
             address: replica.address,
             sender,
-            is_repeated: lock(&quarantine.watch).is_suspected(&fingerprint),
+            is_repeated: lock(&quarantine.monitor).is_suspected(&fingerprint),
             sent_at: quarantine.now(),
         };
         Self { context: Arc::clone(context), run, state: RunState::Sent }
     }
 
-    /// The replica did not run it.
+    /// Records that the replica did not run the request.
     pub(crate) const fn record_not_run(&mut self) {
         self.state = RunState::NotRun;
     }
 
-    /// No head of an answer came. Where no byte was written it has not run; otherwise see [`Self::record_broken`].
+    /// Records a send without a response head. If no byte was written, the request has not run; otherwise see
+    /// [`Self::record_broken`].
     pub(crate) async fn record_send_error(&mut self, error: SendError) {
         match error {
             SendError::Withheld | SendError::NotSent => self.record_not_run(),
@@ -73,20 +76,20 @@
         }
     }
 
-    /// The replica gave a whole answer, good or not.
+    /// Records that the replica sent a complete response, successful or not.
     pub(crate) const fn record_complete(&mut self) {
-        self.state = RunState::Whole;
+        self.state = RunState::Complete;
     }
 
-    /// The connection closed before a whole answer. Returns once it is known whether the replica refuses
-    /// connections, so that the next sending of the request, here or elsewhere, is decided by that.
+    /// Records that the connection closed before the complete response. Returns after probing whether the
+    /// replica refuses connections, so that the next send of the request takes the result into account.
     pub(crate) async fn record_broken(&mut self) {
         self.report_broken(BreakCause::Closed);
         let quarantine = &self.context.quarantine;
         let replica = &self.run.replica;
-        let probe = quarantine.probe_of(replica);
+        let probe = quarantine.probe_for(replica);
         if *probe.get_or_init(|| refuses_connections(&self.run)).await {
-            quarantine.update(&self.context, |watch, now| watch.replica_ended(replica, now));
+            quarantine.update(&self.context, |monitor, now| monitor.replica_ended(replica, now));
         }
     }
 
@@ -96,7 +99,7 @@
         let is_listed = self.context.metadata.replicas.load().records.contains_key(&run.replica);
         self.context
             .quarantine
-            .update(&self.context, |watch, now| watch.run_broken(run, cause, is_listed, now));
+            .update(&self.context, |monitor, now| monitor.run_broken(run, cause, is_listed, now));
     }
 }
 
@@ -106,16 +109,18 @@
             RunState::Sent if self.run.sender == RunSender::Gateway => {
                 self.report_broken(BreakCause::GivenUp)
             }
-            RunState::Whole => {
-                self.context.quarantine.update(&self.context, |watch, now| watch.run_ended(&self.run, now));
+            RunState::Complete => {
+                self.context
+                    .quarantine
+                    .update(&self.context, |monitor, now| monitor.run_ended(&self.run, now));
             }
             RunState::Sent | RunState::NotRun | RunState::Reported => {}
         }
     }
 }
 
-/// Whether the port is closed: a process that runs takes connections, even if it resets them for want of
-/// room.
+/// Whether the replica's port refuses connections. A running process accepts them, even if it is overloaded
+/// and resets them afterwards.
 async fn refuses_connections(run: &SentRun) -> bool {
     match tokio::time::timeout(PORT_PROBE_TIMEOUT, TcpStream::connect(run.address)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
--- a/crates/daemon/tests/replica_pool.rs
+++ b/crates/daemon/tests/replica_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas: a request that may not be sent any more once its connection is there, and those that rested for long.
+//! Tests of the replica connection pool: withheld requests, and idle connections that must not be reused.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-fn replica(address: SocketAddr, life: &str) -> ReplicaRecord {
+fn replica(address: SocketAddr, incarnation: &str) -> ReplicaRecord {
     ReplicaRecord {
-        id: life.to_owned(),
+        id: incarnation.to_owned(),
         name: "replica".to_owned(),
         service: "engines".to_owned(),
         address,
@@ -28,13 +28,13 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_not_be_sent_once_its_connection_is_there_leaves_no_byte() {
+async fn withheld_request_writes_no_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let pool = ReplicaPool::new(BootClock::default());
     let request = Request::new(Full::new(Bytes::from_static(b"body")));
     let timeout = Duration::from_secs(10);
-    // Nobody answers: one that is sent all the same would wait without end.
+    // Nothing answers, so a request that is sent by mistake runs into the timeout.
     let sent = tokio::time::timeout(
         timeout,
         pool.send(&replica(address, "replica"), request, false, timeout, || false),
@@ -47,7 +47,7 @@
     assert_eq!(bytes, b"");
 }
 
-/// Answers one request on each of two connections, and keeps them open.
+/// Answers one request on each of two connections and keeps both open. Returns the number of connections.
 async fn answer_two(listener: TcpListener) -> usize {
     let mut open = Vec::new();
     while open.len() < 2 {
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_rested_while_the_machine_was_suspended_is_not_used_again() {
+async fn connection_expired_during_suspend_is_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let answered = tokio::spawn(answer_two(listener));
@@ -86,16 +86,16 @@
 }
 
 #[tokio::test]
-async fn a_connection_to_an_earlier_life_of_a_replica_is_not_used_for_its_next() {
+async fn connection_to_earlier_incarnation_is_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let answered = tokio::spawn(answer_two(listener));
     let pool = ReplicaPool::new(BootClock::default());
     let timeout = Duration::from_secs(10);
-    for life in ["replica@1", "replica@2"] {
+    for incarnation in ["replica@1", "replica@2"] {
         let request = Request::new(Full::new(Bytes::from_static(b"body")));
-        let life = replica(address, life);
-        let sent = pool.send(&life, request, false, timeout, || true).await.expect("an answer");
+        let incarnation = replica(address, incarnation);
+        let sent = pool.send(&incarnation, request, false, timeout, || true).await.expect("an answer");
         let (head, body) = sent.response.into_parts();
         body.collect().await.expect("a whole answer");
         pool.give_back(sent.connection, &head.headers);
