--- a/crates/daemon/src/ingress/ends.rs
+++ b/crates/daemon/src/ingress/ends.rs
@@ -50,7 +50,7 @@
 
 /// Holds the end if the request is one. Returns `None` for other requests, for callers without a known key,
 /// and while the node has no configuration.
-pub(super) fn begin(ingress: &Ingress, request: &Request<Incoming>) -> Option<HeldEnd> {
+pub(super) fn hold(ingress: &Ingress, request: &Request<Incoming>) -> Option<HeldEnd> {
     if request.method() != Method::DELETE {
         return None;
     }
@@ -59,13 +59,13 @@
         hold_early(ingress, batch, request.headers());
         return None;
     };
-    let key = key(&table, batch.clone(), request.headers())?;
+    let key = end_key(&table, batch.clone(), request.headers())?;
     let trace = EndTrace::begin(&ingress.context, &batch);
     let response = Box::pin(ingress.batch.ends().end(key));
     Some(HeldEnd { ingress: ingress.clone(), batch, trace, response })
 }
 
-fn key(table: &RouteTable, batch: BatchId, fields: &HeaderMap) -> Option<EndKey> {
+fn end_key(table: &RouteTable, batch: BatchId, fields: &HeaderMap) -> Option<EndKey> {
     let caller = Caller::identify(table, fields, false).ok()?;
     Some(EndKey { batch, caller: caller.tenant().cloned() })
 }
@@ -89,7 +89,7 @@
         drop((permit, trace));
         // Without a configuration in time, or with an unknown key, the end is discarded. The caller was
         // refused, and the trace has recorded that the end was not answered.
-        let Some(key) = table.ok().and_then(|table| key(&table, batch, &authorization)) else { return };
+        let Some(key) = table.ok().and_then(|table| end_key(&table, batch, &authorization)) else { return };
         // The caller was already asked to retry, so the response is not awaited.
         drop(ingress.batch.ends().end(key));
     });
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -93,7 +93,7 @@
     /// if the connection is closed together with the request, the returned future is dropped without being
     /// polled.
     pub fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send + use<> {
-        let end = ends::begin(self, &request);
+        let end = ends::hold(self, &request);
         let ingress = self.clone();
         async move {
             match end {
