--- a/crates/daemon/src/ingress/job_placement.rs
+++ b/crates/daemon/src/ingress/job_placement.rs
@@ -32,7 +32,7 @@
     match shortage {
         None => Ok(shard),
         Some(shortage) => {
-            ::log::warn!(target: "batch", "Batch job {} can't be stored in {regions}: {shortage}.", job.id);
+            ::log::warn!(target: "batch", "Batch job {} can't be kept in {regions}: {shortage}.", job.id);
             Err(Refusal::NoPlace)
         }
     }
