--- a/crates/daemon/src/settings/control.rs
+++ b/crates/daemon/src/settings/control.rs
@@ -1,27 +1,25 @@
-//! `[configuration]`, `[coordinator]`, `[batch]` and `[stop]`: what the control thread does, and when.
-//!
-//! The text of a default says where its figure comes from; "chosen" means that it was not measured.
+//! The tables `[configuration]`, `[coordinator]`, `[batch]` and `[stop]`: intervals and timeouts of the control thread.
 
 use std::time::Duration;
 
 use super::reader::SettingsReader;
 
-/// `[configuration]`: the settings tree, the replica directory and the platform's metadata.
+/// The table `[configuration]`: the settings tree, the replica directory and the platform's metadata.
 #[derive(Clone, Debug)]
 pub struct ConfigurationSettings {
-    /// How often a reader asks the machine list. Chosen: longer sees new engines later, shorter costs the list calls.
+    /// Interval between two reads of the machine list.
     pub poll_interval: Duration,
-    /// A call of the platform unanswered for this time is given up. Chosen: longer learns later that it is away.
+    /// Timeout of a call to the platform.
     pub platform_timeout: Duration,
-    /// How long a watch is held open. Chosen: shorter costs a call more often, and brings no change sooner.
+    /// How long one watch call is kept open while nothing changes.
     pub watch_hold: Duration,
-    /// Entries of replicas that vanished while the platform's metadata store was away are kept for this time after its
-    /// return: replicas write theirs again within about two seconds, as the platform says.
+    /// How long the entries of replicas that lapsed during an outage of the platform's metadata store are kept after the
+    /// store is reachable again. Replicas renew their entries within about two seconds.
     pub lapse_grace: Duration,
-    /// In a large deployment, how many nodes read the platform's metadata store; the others follow them. Chosen: more
-    /// cost the store calls, and fewer may all be cut off at once. docs/decisions/platform.md has what following is worth.
+    /// Number of nodes of a large deployment that read the platform's metadata store directly; the others follow one of
+    /// them. docs/decisions/platform.md has the cost of either way.
     pub readers: usize,
-    /// With fewer coordinators each reads for itself. Chosen: four times the readers, so that following spares calls.
+    /// Number of coordinators from which nodes follow a reader; below it, each reads the store directly.
     pub follow_from_nodes: usize,
 }
 
@@ -38,13 +36,12 @@
     }
 }
 
-/// `[coordinator]`: shards of control work of the product's own interface.
+/// The table `[coordinator]`: ownership of control shards of the native API.
 #[derive(Clone, Debug)]
 pub struct CoordinatorSettings {
-    /// How often this node checks which shards it should own. Chosen: longer lengthens each takeover by as much.
+    /// Interval between two checks of which shards this node should own; it adds to the duration of a takeover.
     pub tick_interval: Duration,
-    /// An order to an engine or a call of the scorer unanswered for this time is given up. Chosen: shorter repeats
-    /// calls that would have been answered, longer holds up what waits for a silent engine.
+    /// Timeout of a command to an engine and of a call to the scorer.
     pub call_timeout: Duration,
 }
 
@@ -57,19 +54,19 @@
     }
 }
 
-/// `[batch]`: batch jobs.
+/// The table `[batch]`: batch jobs.
 #[derive(Clone, Debug)]
 pub struct BatchSettings {
-    /// An owner that has not appended for this time is taken over from. Chosen: five of the 200 ms within which an
-    /// owner appends; shorter takes over from one that is only busy, longer leaves jobs without an owner.
+    /// How long an owner may go without an append to its log before another node takes over. A live owner appends at
+    /// least every 200 ms.
     pub takeover_after: Duration,
-    /// How long another owner's order to a replica keeps a new owner from ordering the same replica. The platform gives
-    /// it; shorter than the platform's has orders refused, longer delays new versions after a takeover.
+    /// How long a command of the previous owner to a replica blocks commands of a new owner to it. The platform defines
+    /// the lease; with a shorter value here, it refuses commands.
     pub order_lease: Duration,
-    /// How often the owner checks what is due. Chosen: longer leaves free slots empty, shorter costs processor time.
+    /// Interval at which the owner schedules work and checks timers.
     pub tick_interval: Duration,
-    /// The node that would own next begins to follow the log this long after an owner began. Longer than a new owner
-    /// reads a log of 45 MB (2.7 s measured): both would ask the same stores.
+    /// Delay after the start of an owner before the next candidate begins to follow its log. It exceeds the time in
+    /// which a new owner reads a large log, so that the two don't load the same stores at once.
     pub follow_after: Duration,
 }
 
@@ -84,11 +81,11 @@
     }
 }
 
-/// `[stop]`: planned stop (promise P8).
+/// The table `[stop]`: planned stop.
 #[derive(Clone, Debug)]
 pub struct StopSettings {
-    /// For at least this time after the notice new work is refused with an answer, not with a closed port, so that load
-    /// balancers see `readyz` fail before connections do. Chosen: some checks of a load balancer that asks each second.
+    /// Minimum time after the notice during which new work is refused with a response while the port stays open, so
+    /// that load balancers see `readyz` fail before connections do.
     pub notice: Duration,
 }
 
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The settings file with flags over it: parsed once, when the node starts, into checked values.
+//! Settings of a node: the settings file with command-line flags applied, parsed and validated once at start.
 //!
-//! One file for each table of the settings, with its keys, defaults and bounds; `reader` takes values out of the table. Every
-//! problem of a file is reported at once, each with its key and its remedy. Imports no other part of the node but the
-//! roles and capacity of `cluster`; docs/operators/settings.md lists every key, and a test keeps that list complete.
+//! Each table of the file has a module that holds its keys, defaults and bounds; `reader` extracts typed values. All
+//! problems of a file are reported at once, each with its key and a remedy. Depends only on the roles and the capacity of
+//! `cluster`. docs/operators/settings.md lists every key; a test checks that the list is complete.
 
 mod control;
 mod duties;
@@ -30,102 +30,101 @@
 pub use reader::{Bounds, KnownKey};
 pub use store::StoreSettings;
 
-/// The notice of a planned stop where nothing outside the process watches. Chosen: long enough that a stop has two
-/// stages also in tests, short enough that they don't wait for it.
+/// Notice of a planned stop in tests and demonstrations, which have no load balancer.
 const LOOPBACK_NOTICE: Duration = Duration::from_millis(200);
 
-/// Checked settings of one node.
+/// Validated settings of one node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This node's name, unique in the cluster.
+    /// Id of this node, unique in the cluster.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Which regions it and the zones lie in.
+    /// Regions of this node and of the zones.
     pub places: PlaceSettings,
-    /// What it does; any mix.
+    /// Roles of this node, in any combination.
     pub roles: Roles,
-    /// Where it listens.
+    /// Listen addresses.
     pub addresses: ListenAddresses,
-    /// Where load balancers ask whether the node is ready, beside the operators' address.
+    /// Additional listen address for readiness checks of load balancers.
     pub readiness: Option<SocketAddr>,
-    /// The folder for bulk data; set wherever the store role is on.
+    /// Folder of the store's logs; set exactly when the node has the store role.
     pub data_folder: Option<PathBuf>,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: PlatformAddresses,
-    /// What the machine gives this process.
+    /// Resources of the machine that are available to this process.
     pub machine: MachineSettings,
-    /// Connections to other nodes, and where the first of them are found.
+    /// Connections to other nodes, and the seed nodes.
     pub peers: PeerSettings,
-    /// Callers' requests.
+    /// Limits and timeouts of callers' requests.
     pub gateway: GatewaySettings,
-    /// Liveness of nodes.
+    /// Failure detection of nodes.
     pub membership: MembershipSettings,
     /// The settings tree and the replica directory.
     pub configuration: ConfigurationSettings,
-    /// Shards of control work.
+    /// Control shards of the native API.
     pub coordinator: CoordinatorSettings,
     /// Batch jobs.
     pub batch: BatchSettings,
-    /// Logs and claims on disk.
+    /// Logs and claims on disk, and the choice of replica sets.
     pub store: StoreSettings,
     /// Planned stop.
     pub stop: StopSettings,
-    /// Duties towards the platform.
+    /// Usage reports and scaling for the platform.
     pub duties: DutySettings,
 }
 
-/// Where a node listens. Port 0 lets the system choose.
+/// Listen addresses of a node. Port 0 lets the operating system choose one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Callers, over HTTP.
+    /// Address for callers, over HTTP.
     pub callers: SocketAddr,
-    /// Operators, over HTTP.
+    /// Address for operators, over HTTP.
     pub operators: SocketAddr,
-    /// Other nodes, over TCP for requests and over UDP for membership.
+    /// Address for other nodes: TCP for requests, UDP for membership.
     pub peers: SocketAddr,
 }
 
-/// The platform's services. A node without one of them does without what it gives.
+/// Addresses of the platform's services. Each is optional; features that need an absent service are disabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlatformAddresses {
     /// The object API.
     pub object_api: Option<SocketAddr>,
     /// The machine list.
     pub machine_list: Option<SocketAddr>,
-    /// The weight store. Accepted and without effect: no part of a node reads it.
+    /// The weight store. Accepted but unused.
     pub weight_store: Option<SocketAddr>,
     /// The scorer of answers.
     pub scorer: Option<SocketAddr>,
-    /// The platform's metadata store. Where it is set, callers and replicas are met in the platform's own form.
+    /// The platform's metadata store. When set, the node serves the platform's API to callers and finds replicas there.
     pub metadata_store: Option<SocketAddr>,
 }
 
 impl Settings {
-    /// Parses and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// When the text is not TOML, or with every problem of its values.
+    /// Returns a syntax error if the text is not valid TOML, else all problems of its values.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let table = text.parse::<toml::Table>()?;
         Self::from_table(table)
     }
 
-    /// Checks a parsed file, over which flags may have been laid.
+    /// Validates a parsed settings file, to which flags may have been applied.
     ///
     /// # Errors
-    /// With every problem of its values.
+    /// Returns all problems of its values.
     pub fn from_table(table: toml::Table) -> Result<Self, SettingsError> {
         let mut reader = SettingsReader::new(table);
         let mut settings = Self::read(&mut reader);
-        settings.places.settle(&mut reader, &settings.zone);
+        settings.places.resolve_region(&mut reader, &settings.zone);
         settings.check(&mut reader);
         reader.finish()?;
         Ok(settings)
     }
 
-    /// Settings for a node inside a test or a demonstration: every role that needs no disk, loopback, free ports, and
-    /// a short notice, since no load balancer has to see it.
+    /// Returns settings for a node in a test or a demonstration: every role that needs no disk, free ports on the
+    /// loopback interface, and a short notice.
     pub fn on_loopback(node: &str, zone: &str) -> Self {
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut reader = SettingsReader::new(toml::Table::new());
@@ -138,7 +137,7 @@
         settings
     }
 
-    /// Every key that a settings file may hold.
+    /// Returns every key that a settings file may hold.
     pub fn known_keys() -> Vec<KnownKey> {
         let mut reader = SettingsReader::new(toml::Table::new());
         Self::read(&mut reader);
@@ -178,39 +177,39 @@
         }
     }
 
-    /// What no single key can tell.
+    /// Checks constraints between keys.
     fn check(&self, reader: &mut SettingsReader) {
         if self.roles.store && self.data_folder.is_none() {
-            reader.problem(
+            reader.add_problem(
                 "data_folder",
-                "the store role keeps logs on disk, and no folder is named",
-                "name a folder on the machine's disk, or take \"store\" out of `roles`",
+                "the store role needs a folder for its logs, and none is set",
+                "set it to a folder on a local disk, or remove \"store\" from `roles`",
             );
         }
         if !self.roles.store && self.data_folder.is_some() {
-            reader.problem(
+            reader.add_problem(
                 "data_folder",
-                "a folder is named, and no role uses it",
+                "a folder is set, but only the store role uses one",
                 "add \"store\" to `roles`, or remove the key",
             );
         }
         if self.membership.probe_timeout * 2 > self.membership.probe_interval {
-            reader.problem(
+            reader.add_problem(
                 "membership.probe_timeout_ms",
-                "a probe must leave time to try it through others before the next one starts",
-                "make it at most half of `membership.probe_interval_ms`",
+                "the probe interval is too short for a direct probe and an indirect probe",
+                "set it to at most half of `membership.probe_interval_ms`",
             );
         }
         if self.duties.lacks_platform() {
-            reader.problem(
+            reader.add_problem(
                 "duties.platform",
-                "duties are held, and nobody takes their calls",
-                "name the platform's address, or remove `duties.held`",
+                "duties are enabled without the platform's address",
+                "set it to the platform's address, or remove `duties.held`",
             );
         }
         if let Err(error) = self.store.claim_window.validate() {
             let remedy = "raise it above twice `store.maximum_clock_skew_ms`";
-            reader.problem("store.claim_retention_ms", error.to_string(), remedy);
+            reader.add_problem("store.claim_retention_ms", error.to_string(), remedy);
         }
         self.check_distinct_addresses(reader);
     }
@@ -225,8 +224,12 @@
             let earlier = named[..position].iter().find(|(_, other)| other == address);
             let Some((other_key, _)) = earlier else { continue };
             if address.port() != 0 {
-                let message = format!("{address} is taken by `{other_key}` already");
-                reader.problem(key, message, "give each address a port of its own, or port 0 for a free one");
+                let message = format!("{address} is already used by `{other_key}`");
+                reader.add_problem(
+                    key,
+                    message,
+                    "give each address a port of its own, or port 0 for a free one",
+                );
             }
         }
     }
@@ -236,10 +239,10 @@
     let mut roles = Roles::default();
     let names = reader.text_list("roles");
     if names.is_empty() && !reader.has_problem("roles") {
-        reader.problem(
+        reader.add_problem(
             "roles",
-            "no role is named",
-            "name one or more of \"gateway\", \"coordinator\", \"store\"",
+            "no role is given",
+            "list one or more of \"gateway\", \"coordinator\", \"store\"",
         );
     }
     for name in names {
@@ -247,9 +250,9 @@
             "gateway" => roles.gateway = true,
             "coordinator" => roles.coordinator = true,
             "store" => roles.store = true,
-            other => reader.problem(
+            other => reader.add_problem(
                 "roles",
-                format!("\"{other}\" is no role"),
+                format!("\"{other}\" is not a known role"),
                 "use \"gateway\", \"coordinator\" or \"store\"",
             ),
         }
--- a/crates/daemon/src/settings/network.rs
+++ b/crates/daemon/src/settings/network.rs
@@ -1,26 +1,22 @@
-//! `[peers]`, `[gateway]` and `[membership]`: connections to other nodes, to callers and engines, and liveness of nodes.
-//!
-//! The text of a default says where its figure comes from; "chosen" means that it was not measured.
+//! The tables `[peers]`, `[gateway]` and `[membership]`: connections to other nodes, callers and engines, and failure
+//! detection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::reader::SettingsReader;
 
-/// `[peers]`: connections to other nodes.
+/// The table `[peers]`: connections to other nodes.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
-    /// Nodes asked first when this one joins; the machine list adds to them.
+    /// Addresses contacted to join the cluster, in addition to the nodes of the machine list.
     pub seeds: Vec<SocketAddr>,
-    /// A connection unused for this time is closed. Chosen: shorter costs a handshake more often, longer keeps sockets of
-    /// nodes that are seldom asked.
+    /// Idle time after which a connection is closed.
     pub idle: Duration,
-    /// A connection that takes longer to make is given up. Chosen: shorter fails behind a busy peer, longer delays what
-    /// waits for one that is gone.
+    /// Timeout of connecting to a peer.
     pub connect_timeout: Duration,
-    /// A peer that takes or acknowledges nothing for this time is given up, and the connection made anew: the
-    /// system alone keeps a connection to a vanished peer for a quarter of an hour, and each call on it ends at its
-    /// deadline. Chosen: shorter cuts off peers on a slow link, longer lets calls go on failing.
+    /// Time without any acknowledged data after which a connection is closed and opened again. The operating system
+    /// keeps a connection to a lost peer for about 15 minutes, during which each call on it fails at its deadline.
     pub stall_timeout: Duration,
 }
 
@@ -35,25 +31,23 @@
     }
 }
 
-/// `[gateway]`: callers' requests.
+/// The table `[gateway]`: callers' requests.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// A replica that has not confirmed itself for this time gets no new work: within a few seconds after it leaves
-    /// nothing may reach it (promise P7). Longer breaks that, shorter drops replicas whose reports are late.
+    /// How long a replica is eligible for new work after its last confirmation. It bounds the time in which requests may
+    /// still be routed to a replica that has left.
     pub eligibility: Duration,
-    /// The deadline of a request that names none, until the settings tree is known. The tree's `request_deadline_ms`
-    /// has the same default. Chosen, not measured: shorter ends long answers, longer holds slots for callers that have left.
+    /// Deadline of a request without one of its own, until the settings tree is loaded. The tree's
+    /// `request_deadline_ms` has the same default.
     pub default_deadline: Duration,
-    /// A connection to an engine that takes longer to make is given up. Chosen, as `peers.connect_timeout_ms`.
+    /// Timeout of connecting to an engine.
     pub connect_timeout: Duration,
-    /// A caller that takes nothing of its answer for this time is given up. Chosen: shorter cuts off slow readers,
-    /// longer lets one that stopped reading hold up a planned stop.
+    /// Time without progress after which a response to a caller is aborted, so that a caller that stopped reading does
+    /// not block a planned stop.
     pub stall_timeout: Duration,
-    /// Largest request body, in bytes. Chosen: smaller refuses long prompts, larger costs a
-    /// gateway more memory for each request that it reads.
+    /// Maximum size of a request body, in bytes.
     pub body_limit_bytes: usize,
-    /// Threads that carry traffic; 0 for one for each processor. Chosen, not measured: fewer leave processors idle, more
-    /// take turns on them.
+    /// Number of traffic threads; 0 for one per processor.
     pub traffic_threads: usize,
 }
 
@@ -70,16 +64,16 @@
     }
 }
 
-/// `[membership]`: liveness of nodes. Too short takes live nodes for dead and moves their shards, too long keeps shards
-/// with a dead owner. `core/membership/config` says how the defaults belong together.
+/// The table `[membership]`: failure detection. Short values declare live nodes failed and move their shards; long values
+/// leave shards with a failed owner. `core/membership/config` explains how the defaults relate.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// One member is probed in each interval.
+    /// Interval between probes; each probes one member.
     pub probe_interval: Duration,
-    /// A probe unanswered for this time is tried through others.
+    /// Timeout of a direct probe, after which the member is probed indirectly through others.
     pub probe_timeout: Duration,
-    /// A suspected member that has not refuted it after this many probe intervals, times the decimal logarithm of the
-    /// cluster's size, is taken as failed.
+    /// Suspicion timeout, in probe intervals times the decimal logarithm of the cluster's size. A suspected member that
+    /// has not refuted the suspicion by then is declared failed.
     pub suspicion_multiplier: u32,
 }
 
@@ -88,7 +82,7 @@
         Self {
             probe_interval: reader.milliseconds("membership.probe_interval_ms", 500, 20..=60_000),
             probe_timeout: reader.milliseconds("membership.probe_timeout_ms", 150, 5..=30_000),
-            suspicion_multiplier: reader.small_number("membership.suspicion_multiplier", 5, 1..=100),
+            suspicion_multiplier: reader.number_u32("membership.suspicion_multiplier", 5, 1..=100),
         }
     }
 }
--- a/crates/daemon/src/settings/places.rs
+++ b/crates/daemon/src/settings/places.rs
@@ -1,4 +1,4 @@
-//! `[places]`: which region this node and each zone lie in.
+//! The table `[places]`: the regions of this node and of the zones.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 
 use super::reader::SettingsReader;
 
-/// `[places]`: which region this node and each zone lie in.
+/// The table `[places]`: the regions of this node and of the zones.
 #[derive(Clone, Debug, Default)]
 pub struct PlaceSettings {
-    /// The region of this node; where it isn't given, the one that `zones` names for the node's zone.
+    /// Region of this node; defaults to the region that `zones` gives for the node's zone.
     pub region: Option<RegionName>,
-    /// Which region each zone lies in; empty where nothing is said, and all zones are taken as one region.
+    /// Region of each zone. When empty, all zones belong to one region.
     pub zones: ZoneMap,
 }
 
@@ -25,14 +25,14 @@
         Self { region, zones: ZoneMap::new(zones) }
     }
 
-    /// Fills in the region of this node, and notes where the two keys say different things.
-    pub(super) fn settle(&mut self, reader: &mut SettingsReader, zone: &ZoneName) {
+    /// Derives the region of this node from `zones` if it is not set, and reports a contradiction between the two keys.
+    pub(super) fn resolve_region(&mut self, reader: &mut SettingsReader, zone: &ZoneName) {
         let of_zone = self.zones.region(zone.as_str()).cloned();
         match (&self.region, of_zone) {
             (None, of_zone) => self.region = of_zone,
-            (Some(region), Some(of_zone)) if *region != of_zone => reader.problem(
+            (Some(region), Some(of_zone)) if *region != of_zone => reader.add_problem(
                 "places.region",
-                format!("is {region}, and `places.zones` has zone {zone} in {of_zone}"),
+                format!("is {region}, but `places.zones` puts zone {zone} in {of_zone}"),
                 "give both the same region, or remove this key",
             ),
             _ => {}
--- a/crates/daemon/src/settings/problem.rs
+++ b/crates/daemon/src/settings/problem.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with a settings file.
+//! Errors of a settings file.
 
 use std::fmt;
 
-/// One problem: where, what, and what to do.
+/// One problem of a settings file, with its key and a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// The key, with its table: `membership.probe_interval_ms`.
+    /// The key with its table, such as `membership.probe_interval_ms`.
     pub key: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What to do.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -19,19 +19,19 @@
     }
 }
 
-/// Why settings were refused.
+/// Error of reading the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not TOML.
-    #[error("the settings are not TOML; mend this line: {0}")]
+    /// The text is not valid TOML.
+    #[error("the settings are not valid TOML; correct this line: {0}")]
     Syntax(#[from] toml::de::Error),
-    /// Values are missing or wrong; all of them are listed.
-    #[error("{} in the settings:\n{}", count(.0), list(.0))]
+    /// Values are missing or invalid; lists all of them.
+    #[error("{} in the settings:\n{}", describe_count(.0), format_problems(.0))]
     Values(Vec<SettingsProblem>),
 }
 
 impl SettingsError {
-    /// The problems of the values; empty where the text is not TOML.
+    /// Returns the problems of the values; empty for a syntax error.
     pub fn problems(&self) -> &[SettingsProblem] {
         match self {
             Self::Syntax(_) => &[],
@@ -40,14 +40,14 @@
     }
 }
 
-fn count(problems: &[SettingsProblem]) -> String {
+fn describe_count(problems: &[SettingsProblem]) -> String {
     match problems.len() {
         1 => "1 problem".to_owned(),
         many => format!("{many} problems"),
     }
 }
 
-fn list(problems: &[SettingsProblem]) -> String {
+fn format_problems(problems: &[SettingsProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(|problem| format!("  {problem}")).collect();
     lines.join("\n")
 }
--- a/crates/daemon/src/settings/store.rs
+++ b/crates/daemon/src/settings/store.rs
@@ -1,4 +1,4 @@
-//! `[store]`: logs and claims on disk, and the stores that this node chooses for a log.
+//! The table `[store]`: logs and claims on disk, and the choice of replica sets.
 
 use std::time::Duration;
 
@@ -7,28 +7,25 @@
 
 use super::reader::SettingsReader;
 
-/// Most losses of one kind that may be tolerated. Chosen, not measured: each one takes two stores more, and every append
-/// waits for a majority of all.
+/// Maximum number of tolerated losses of one kind. Each one adds two stores to a replica set, and an append waits for a
+/// majority of them.
 const MAX_LOSSES: usize = 4;
 
-/// Logs and claims on disk.
+/// The table `[store]`: logs and claims on disk, and the choice of replica sets.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Bytes that may be used under the data folder.
+    /// Maximum disk usage of the data folder, in bytes.
     pub capacity_bytes: u64,
-    /// A store that has not answered within this time counts as missing. Chosen: shorter loses answers of a busy disk,
-    /// longer holds up what needs another member.
+    /// Timeout of a call to a store; a store that exceeds it counts as unreachable for the call.
     pub call_timeout: Duration,
-    /// How long claims on request ids are kept, and how far clocks may differ.
+    /// Retention of claims on request ids, and the maximum clock skew.
     pub claim_window: ClaimWindow,
-    /// A member of a replica set that has not answered for this time is replaced. Chosen: shorter copies logs for a
-    /// machine that restarts, longer leaves a log with fewer members than it should have.
+    /// Time without an answer after which a member of a replica set is replaced; longer than the restart of a machine.
     pub replace_after: Duration,
-    /// Where fewer stores stand than a replica set should have, a smaller one is made once no other has come for this
-    /// time. Chosen: stores of one deployment start within seconds of each other, and nothing is served meanwhile.
+    /// When fewer stores are available than a replica set should have, a smaller set is created once no further store
+    /// has joined for this time.
     pub small_set_after: Duration,
-    /// The losses that the replica sets of this node's choice should tolerate. Chosen, not measured: the loss of one disk by
-    /// default; none stops a shard with its first disk, more makes each append wait for more stores.
+    /// Losses that the replica sets chosen by this node should tolerate; by default one disk.
     pub set_size: ToleranceTarget,
 }
 
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files and command lines: what is taken, what is refused, and with which words.
+//! Tests the validation of settings files and command lines.
 
 use std::time::Duration;
 
 use lichenpulley_daemon::arguments::{self, Invocation};
 use lichenpulley_daemon::settings::{Settings, SettingsError};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 node = "sando-1"
 zone = "sando-hall"
 roles = ["gateway", "store"]
@@ -26,8 +26,8 @@
 probe_interval_ms = 500
 "#;
 
-/// The keys of the problems of a text, in the order of reporting.
-fn refused_keys(text: &str) -> Vec<String> {
+/// Returns the keys of all reported problems, in order.
+fn rejected_keys(text: &str) -> Vec<String> {
     match Settings::parse(text) {
         Err(SettingsError::Values(problems)) => problems.into_iter().map(|problem| problem.key).collect(),
         other => panic!("expected refused values, got {other:?}"),
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_good_file_is_taken_with_defaults_for_the_rest() {
-    let settings = Settings::parse(GOOD).expect("a good file");
+fn a_valid_file_is_accepted_and_absent_keys_get_defaults() {
+    let settings = Settings::parse(VALID).expect("a good file");
     assert_eq!(settings.node.as_str(), "sando-1");
     assert!(settings.roles.gateway && settings.roles.store && !settings.roles.coordinator);
     assert_eq!(settings.platform.object_api, Some("127.0.0.1:9000".parse().expect("an address")));
@@ -58,7 +58,7 @@
         probe_interval = 5
         suspicion_multiplier = 0
     "#;
-    let keys = refused_keys(text);
+    let keys = rejected_keys(text);
     for key in [
         "node",
         "zone",
@@ -75,18 +75,18 @@
 }
 
 #[test]
-fn an_unknown_key_names_the_one_that_was_meant() {
-    let text = GOOD.replace("probe_interval_ms", "probe_intervall_ms");
+fn an_unknown_key_suggests_a_similar_key() {
+    let text = VALID.replace("probe_interval_ms", "probe_intervall_ms");
     let error = Settings::parse(&text).expect_err("an unknown key").to_string();
     assert!(error.contains("did you mean `membership.probe_interval_ms`?"), "{error}");
 }
 
 #[test]
-fn a_store_without_a_folder_is_refused_and_so_is_a_folder_without_a_store() {
-    let without_folder = GOOD.replace("data_folder = \"/var/lib/lichenpulley\"", "");
-    assert_eq!(refused_keys(&without_folder), ["data_folder"]);
-    let without_store = GOOD.replace("[\"gateway\", \"store\"]", "[\"gateway\"]");
-    assert_eq!(refused_keys(&without_store), ["data_folder"]);
+fn data_folder_is_required_exactly_for_the_store_role() {
+    let without_folder = VALID.replace("data_folder = \"/var/lib/lichenpulley\"", "");
+    assert_eq!(rejected_keys(&without_folder), ["data_folder"]);
+    let without_store = VALID.replace("[\"gateway\", \"store\"]", "[\"gateway\"]");
+    assert_eq!(rejected_keys(&without_store), ["data_folder"]);
 }
 
 #[test]
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn flags_go_over_the_file() {
+fn flags_override_the_file() {
     let line =
         ["--node", "other", "--seed", "127.0.0.1:1", "--seed", "127.0.0.1:2", "--set", "stop.notice_ms=7"];
     let line: Vec<String> = line.iter().map(|&word| word.to_owned()).collect();
     let Ok(Invocation::Run(arguments)) = arguments::parse(&line) else { panic!("a good line") };
-    let file = GOOD.parse::<toml::Table>().expect("TOML");
+    let file = VALID.parse::<toml::Table>().expect("TOML");
     let settings = Settings::from_table(arguments.lay_over(file)).expect("good settings");
     assert_eq!(settings.node.as_str(), "other");
     assert_eq!(settings.peers.seeds.len(), 2);
@@ -114,32 +114,32 @@
 }
 
 #[test]
-fn unknown_flags_and_loose_words_are_refused() {
+fn unknown_flags_and_positional_arguments_are_rejected() {
     for line in [vec!["--nope"], vec!["loose"], vec!["--set", "no-assignment"], vec!["--node"]] {
         let line: Vec<String> = line.into_iter().map(str::to_owned).collect();
-        assert!(arguments::parse(&line).is_err(), "{line:?} was taken");
+        assert!(arguments::parse(&line).is_err(), "{line:?} was accepted");
     }
 }
 
 #[test]
-fn zones_lie_in_regions_and_a_contradiction_is_refused() {
-    let with = |places: &str| format!("{GOOD}\n[places]\n{places}");
+fn region_is_derived_from_zones_and_contradictions_are_rejected() {
+    let with = |places: &str| format!("{VALID}\n[places]\n{places}");
     let settings =
         Settings::parse(&with("zones = { sando-hall = \"south\", far = \"north\" }")).expect("good");
     assert_eq!(settings.places.region.as_ref().map(|region| region.as_str()), Some("south"));
     assert_eq!(settings.places.zones.region("far").map(|region| region.as_str()), Some("north"));
-    assert_eq!(Settings::parse(GOOD).expect("good").places.region, None);
+    assert_eq!(Settings::parse(VALID).expect("good").places.region, None);
     let contradiction = with("region = \"north\"\nzones = { sando-hall = \"south\" }");
-    assert_eq!(refused_keys(&contradiction), ["places.region"]);
+    assert_eq!(rejected_keys(&contradiction), ["places.region"]);
     for bad in ["zones = { a = 1 }", "zones = [\"a\"]", "zones = { a = \"\" }"] {
-        assert_eq!(refused_keys(&with(bad)), ["places.zones"], "{bad}");
+        assert_eq!(rejected_keys(&with(bad)), ["places.zones"], "{bad}");
     }
-    assert_eq!(refused_keys(&with("region = \"no name\"")), ["places.region"]);
+    assert_eq!(rejected_keys(&with("region = \"no name\"")), ["places.region"]);
 }
 
-/// The operators' page lists every key with its default and bounds, as a table row.
+/// docs/operators/settings.md has a table row for every key, with its default and bounds.
 #[test]
-fn every_key_is_on_the_operators_page() {
+fn every_key_is_documented() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/settings.md");
     let page = std::fs::read_to_string(page).expect("the page");
     let missing: Vec<String> = Settings::known_keys()
@@ -157,18 +157,18 @@
 }
 
 #[test]
-fn duties_need_a_platform_and_names_that_are_known() {
-    let with = |duties: &str| format!("{GOOD}\n[duties]\n{duties}");
-    assert_eq!(refused_keys(&with("held = [\"usage_report\"]")), ["duties.platform"]);
+fn duties_require_a_platform_address_and_known_names() {
+    let with = |duties: &str| format!("{VALID}\n[duties]\n{duties}");
+    assert_eq!(rejected_keys(&with("held = [\"usage_report\"]")), ["duties.platform"]);
     let unknown = with("platform = \"127.0.0.1:9000\"\nheld = [\"juggling\"]");
-    assert_eq!(refused_keys(&unknown), ["duties.held"]);
+    assert_eq!(rejected_keys(&unknown), ["duties.held"]);
     let text = with(
         "platform = \"127.0.0.1:9000\"\nheld = [\"usage_report\"]\nusage_window_s = 5\nusage_due_s = 10.5",
     );
     let duties = Settings::parse(&text).expect("a good file").duties;
-    let usage = duties.usage().expect("usage is told");
+    let usage = duties.usage().expect("usage reports are enabled");
     assert_eq!(usage.due_after, Duration::from_millis(10_500));
     assert!(duties.scaling().is_none());
-    let none = Settings::parse(GOOD).expect("a good file").duties;
+    let none = Settings::parse(VALID).expect("a good file").duties;
     assert!(none.usage().is_none() && none.scaling().is_none());
 }
