--- a/crates/daemon/src/node/control.rs
+++ b/crates/daemon/src/node/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: starts every part and waits until the node ends.
+//! The control thread: starts all subsystems and runs until the node stops.
 //!
-//! Owns both runtimes: the control thread's own, on which all shared state changes, and the one of the traffic threads, on
-//! which callers' requests and runs of items go. The parts get the context and the handles of the parts that they use.
+//! Owns two runtimes: the single-threaded control runtime, on which all shared state is modified, and the traffic runtime,
+//! which handles callers' requests and runs batch items. Each subsystem gets the context and the handles that it depends on.
 
 use std::sync::Arc;
 
@@ -45,11 +45,11 @@
     control.block_on(async {
         let context = NodeContext::new(settings, Handle::current());
         tokio::select! {
-            () = run_parts(&context, listeners, started, traffic.handle()) => {}
+            () = run_subsystems(&context, listeners, started, traffic.handle()) => {}
             () = abort.cancelled() => {}
         }
     });
-    // Tasks end here, at their next wait; whatever had to be finished has been.
+    // Remaining tasks are dropped at their next await point; a planned stop has completed its work by now.
     traffic.shutdown_background();
     control.shutdown_background();
 }
@@ -64,14 +64,14 @@
     Ok((control, traffic.build()?))
 }
 
-async fn run_parts(
+async fn run_subsystems(
     context: &Context,
     listeners: Listeners,
     started: oneshot::Sender<Result<Started, StartError>>,
     traffic: &Handle,
 ) {
     let addresses = listeners.addresses;
-    match start_parts(context, listeners, traffic) {
+    match start_subsystems(context, listeners, traffic) {
         Ok(servers) => {
             log::info!(
                 target: "node",
@@ -82,34 +82,36 @@
             if started.send(Ok(node)).is_err() {
                 return;
             }
-            stop::on_notice(context, servers).await;
+            stop::run_planned_stop(context, servers).await;
         }
         Err(error) => drop(started.send(Err(error))),
     }
 }
 
-/// Starts every part, in the order in which they need each other.
-fn start_parts(
+/// Starts all subsystems, in the order of their dependencies.
+fn start_subsystems(
     context: &Context,
     listeners: Listeners,
     traffic: &Handle,
 ) -> Result<stop::Servers, StartError> {
     let Listeners { callers, operators, readiness, peers, membership, addresses } = listeners;
-    start_views(context, membership, addresses)?;
-    let parts = ControlParts::start(context, traffic)?;
+    start_cluster_view(context, membership, addresses)?;
+    let subsystems = Subsystems::start(context, traffic)?;
     let stop = stop::StopSignals::new(context);
-    let peers = servers::serve_peers(context, peers, &parts, &stop)?;
-    let ingress = context.settings.platform.metadata_store.is_some().then(|| start_ingress(context, &parts));
-    let operators = servers::serve_operators(context, operators, &parts, ingress.clone(), &stop)?;
-    let callers = servers::serve_callers(context, callers, traffic, parts, ingress, &stop)?;
+    let peers = servers::serve_peers(context, peers, &subsystems, &stop)?;
+    let ingress =
+        context.settings.platform.metadata_store.is_some().then(|| start_platform_api(context, &subsystems));
+    let operators = servers::serve_operators(context, operators, &subsystems, ingress.clone(), &stop)?;
+    let callers = servers::serve_callers(context, callers, traffic, subsystems, ingress, &stop)?;
     if let Some(readiness) = readiness {
         servers::serve_readiness(context, readiness, stop.operators.clone())?;
     }
     Ok(stop::Servers { callers, operators, peers, stop })
 }
 
-/// Starts what keeps this node's view of the others and of the platform up to date.
-fn start_views(
+/// Starts membership, configuration, suspension detection and metadata, which maintain this node's view of the cluster and
+/// the platform.
+fn start_cluster_view(
     context: &Context,
     membership: std::net::UdpSocket,
     addresses: NodeAddresses,
@@ -122,8 +124,8 @@
     Ok(())
 }
 
-/// The parts that do the work of the node's roles.
-pub(super) struct ControlParts {
+/// Handles of the subsystems that implement the node's roles.
+pub(super) struct Subsystems {
     pub(super) store: Option<Store>,
     pub(super) dispatcher: Dispatcher,
     pub(super) coordinator: Coordinator,
@@ -131,7 +133,7 @@
     pub(super) batch: BatchJobs,
 }
 
-impl ControlParts {
+impl Subsystems {
     fn start(context: &Context, traffic: &Handle) -> Result<Self, StartError> {
         let store = start_store(context)?;
         let dispatcher = Dispatcher::new(Arc::clone(context), traffic.clone());
@@ -142,10 +144,10 @@
     }
 }
 
-/// The way of callers' requests in the platform's form, and the reports of what it counts.
-fn start_ingress(context: &Context, parts: &ControlParts) -> Ingress {
-    tokio::spawn(duties::report_usage(Arc::clone(context), parts.batch.clone()));
-    Ingress::spawn(Arc::clone(context), parts.pool.clone(), parts.batch.clone())
+/// Starts the platform API for callers, and the reports of its usage counts.
+fn start_platform_api(context: &Context, subsystems: &Subsystems) -> Ingress {
+    tokio::spawn(duties::report_usage(Arc::clone(context), subsystems.batch.clone()));
+    Ingress::spawn(Arc::clone(context), subsystems.pool.clone(), subsystems.batch.clone())
 }
 
 fn start_store(context: &Context) -> Result<Option<Store>, StartError> {
--- a/crates/daemon/src/node/listeners.rs
+++ b/crates/daemon/src/node/listeners.rs
@@ -1,6 +1,6 @@
-//! Binds a node's sockets, before any thread of it starts, so that an address that can't be had refuses the start.
+//! Binds a node's sockets before its threads start, so that an unavailable address fails the start.
 //!
-//! Owns the sockets until the control thread takes them. Peers' TCP and membership's UDP share one port.
+//! The sockets are then passed to the control thread. Peer connections (TCP) and membership (UDP) share one port number.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -8,11 +8,10 @@
 use super::{NodeAddresses, StartError};
 use crate::settings::ListenAddresses;
 
-/// Tries to find a port that is free for both TCP and UDP, where the system chooses it. Chosen, not measured: fewer may
-/// fail on a machine with many sockets, where a try costs microseconds.
-const PORT_PAIR_TRIES: usize = 32;
+/// Maximum attempts to find a port that is free for both TCP and UDP when the operating system chooses it.
+const MAX_PORT_ATTEMPTS: usize = 32;
 
-/// Sockets that listen, not yet bound to a runtime.
+/// Bound sockets that are not yet registered with a runtime.
 pub(super) struct Listeners {
     pub(super) callers: TcpListener,
     pub(super) operators: TcpListener,
@@ -23,15 +22,22 @@
 }
 
 impl Listeners {
-    pub(super) fn bind(wanted: &ListenAddresses, readiness: Option<SocketAddr>) -> Result<Self, StartError> {
-        let callers = listen("addresses.callers", wanted.callers)?;
-        let operators = listen("addresses.operators", wanted.operators)?;
+    /// Binds all sockets.
+    ///
+    /// # Errors
+    /// Returns [`StartError::Listen`] for the first address that is unavailable.
+    pub(super) fn bind(
+        requested: &ListenAddresses,
+        readiness: Option<SocketAddr>,
+    ) -> Result<Self, StartError> {
+        let callers = listen("addresses.callers", requested.callers)?;
+        let operators = listen("addresses.operators", requested.operators)?;
         let readiness = readiness.map(|address| listen("addresses.readiness", address)).transpose()?;
-        let (peers, membership) = listen_pair("addresses.peers", wanted.peers)?;
+        let (peers, membership) = listen_pair("addresses.peers", requested.peers)?;
         let addresses = NodeAddresses {
-            callers: bound("addresses.callers", &callers, wanted.callers)?,
-            operators: bound("addresses.operators", &operators, wanted.operators)?,
-            peers: bound("addresses.peers", &peers, wanted.peers)?,
+            callers: local_address("addresses.callers", &callers, requested.callers)?,
+            operators: local_address("addresses.operators", &operators, requested.operators)?,
+            peers: local_address("addresses.peers", &peers, requested.peers)?,
         };
         Ok(Self { callers, operators, readiness, peers, membership, addresses })
     }
@@ -46,21 +52,25 @@
     bind().map_err(|source| StartError::Listen { key, address, source })
 }
 
-fn bound(key: &'static str, listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
+fn local_address(
+    key: &'static str,
+    listener: &TcpListener,
+    address: SocketAddr,
+) -> Result<SocketAddr, StartError> {
     listener.local_addr().map_err(|source| StartError::Listen { key, address, source })
 }
 
-/// A TCP and a UDP socket with the same port.
+/// Binds a TCP and a UDP socket to the same port.
 fn listen_pair(key: &'static str, address: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let listener = listen(key, address)?;
-        let same_port = bound(key, &listener, address)?;
+        let same_port = local_address(key, &listener, address)?;
         match bind_udp(same_port) {
             Ok(socket) => return Ok((listener, socket)),
-            // The system chose a port that is taken for UDP: let it choose another.
-            Err(_) if address.port() == 0 && tries < PORT_PAIR_TRIES => {}
+            // The port that the system chose is in use for UDP; it chooses another in the next attempt.
+            Err(_) if address.port() == 0 && attempts < MAX_PORT_ATTEMPTS => {}
             Err(source) => return Err(StartError::Listen { key, address: same_port, source }),
         }
     }
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! Puts the parts of a node together: one thread for control state, others for traffic.
+//! Assembles and runs a node: one thread for control state, others for traffic.
 //!
-//! Owns a node from its start to its end: `listeners` binds its sockets, `control` starts the parts, `servers` the servers,
-//! `peer_service` answers other nodes, `stop` is the planned stop. The only place, beside `operators`, that knows every part.
+//! `listeners` binds the sockets, `control` starts the subsystems, `servers` starts the servers, `peer_service` handles
+//! requests of other nodes and `stop` performs the planned stop. Only this module and `operators` depend on all subsystems.
 
 mod control;
 mod listeners;
@@ -21,46 +21,45 @@
 use crate::settings::Settings;
 use listeners::Listeners;
 
-/// Where a running node is reached; ports that the system chose included.
+/// Addresses on which a running node listens, with the ports that the operating system chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAddresses {
-    /// Callers, over HTTP.
+    /// Address for callers, over HTTP.
     pub callers: SocketAddr,
-    /// Operators, over HTTP.
+    /// Address for operators, over HTTP.
     pub operators: SocketAddr,
-    /// Other nodes.
+    /// Address for other nodes.
     pub peers: SocketAddr,
 }
 
-/// Why a node could not start.
+/// Error of starting a node.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened on.
-    #[error("{key}: {address} can't be listened on: {source}; free it or choose another")]
+    /// An address is not available to listen on.
+    #[error("{key}: cannot listen on {address}: {source}; free the address or choose another")]
     Listen {
         /// The settings key.
         key: &'static str,
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Threads can't be started.
-    #[error("a thread can't be started: {0}; raise the limit of threads")]
+    /// A thread or runtime failed to start.
+    #[error("cannot start a thread: {0}; raise the limit of threads")]
     Thread(io::Error),
-    /// A bound socket can't be given to a runtime.
-    #[error("a socket can't be used: {0}; raise the limit of open files")]
+    /// Registering a bound socket with a runtime failed.
+    #[error("cannot register a socket: {0}; raise the limit of open files")]
     Socket(io::Error),
-    /// The store can't use its folder.
+    /// The store failed to open its data folder.
     #[error("data_folder: {0}")]
     Store(String),
-    /// The node ended while it started.
-    #[error("the node ended while it started; its log names the cause")]
+    /// The node stopped during its start.
+    #[error("the node stopped during its start; see its log for the cause")]
     Ended,
 }
 
-/// A running node. Dropping it ends the node at once, as a crash would; see [`Node::begin_drain`] for a planned
-/// stop.
+/// A running node. Dropping it stops the node immediately, like a crash; [`Node::begin_drain`] begins a planned stop.
 pub struct Node {
     addresses: NodeAddresses,
     context: Context,
@@ -68,17 +67,17 @@
     abort: CancellationToken,
 }
 
-/// What the control thread tells of once everything listens.
+/// Sent by the control thread once all servers listen.
 struct Started {
     addresses: NodeAddresses,
     context: Context,
 }
 
 impl Node {
-    /// Starts a node on threads of its own and returns once everything listens.
+    /// Starts a node on its own threads and returns once all servers listen.
     ///
     /// # Errors
-    /// When an address, a thread or the data folder can't be had.
+    /// Returns an error if an address, a thread or the data folder is unavailable.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let listeners = Listeners::bind(&settings.addresses, settings.readiness)?;
         let abort = CancellationToken::new();
@@ -96,30 +95,30 @@
         Ok(Self { addresses, context, ended, abort })
     }
 
-    /// Where the node is reached.
+    /// Returns the addresses on which the node listens.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// The node's shared state.
+    /// Returns the node's shared state.
     pub fn context(&self) -> &Context {
         &self.context
     }
 
-    /// Begins a planned stop: new work is refused as not run, what runs is finished, then the node ends.
+    /// Begins a planned stop: the node refuses new work as not run, finishes requests in flight, then stops.
     pub fn begin_drain(&self) {
         self.context.draining.cancel();
     }
 
-    /// Ends the node at once, as a crash would.
+    /// Stops the node immediately, like a crash.
     pub fn kill(&self) {
         self.abort.cancel();
     }
 
-    /// Resolves when the node has ended.
+    /// Waits until the node has stopped.
     pub async fn stopped(&self) {
         let mut ended = self.ended.clone();
-        // An error means that the thread is gone, which is an end as well.
+        // An error means that the control thread dropped the sender, so the node has stopped as well.
         let _ = ended.wait_for(|ended| *ended).await;
     }
 }
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -1,7 +1,7 @@
-//! Answers other nodes: the service behind the peers' port.
+//! Serves the requests of other nodes on the peer port.
 //!
-//! Decides nothing: each request goes to the part that owns what it asks for. Relies on `protocol::transport` for frames;
-//! counts frames, bytes and connections that are closed for what arrived on them.
+//! Dispatches each request to the subsystem that handles it. `protocol::transport` implements the framing. Counts frames,
+//! bytes, and connections closed because of invalid input.
 
 use futures::StreamExt;
 use lichenpulley_core::identity::ShardId;
@@ -24,13 +24,13 @@
 use crate::metadata;
 use crate::store::Store;
 
-/// Answers peers' requests from the parts of this node.
+/// Dispatches peers' requests to the subsystems of this node.
 #[derive(Clone)]
 pub(super) struct PeerService {
     context: Context,
     coordinator: Coordinator,
     batch: BatchJobs,
-    /// Where the node has the store role.
+    /// Set if the node has the store role.
     store: Option<Store>,
 }
 
@@ -44,7 +44,7 @@
         Self { context, coordinator, batch, store }
     }
 
-    /// Counts a connection that is closed for what arrived on it.
+    /// Counts a connection that is closed because of an error, by its cause.
     fn count_closed(&self, error: &ChannelError<TransportError>) {
         let (ChannelError::Read(cause)
         | ChannelError::Ready(cause)
@@ -117,19 +117,20 @@
                 tokio::spawn(serve_connection(stream, service.clone(), closing.clone()));
             }
             Err(error) => {
-                log::warn!(target: "peers", "A connection was not accepted: {error}.");
+                log::warn!(target: "peers", "Failed to accept a connection: {error}.");
                 tokio::time::sleep(crate::http::server::ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves one connection. Whatever is wrong with it ends this connection and nothing else.
+/// Serves one connection. An error on it closes only this connection.
 async fn serve_connection(stream: TcpStream, service: PeerService, closing: CancellationToken) {
-    let peer = stream.peer_addr().map_or_else(|_| "a lost peer".to_owned(), |address| address.to_string());
+    let peer =
+        stream.peer_addr().map_or_else(|_| "an unknown peer".to_owned(), |address| address.to_string());
     let limits = SocketLimits { stall_timeout: service.context.settings.peers.stall_timeout };
     if let Err(error) = socket::prepare(&stream, limits) {
-        log::debug!(target: "peers", "The connection of {peer} was lost before it began: {error}.");
+        log::debug!(target: "peers", "Failed to set up the connection from {peer}: {error}.");
         return;
     }
     let channel =
@@ -147,7 +148,7 @@
             }
             Some(Err(error)) => {
                 let reason = transport::describe(&error);
-                log::warn!(target: "peers", "The connection of {peer} is closed: {reason}.");
+                log::warn!(target: "peers", "Closing the connection from {peer}: {reason}.");
                 service.count_closed(&error);
                 return;
             }
--- a/crates/daemon/src/node/servers.rs
+++ b/crates/daemon/src/node/servers.rs
@@ -1,7 +1,7 @@
-//! The node's servers: peers, operators, callers in either interface, and load balancers.
+//! Starts the node's servers: for peers, operators, callers of either API, and readiness checks.
 //!
-//! Each takes its bound socket and the handles of the parts that answer, and runs until its stop signal. Callers go on the
-//! traffic threads, all others on the control thread. Owns no state.
+//! Each server takes a bound socket and the handles of the subsystems that answer, and runs until its stop signal. Servers
+//! for callers run on the traffic threads, all others on the control thread.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 use super::StartError;
-use super::control::ControlParts;
+use super::control::Subsystems;
 use super::peer_service::{self, PeerService};
 use super::stop::StopSignals;
 use crate::context::Context;
@@ -23,63 +23,63 @@
 use crate::ingress::{Ingress, readiness};
 use crate::operators::{OperatorParts, Operators};
 
-/// Other nodes' requests.
+/// Starts the server for other nodes.
 pub(super) fn serve_peers(
     context: &Context,
     listener: std::net::TcpListener,
-    parts: &ControlParts,
+    subsystems: &Subsystems,
     stop: &StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
-    let (coordinator, batch) = (parts.coordinator.clone(), parts.batch.clone());
-    let service = PeerService::new(Arc::clone(context), coordinator, batch, parts.store.clone());
+    let (coordinator, batch) = (subsystems.coordinator.clone(), subsystems.batch.clone());
+    let service = PeerService::new(Arc::clone(context), coordinator, batch, subsystems.store.clone());
     let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     Ok(tokio::spawn(peer_service::serve(listener, service, stop.peers.clone())))
 }
 
-/// Operators' requests.
+/// Starts the server for operators.
 pub(super) fn serve_operators(
     context: &Context,
     listener: std::net::TcpListener,
-    parts: &ControlParts,
+    subsystems: &Subsystems,
     ingress: Option<Ingress>,
     stop: &StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
     let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    let parts = OperatorParts {
-        dispatcher: parts.dispatcher.clone(),
-        coordinator: parts.coordinator.clone(),
-        batch: parts.batch.clone(),
+    let subsystems = OperatorParts {
+        dispatcher: subsystems.dispatcher.clone(),
+        coordinator: subsystems.coordinator.clone(),
+        batch: subsystems.batch.clone(),
         ingress,
     };
-    let answers = Operators::new(Arc::clone(context), parts);
+    let operators = Operators::new(Arc::clone(context), subsystems);
     let answer = move |request| {
-        let answers = answers.clone();
-        async move { answers.handle(request).await }
+        let operators = operators.clone();
+        async move { operators.handle(request).await }
     };
     Ok(tokio::spawn(server::serve(listener, stop.operators.clone(), answer)))
 }
 
-/// Callers in the platform's form where the node has an `ingress`, else in the product's own.
+/// Starts the server for callers: the platform API if the node has an `ingress`, else the native API.
 pub(super) fn serve_callers(
     context: &Context,
     listener: std::net::TcpListener,
     traffic: &Handle,
-    parts: ControlParts,
+    subsystems: Subsystems,
     ingress: Option<Ingress>,
     stop: &StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
     let limits = SocketLimits { stall_timeout: context.settings.gateway.stall_timeout };
     let stop = stop.callers.clone();
     if let Some(ingress) = ingress {
-        return serve_ingress(listener, traffic, stop, limits, ingress);
+        return serve_platform_api(listener, traffic, stop, limits, ingress);
     }
-    let gateway = Gateway::new(Arc::clone(context), parts.dispatcher, parts.coordinator);
+    let gateway = Gateway::new(Arc::clone(context), subsystems.dispatcher, subsystems.coordinator);
     let gateway = context.settings.roles.gateway.then_some(gateway);
-    serve_gateway(listener, traffic, stop, limits, gateway)
+    serve_native_api(listener, traffic, stop, limits, gateway)
 }
 
-/// Callers in the product's own form; refused where the node has no gateway role.
-fn serve_gateway(
+/// Starts the server of the native API; it refuses all requests if the node has no gateway role.
+fn serve_native_api(
     listener: std::net::TcpListener,
     traffic: &Handle,
     stop: ServerStop,
@@ -94,15 +94,15 @@
         async move {
             match gateway {
                 Some(gateway) => gateway.handle(request).await,
-                None => no_gateway(),
+                None => no_gateway_response(),
             }
         }
     };
     Ok(traffic.spawn(server::serve_with_limits(listener, stop, limits, HeadLimits::default, answer)))
 }
 
-/// Callers in the platform's form.
-fn serve_ingress(
+/// Starts the server of the platform API.
+fn serve_platform_api(
     listener: std::net::TcpListener,
     traffic: &Handle,
     stop: ServerStop,
@@ -112,11 +112,11 @@
     let entered = traffic.enter();
     let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
     drop(entered);
-    let limits_of = ingress.clone();
+    let limit_source = ingress.clone();
     let head_limits = move || {
-        let configured = limits_of.limits();
+        let configured = limit_source.limits();
         configured.map_or_else(HeadLimits::default, |limits| HeadLimits {
-            // The library counts the time of a resting connection as well.
+            // The HTTP library applies this timeout to idle connections as well.
             timeout: limits.idle_timeout.max(limits.header_timeout),
             bytes: limits.header_bytes,
         })
@@ -125,7 +125,7 @@
     Ok(traffic.spawn(server::serve_with_limits(listener, stop, limits, head_limits, answer)))
 }
 
-/// Load balancers that ask whether the node is ready.
+/// Starts the server for readiness checks of load balancers.
 pub(super) fn serve_readiness(
     context: &Context,
     listener: std::net::TcpListener,
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-fn no_gateway() -> Response<Body> {
+fn no_gateway_response() -> Response<Body> {
     let body = ErrorBody::new(
         "no_gateway",
         "this node has no gateway role",
--- a/crates/daemon/src/node/stop.rs
+++ b/crates/daemon/src/node/stop.rs
@@ -1,10 +1,10 @@
-//! The planned stop of a node (promise P8): no request in flight is cut off.
+//! The planned stop of a node, which completes all requests in flight.
 //!
-//! 1. New work is refused as not run; readiness fails, so load balancers look elsewhere.
-//! 2. The node leaves membership, so that its shards get other owners.
-//! 3. After the notice the callers' port closes; answers that had begun are finished, however long they take.
-//! 4. What this node counted of usage is handed over.
-//! 5. The operators' and peers' ports close, and background work ends.
+//! 1. New work is refused as not run, and readiness checks fail, so that load balancers route to other nodes.
+//! 2. The node leaves the membership, so that other nodes take over its shards.
+//! 3. After the notice, the callers' port closes; responses in progress are completed, without a time limit.
+//! 4. The node reports its remaining usage counts.
+//! 5. The operators' and peers' ports close, and background tasks end.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use crate::http::server::ServerStop;
 use crate::membership;
 
-/// How long a node that stops tries to hand over what it counted of usage: a takeover after a second of silence
-/// fits, and the rest of the time that a platform gives a stop is left.
+/// Timeout of the last usage report; long enough for another node to take over the duty
+/// from a failed holder, which takes more than a second.
 const USAGE_HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How each server is told to stop.
+/// Stop signals of the servers.
 pub(super) struct StopSignals {
     pub(super) callers: ServerStop,
     pub(super) operators: ServerStop,
     pub(super) peers: CancellationToken,
 }
 
-/// Servers that run.
+/// The running servers and their stop signals.
 pub(super) struct Servers {
     pub(super) callers: JoinHandle<()>,
     pub(super) operators: JoinHandle<()>,
@@ -42,27 +42,27 @@
     }
 }
 
-/// Waits until a planned stop begins, then stops in order.
-pub(super) async fn on_notice(context: &Context, servers: Servers) {
+/// Waits until a planned stop begins, then performs it.
+pub(super) async fn run_planned_stop(context: &Context, servers: Servers) {
     context.draining.cancelled().await;
     let notice = context.settings.stop.notice;
-    log::info!(target: "node", "{} stops: new work is refused, what runs is finished.", context.node);
+    log::info!(target: "node", "{} is stopping: refusing new work, finishing requests in flight.", context.node);
     record(context, "stop_begun", "planned_stop", &format!("{} ms", notice.as_millis()));
 
     tokio::join!(membership::leave(context), tokio::time::sleep(notice));
 
     let Servers { callers, operators, peers, stop } = servers;
     stop.callers.closing.cancel();
-    join("callers", callers).await;
+    join_server("callers", callers).await;
     context.usage.wait_until_reported(USAGE_HAND_OVER_TIMEOUT).await;
     record(context, "stop_finished", "nothing_in_flight", &format!("{} ms", notice.as_millis()));
 
     context.stopped.cancel();
     stop.operators.closing.cancel();
     stop.peers.cancel();
-    join("peers", peers).await;
-    // Watchers hold their streams open until `stopped`, which has been cancelled.
-    join("operators", operators).await;
+    join_server("peers", peers).await;
+    // Decision streams stay open until `stopped` is cancelled, which happened above.
+    join_server("operators", operators).await;
     log::info!(target: "node", "{} has stopped.", context.node);
 }
 
@@ -71,8 +71,8 @@
     context.decisions.record(decision);
 }
 
-async fn join(name: &str, server: JoinHandle<()>) {
+async fn join_server(name: &str, server: JoinHandle<()>) {
     if let Err(error) = server.await {
-        log::error!(target: "node", "The server for {name} ended badly: {error}.");
+        log::error!(target: "node", "The server for {name} failed: {error}.");
     }
 }
