--- a/crates/daemon/src/node/servers.rs
+++ b/crates/daemon/src/node/servers.rs
@@ -21,7 +21,7 @@
 use crate::http::socket::SocketLimits;
 use crate::http::{Body, response};
 use crate::ingress::{Ingress, readiness};
-use crate::operators::{OperatorParts, Operators};
+use crate::operators::{OperatorApi, OperatorDependencies};
 
 /// Starts the server for other nodes.
 pub(super) fn serve_peers(
@@ -45,16 +45,16 @@
     stop: &StopSignals,
 ) -> Result<JoinHandle<()>, StartError> {
     let listener = TcpListener::from_std(listener).map_err(StartError::Socket)?;
-    let subsystems = OperatorParts {
+    let dependencies = OperatorDependencies {
         dispatcher: subsystems.dispatcher.clone(),
         coordinator: subsystems.coordinator.clone(),
         batch: subsystems.batch.clone(),
         ingress,
     };
-    let operators = Operators::new(Arc::clone(context), subsystems);
+    let api = OperatorApi::new(Arc::clone(context), dependencies);
     let answer = move |request| {
-        let operators = operators.clone();
-        async move { operators.handle(request).await }
+        let api = api.clone();
+        async move { api.handle(request).await }
     };
     Ok(tokio::spawn(server::serve(listener, stop.operators.clone(), answer)))
 }
--- a/crates/daemon/src/operators/config.rs
+++ b/crates/daemon/src/operators/config.rs
@@ -1,6 +1,7 @@
-//! The settings tree of the product's own interface: read it, explain a value, change a value.
+//! Endpoints of the settings tree of the native API: list all values, show an effective value, change a value.
 //!
-//! Reads the snapshot in the context; changes go through [`crate::configuration::change`], which waits until they are in force.
+//! Reads use the snapshot in the context; changes go through [`crate::configuration::change`], which waits until they are in
+//! force.
 
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -18,11 +19,11 @@
 use crate::http::request::{query_parameter, read_json};
 use crate::http::{Body, response};
 
-/// Longest body of a change, in bytes. Chosen, not measured: a change sets one value, and values are short.
-const CHANGE_LIMIT_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a change, in bytes.
+const MAX_CHANGE_BYTES: usize = 64 * 1024;
 
-/// Every value that is set.
-pub(super) fn whole(context: &Context) -> Response<Body> {
+/// Lists every value that is set.
+pub(super) fn list(context: &Context) -> Response<Body> {
     let view = context.configuration.load();
     let settings = view.tree.values().map(|(path, key, value)| SettingValue {
         path: path.to_string(),
@@ -33,7 +34,7 @@
     response::json(StatusCode::OK, &document)
 }
 
-/// The value in force at a level, with the level that it comes from.
+/// Returns the value in force at a level, with the level that it is inherited from.
 pub(super) fn effective(context: &Context, request: &Request<Incoming>) -> Response<Body> {
     let path = query_parameter(request, "path").unwrap_or_else(|| "/".to_owned());
     let Some(key) = query_parameter(request, "key") else {
@@ -48,14 +49,14 @@
 
 /// Changes a value.
 pub(super) async fn change(context: &Context, request: Request<Incoming>) -> Response<Body> {
-    let asked = match read_json::<ChangeConfiguration>(request, CHANGE_LIMIT_BYTES).await {
-        Ok(asked) => asked,
+    let requested = match read_json::<ChangeConfiguration>(request, MAX_CHANGE_BYTES).await {
+        Ok(requested) => requested,
         Err(error) => return error.into(),
     };
-    let ChangeConfiguration { base_revision, change_id, path, key, value } = asked;
+    let ChangeConfiguration { base_revision, change_id, path, key, value } = requested;
     match change::change(context, Change { change_id, base_revision, path, key, value }).await {
         Ok(revision) => response::json(StatusCode::OK, &ConfigurationChanged { revision }),
-        Err(error) => response::error(status(&error), &body(&error)),
+        Err(error) => response::error(error_status(&error), &error_body(&error)),
     }
 }
 
@@ -72,7 +73,7 @@
     })
 }
 
-fn status(error: &ChangeError) -> StatusCode {
+fn error_status(error: &ChangeError) -> StatusCode {
     match error {
         ChangeError::Refused(ChangeRefused::Conflict { .. } | ChangeRefused::ChangeIdReused { .. }) => {
             StatusCode::CONFLICT
@@ -83,7 +84,7 @@
     }
 }
 
-fn body(error: &ChangeError) -> ErrorBody {
+fn error_body(error: &ChangeError) -> ErrorBody {
     let mut body = split_remedy(error.kind(), &error.to_string());
     body.current_revision = match error {
         ChangeError::Refused(ChangeRefused::Conflict { current, .. }) => Some(*current),
@@ -103,7 +104,7 @@
     split_remedy("bad_setting", message)
 }
 
-/// Our errors end with their remedy after the last semicolon.
+/// Splits an error text into message and remedy. Errors of this project end with the remedy, after the last semicolon.
 fn split_remedy(kind: &str, text: &str) -> ErrorBody {
     let (message, remedy) = text.rsplit_once("; ").unwrap_or((text, "correct the request"));
     ErrorBody::new(kind, message, remedy)
--- a/crates/daemon/src/operators/decisions.rs
+++ b/crates/daemon/src/operators/decisions.rs
@@ -1,6 +1,6 @@
-//! The live stream of decisions, one event a line, until the caller leaves or the node has stopped.
+//! Endpoint that streams decisions live as server-sent events.
 //!
-//! Relies on [`crate::decisions`]; a caller that reads too slowly loses decisions, which shows as a jump in `sequence`.
+//! Subscribes to [`crate::decisions`]. A client that reads too slowly loses decisions, visible as a gap in `sequence`.
 
 use hyper::Response;
 use tokio::sync::broadcast::error::RecvError;
@@ -9,10 +9,10 @@
 use crate::http::Body;
 use crate::http::events::event_stream;
 
-/// Events that wait for one watcher's socket. Chosen, not measured: whatever is more waits in the decisions' own ring.
+/// Maximum events buffered for the socket of one client; later ones stay in the ring of [`crate::decisions`].
 const WATCHER_BUFFER: usize = 64;
 
-/// Streams decisions from now on, until the watcher goes or the node has stopped.
+/// Streams new decisions until the client disconnects or the node has stopped.
 pub(super) fn watch(context: &Context) -> Response<Body> {
     let (sender, response) = event_stream(WATCHER_BUFFER);
     let mut decisions = context.decisions.watch();
@@ -20,7 +20,7 @@
     tokio::spawn(async move {
         loop {
             let next = tokio::select! {
-                // The last decisions before the end are sent as well.
+                // Decisions take precedence, so that those recorded before the stop are sent.
                 biased;
                 next = decisions.recv() => next,
                 () = sender.closed() => return,
@@ -32,14 +32,14 @@
                         return;
                     }
                 }
-                // The jump in `sequence` tells the watcher.
+                // The client sees the gap in `sequence`.
                 Err(RecvError::Lagged(lost)) => {
-                    log::debug!(target: "operators", "A watcher was too slow and lost {lost} decisions.");
+                    log::debug!(target: "operators", "A client of the decision stream read too slowly and lost {lost} decisions.");
                 }
                 Err(RecvError::Closed) => break,
             }
         }
-        // An error only says that the watcher has gone.
+        // An error only means that the client has disconnected.
         let _ = sender.finish().await;
     });
     response
--- a/crates/daemon/src/operators/drain.rs
+++ b/crates/daemon/src/operators/drain.rs
@@ -1,6 +1,7 @@
-//! Draining a replica, and taking that back: a fenced order, given by the owner of its pool's weights.
+//! Endpoints that drain and undrain a replica of the native API.
 //!
-//! Brings the order to the owner and waits until the engine itself reports its role. Of the product's own interface only.
+//! Forwards the order to the owner of the pool's weights, which fences it by its epoch, and waits until the engine reports
+//! the new role.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,26 +14,25 @@
 use lichenpulley_protocol::internal::{CoordinatorRequest, CoordinatorResponse};
 use tokio::time::{sleep, timeout};
 
-use super::Operators;
+use super::OperatorApi;
 use crate::coordinator;
 use crate::directory::ReplicaEntry;
 use crate::http::{Body, response};
 
-/// Pause before an engine is asked again whether it has taken an order. Longer delays the answer to the
-/// operator, shorter asks the engine more often.
-const ENGINE_ORDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two queries of the engine's role.
+const ROLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an operator wants of a replica.
+/// An operator's order to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainOrder {
-    /// Finish what runs and take nothing new.
+    /// Finish running work and accept nothing new.
     Drain,
-    /// Take work again.
+    /// Accept new work again.
     Undrain,
 }
 
 impl DrainOrder {
-    /// The order in the path of a request.
+    /// Parses the path segment of a request.
     pub(super) fn from_path(segment: &str) -> Option<Self> {
         match segment {
             "drain" => Some(Self::Drain),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The role that the engine then reports.
+    /// Returns the role that the engine reports after the order.
     const fn role(self) -> EngineRole {
         match self {
             Self::Drain => EngineRole::Draining,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The order as a decision's action.
+    /// Returns the action of the recorded decision.
     const fn action(self) -> &'static str {
         match self {
             Self::Drain => "drained",
@@ -58,10 +58,10 @@
     }
 }
 
-impl Operators {
-    /// Gives a replica an order. Repeating it changes nothing.
-    pub(super) async fn order(&self, replica: &ReplicaId, order: DrainOrder) -> Response<Body> {
-        let Some((pool, entry)) = self.find(replica) else { return unknown_replica(replica) };
+impl OperatorApi {
+    /// Sends a replica an order. Idempotent.
+    pub(super) async fn send_order(&self, replica: &ReplicaId, order: DrainOrder) -> Response<Body> {
+        let Some((pool, entry)) = self.find_replica(replica) else { return unknown_replica(replica) };
         let request = CoordinatorRequest::ChangeRole {
             pool: pool.clone(),
             replica: replica.clone(),
@@ -70,13 +70,13 @@
         match coordinator::ask_owner(&self.context, &self.coordinator, request).await {
             CoordinatorResponse::RoleChanged => {
                 self.record_order(&pool, replica, order);
-                self.confirmed(entry, order).await
+                self.await_confirmation(entry, order).await
             }
             refusal => coordinator::http::answer(refusal),
         }
     }
 
-    fn find(&self, replica: &ReplicaId) -> Option<(PoolName, ReplicaEntry)> {
+    fn find_replica(&self, replica: &ReplicaId) -> Option<(PoolName, ReplicaEntry)> {
         let directory = self.context.directory.load();
         let mut entries =
             directory.pools.iter().flat_map(|(pool, entries)| entries.iter().map(move |entry| (pool, entry)));
@@ -90,26 +90,26 @@
         self.context.decisions.record(decision);
     }
 
-    /// The order is in the shard's log and is sent until the engine takes it. Waits until the engine itself
-    /// reports the role, so that the answer never says more than what holds there.
-    async fn confirmed(&self, entry: ReplicaEntry, order: DrainOrder) -> Response<Body> {
+    /// Waits until the engine reports the role. The order is in the shard's log by now and is sent again until the engine
+    /// accepts it; the response claims success only once the engine has changed its role.
+    async fn await_confirmation(&self, entry: ReplicaEntry, order: DrainOrder) -> Response<Body> {
         let limit = self.context.settings.coordinator.call_timeout;
-        match timeout(limit, self.role_taken(entry.address, order.role(), limit)).await {
+        match timeout(limit, self.poll_until_role(entry.address, order.role(), limit)).await {
             Ok(load) => response::json(StatusCode::OK, &OrderAccepted { replica: entry.replica, load }),
             Err(_) => not_confirmed(&entry.replica),
         }
     }
 
-    /// Asks the engine until it reports the role.
-    async fn role_taken(&self, engine: SocketAddr, role: EngineRole, deadline: Duration) -> LoadReport {
+    /// Queries the engine until it reports the role.
+    async fn poll_until_role(&self, engine: SocketAddr, role: EngineRole, deadline: Duration) -> LoadReport {
         loop {
             let load: Result<LoadReport, _> = self.client.get_json(engine, "/v1/load", deadline).await;
             match load {
                 Ok(load) if load.role == role => return load,
                 Ok(_) => {}
-                Err(error) => log::info!(target: "operators", "A drain is not confirmed yet: {error}."),
+                Err(error) => log::info!(target: "operators", "Can't read the engine's role: {error}."),
             }
-            sleep(ENGINE_ORDER_POLL_INTERVAL).await;
+            sleep(ROLE_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/daemon/src/operators/health.rs
+++ b/crates/daemon/src/operators/health.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics: whether the process answers, whether the node takes new work, and its counters as text.
+//! Endpoints of liveness, readiness and metrics.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_protocol::error::ErrorBody;
@@ -6,12 +6,12 @@
 use crate::context::Context;
 use crate::http::{Body, response};
 
-/// The process runs.
+/// Answers the liveness check.
 pub(super) fn alive() -> Response<Body> {
     response::text(StatusCode::OK, "alive\n")
 }
 
-/// Whether the node takes new work.
+/// Answers the readiness check: whether the node accepts new work.
 pub(super) fn ready(context: &Context) -> Response<Body> {
     if context.draining.is_cancelled() {
         let body = ErrorBody::new(
@@ -32,12 +32,12 @@
     response::text(StatusCode::OK, "ready\n")
 }
 
-/// Metrics in the Prometheus text form.
+/// Returns the metrics in the Prometheus text format.
 pub(super) fn metrics(context: &Context) -> Response<Body> {
     match context.metrics.encode() {
         Ok(text) => response::text(StatusCode::OK, text),
         Err(error) => {
-            log::error!(target: "operators", "The metrics can't be written: {error}.");
+            log::error!(target: "operators", "Failed to encode the metrics: {error}.");
             let body = ErrorBody::new(
                 "metrics_failed",
                 format!("the metrics can't be written: {error}"),
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' interface over HTTP: health, metrics, decisions, and the state and orders that `lichenpulley` asks for.
+//! The operators' HTTP API: health, metrics, decisions, and the state and orders that the `lichenpulley` CLI uses.
 //!
-//! Owns no state: it shows what the parts hold and hands orders to the part that carries them out. Like `node` it stands above
-//! all parts.
+//! Stateless: reads the state of the other subsystems and forwards orders to them. Like `node`, it may depend on all
+//! subsystems.
 
 mod config;
 mod decisions;
@@ -27,39 +27,39 @@
 use lichenpulley_protocol::operator::ReplicaSendStatus;
 use zones::ZoneChange;
 
-/// The parts of a node that operators ask about.
-pub struct OperatorParts {
-    /// The gateway of the product's own interface.
+/// Handles of the subsystems that the operators' API uses.
+pub struct OperatorDependencies {
+    /// Dispatcher of the native API.
     pub dispatcher: Dispatcher,
-    /// The owner of shards of control work.
+    /// Control shards of the native API.
     pub coordinator: Coordinator,
-    /// The way to the batch jobs.
+    /// Batch jobs.
     pub batch: BatchJobs,
-    /// Where the node serves callers in the platform's form.
+    /// The platform API; set if the node serves it.
     pub ingress: Option<Ingress>,
 }
 
-/// Answers operators. Cheap to clone.
+/// Routes and answers operators' requests. Cheap to clone.
 #[derive(Clone)]
-pub struct Operators {
+pub struct OperatorApi {
     context: Context,
     dispatcher: Dispatcher,
     coordinator: Coordinator,
     batch: BatchJobs,
     client: HttpClient,
-    /// Where the node serves callers in the platform's form.
+    /// The platform API; set if the node serves it.
     ingress: Option<Ingress>,
 }
 
-impl Operators {
-    /// For one node.
-    pub fn new(context: Context, parts: OperatorParts) -> Self {
+impl OperatorApi {
+    /// Creates the API of a node.
+    pub fn new(context: Context, dependencies: OperatorDependencies) -> Self {
         let client = HttpClient::new(context.settings.gateway.connect_timeout);
-        let OperatorParts { dispatcher, coordinator, batch, ingress } = parts;
+        let OperatorDependencies { dispatcher, coordinator, batch, ingress } = dependencies;
         Self { context, dispatcher, coordinator, batch, client, ingress }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -69,10 +69,10 @@
             (&Method::GET, ["metrics"]) => health::metrics(&self.context),
             (&Method::GET, ["v1", "decisions"]) => decisions::watch(&self.context),
             (&Method::GET, ["v1", "pools"]) => response::json(StatusCode::OK, &self.dispatcher.pools()),
-            (&Method::GET, ["v1", "regions"]) => regions::answer(&self.context, &self.batch).await,
-            (&Method::GET, ["v1", "replicas"]) => response::json(StatusCode::OK, &self.replicas()),
+            (&Method::GET, ["v1", "regions"]) => regions::list(&self.context, &self.batch).await,
+            (&Method::GET, ["v1", "replicas"]) => response::json(StatusCode::OK, &self.replica_states()),
             (&Method::POST, ["v1", "replicas", replica, order]) => match DrainOrder::from_path(order) {
-                Some(order) => self.order(&ReplicaId::new(percent_decode(replica)), order).await,
+                Some(order) => self.send_order(&ReplicaId::new(percent_decode(replica)), order).await,
                 None => response::not_found(&path),
             },
             (&Method::GET, ["v1", "zones"]) => zones::list(&self.context),
@@ -85,14 +85,14 @@
             (&Method::POST, ["v1", "quarantine", fingerprint, "release"]) => {
                 quarantine::release(&self.context, fingerprint)
             }
-            (&Method::GET, ["v1", "config"]) => config::whole(&self.context),
+            (&Method::GET, ["v1", "config"]) => config::list(&self.context),
             (&Method::GET, ["v1", "config", "effective"]) => config::effective(&self.context, &request),
             (&Method::PUT, ["v1", "config"]) => config::change(&self.context, request).await,
             _ => response::not_found(&path),
         }
     }
 
-    fn replicas(&self) -> Vec<ReplicaSendStatus> {
+    fn replica_states(&self) -> Vec<ReplicaSendStatus> {
         self.ingress.as_ref().map(Ingress::replica_states).unwrap_or_default()
     }
 }
--- a/crates/daemon/src/operators/quarantine.rs
+++ b/crates/daemon/src/operators/quarantine.rs
@@ -1,6 +1,6 @@
-//! Requests that are kept from all replicas, since replicas ended under them, and releasing one.
+//! Endpoints that list and release quarantined requests, which are sent to no replica because replicas ended while they ran.
 //!
-//! Reads and changes the part `quarantine` through its handle, which tells the other nodes.
+//! Uses the handle of `quarantine`, which announces a release to the other nodes.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_core::quarantine::Fingerprint;
@@ -9,12 +9,12 @@
 use crate::context::Context;
 use crate::http::{Body, response};
 
-/// The requests that this node holds back.
+/// Lists the requests that are quarantined on this node.
 pub(super) fn list(context: &Context) -> Response<Body> {
     response::json(StatusCode::OK, &context.quarantine.list())
 }
 
-/// Lets a request through again; all nodes are told.
+/// Releases a request on all nodes.
 pub(super) fn release(context: &Context, fingerprint: &str) -> Response<Body> {
     let fingerprint: Fingerprint = match fingerprint.parse() {
         Ok(fingerprint) => fingerprint,
@@ -29,11 +29,11 @@
     };
     match context.quarantine.release(context, fingerprint) {
         Some(released) => response::json(StatusCode::OK, &released),
-        None => response::error(StatusCode::NOT_FOUND, &not_suspected(fingerprint)),
+        None => response::error(StatusCode::NOT_FOUND, &not_quarantined(fingerprint)),
     }
 }
 
-fn not_suspected(fingerprint: Fingerprint) -> ErrorBody {
+fn not_quarantined(fingerprint: Fingerprint) -> ErrorBody {
     ErrorBody::new(
         "not_quarantined",
         format!("this node knows of no replica that ended under {fingerprint}"),
--- a/crates/daemon/src/operators/regions.rs
+++ b/crates/daemon/src/operators/regions.rs
@@ -1,6 +1,7 @@
-//! Regions: what stands in each, which shards of batch jobs are kept where, and what was refused for want of a region.
+//! Endpoint that lists the regions with their nodes and replicas, the shards of batch jobs and their stores, and the requests
+//! refused because of their regions.
 //!
-//! Shows this node's own view and asks the stores who owns each shard; decides nothing.
+//! Shows the view of this node; the owner of each shard is queried from the stores.
 
 use futures::future::join_all;
 use hyper::{Response, StatusCode};
@@ -14,36 +15,36 @@
 use crate::ownership::scope::Scope;
 use crate::store::replica_sets;
 
-/// The name under which stands what lies in no known region.
+/// Name that groups nodes and replicas of zones without a region.
 const NO_REGION: &str = "-";
 
-/// Answers with what this node sees, and asks the stores who owns each shard.
-pub(super) async fn answer(context: &Context, batch: &BatchJobs) -> Response<Body> {
+/// Lists the regions, the shards of batch jobs and the refusals.
+pub(super) async fn list(context: &Context, batch: &BatchJobs) -> Response<Body> {
     let scopes = batch.scopes();
     let shards = join_all(scopes.iter().map(shard_status)).await;
     let refusals = context.metrics.region_refusals();
-    let document = RegionsDocument { regions: regions(context), shards, refusals };
+    let document = RegionsDocument { regions: region_statuses(context), shards, refusals };
     response::json(StatusCode::OK, &document)
 }
 
-fn regions(context: &Context) -> Vec<RegionStatus> {
+fn region_statuses(context: &Context) -> Vec<RegionStatus> {
     let map = &context.settings.places.zones;
     let mut regions: Vec<RegionStatus> =
-        map.regions().into_iter().map(|region| empty(region.as_str())).collect();
-    regions.push(empty(NO_REGION));
+        map.regions().into_iter().map(|region| empty_status(region.as_str())).collect();
+    regions.push(empty_status(NO_REGION));
     for status in &mut regions {
         let zones = map.zones().filter(|(_, region)| region.as_str() == status.region);
         status.zones = zones.map(|(zone, _)| zone.to_owned()).collect();
-        let is_here = |zone: &str| region_of(map, zone) == status.region;
+        let is_in_region = |zone: &str| region_of(map, zone) == status.region;
         let cluster = context.cluster.load();
-        for member in cluster.members.iter().filter(|member| is_here(member.zone.as_str())) {
+        for member in cluster.members.iter().filter(|member| is_in_region(member.zone.as_str())) {
             status.nodes += 1;
             status.coordinators += usize::from(member.roles.coordinator);
             status.stores += usize::from(member.roles.store);
         }
         let replicas = context.metadata.replicas.load();
         let ready = replicas.records.values().filter(|record| !record.is_draining);
-        status.replicas = ready.filter(|record| is_here(&record.zone)).count();
+        status.replicas = ready.filter(|record| is_in_region(&record.zone)).count();
     }
     regions.retain(|status| status.region != NO_REGION || status.nodes + status.replicas > 0);
     regions
@@ -53,7 +54,7 @@
     map.region(zone).map_or(NO_REGION, |region| region.as_str())
 }
 
-fn empty(region: &str) -> RegionStatus {
+fn empty_status(region: &str) -> RegionStatus {
     let region = region.to_owned();
     RegionStatus { region, zones: Vec::new(), nodes: 0, coordinators: 0, stores: 0, replicas: 0 }
 }
--- a/crates/daemon/src/operators/zones.rs
+++ b/crates/daemon/src/operators/zones.rs
@@ -1,7 +1,7 @@
-//! Zones: how they stand, and evacuating or readmitting one.
+//! Endpoints that list zones, evacuate a zone and return it to service.
 //!
-//! Owns no state: the request is written to the platform's metadata store, from which every node learns of it. Relies on
-//! `metadata::zones` for the calls and for what this node knows.
+//! A change is written to the platform's metadata store, which every node watches. `metadata::zones` makes the calls and holds
+//! this node's view.
 
 use hyper::{Response, StatusCode};
 use lichenpulley_core::decision::{Component, Decision};
@@ -14,17 +14,17 @@
 use crate::metadata::client::MetadataClient;
 use crate::metadata::zones;
 
-/// What an operator wants of a zone.
+/// An operator's change of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ZoneChange {
-    /// Its replicas are to be sent nothing new.
+    /// Send no new work to its replicas.
     Evacuate,
-    /// They are to be sent work again.
+    /// Send work to its replicas again.
     Return,
 }
 
 impl ZoneChange {
-    /// The change in the path of a request.
+    /// Parses the path segment of a request.
     pub(super) fn from_path(segment: &str) -> Option<Self> {
         match segment {
             "evacuate" => Some(Self::Evacuate),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The change as a decision's action.
+    /// Returns the action of the recorded decision.
     const fn action(self) -> &'static str {
         match self {
             Self::Evacuate => "evacuation_asked",
@@ -42,21 +42,21 @@
     }
 }
 
-/// All zones as this node sees them.
+/// Lists all zones in the view of this node.
 pub(super) fn list(context: &Context) -> Response<Body> {
     response::json(StatusCode::OK, &zones::list(context))
 }
 
-/// Writes a change to the platform; answers once that has acknowledged it.
+/// Writes a change to the metadata store; responds once the store has acknowledged it.
 pub(super) async fn change(context: &Context, zone: &str, change: ZoneChange) -> Response<Body> {
-    let Some(client) = MetadataClient::from_settings(&context.settings) else { return without_store() };
+    let Some(client) = MetadataClient::from_settings(&context.settings) else { return no_metadata_store() };
     let (written, state) = match change {
-        ZoneChange::Evacuate if !zones::is_known(context, zone) => return unknown(zone),
+        ZoneChange::Evacuate if !zones::is_known(context, zone) => return unknown_zone(zone),
         ZoneChange::Evacuate => (zones::evacuate(&client, zone).await, ZoneState::Evacuated),
         ZoneChange::Return => match zones::is_evacuation_requested(&client, zone).await {
             Ok(true) => (zones::readmit(&client, zone).await, ZoneState::Open),
             Ok(false) => return not_evacuated(zone),
-            Err(error) => return unreachable_store(error.to_string(), Execution::NotRun),
+            Err(error) => return store_unreachable(error.to_string(), Execution::NotRun),
         },
     };
     match written {
@@ -66,12 +66,12 @@
             response::json(StatusCode::OK, &ZoneChanged { zone: zone.to_owned(), state })
         }
         Err(WriteError::Conflict { .. }) => already_evacuated(zone),
-        Err(error @ WriteError::NotWritten(_)) => unreachable_store(error.to_string(), Execution::NotRun),
-        Err(error @ WriteError::InDoubt(_)) => unreachable_store(error.to_string(), Execution::Unknown),
+        Err(error @ WriteError::NotWritten(_)) => store_unreachable(error.to_string(), Execution::NotRun),
+        Err(error @ WriteError::InDoubt(_)) => store_unreachable(error.to_string(), Execution::Unknown),
     }
 }
 
-fn without_store() -> Response<Body> {
+fn no_metadata_store() -> Response<Body> {
     let body = ErrorBody::new(
         "no_metadata_store",
         "this node knows no metadata store of the platform",
@@ -80,7 +80,7 @@
     response::error(StatusCode::NOT_FOUND, &body)
 }
 
-fn unknown(zone: &str) -> Response<Body> {
+fn unknown_zone(zone: &str) -> Response<Body> {
     let body = ErrorBody::new(
         "unknown_zone",
         format!("neither a replica nor a node stands in zone {zone}"),
@@ -107,7 +107,7 @@
     response::error(StatusCode::CONFLICT, &body)
 }
 
-fn unreachable_store(message: String, execution: Execution) -> Response<Body> {
+fn store_unreachable(message: String, execution: Execution) -> Response<Body> {
     let remedy = "ask another node, or try again when the metadata store answers; repeating it does no harm";
     let mut body = ErrorBody::new("store_unreachable", message, remedy);
     body.execution = Some(execution);
--- a/crates/daemon/src/settings/control.rs
+++ b/crates/daemon/src/settings/control.rs
@@ -41,7 +41,7 @@
 pub struct CoordinatorSettings {
     /// Interval between two checks of which shards this node should own; it adds to the duration of a takeover.
     pub tick_interval: Duration,
-    /// Timeout of a command to an engine and of a call to the scorer.
+    /// Timeout of an order to an engine and of a call to the scorer.
     pub call_timeout: Duration,
 }
 
@@ -60,8 +60,8 @@
     /// How long an owner may go without an append to its log before another node takes over. A live owner appends at
     /// least every 200 ms.
     pub takeover_after: Duration,
-    /// How long a command of the previous owner to a replica blocks commands of a new owner to it. The platform defines
-    /// the lease; with a shorter value here, it refuses commands.
+    /// How long an order of the previous owner to a replica blocks orders of a new owner to it. The platform defines this
+    /// lease; with a shorter value here, it refuses orders.
     pub order_lease: Duration,
     /// Interval at which the owner schedules work and checks timers.
     pub tick_interval: Duration,
