--- a/crates/daemon/src/metrics/batch.rs
+++ b/crates/daemon/src/metrics/batch.rs
@@ -1,4 +1,4 @@
-//! Batch jobs at their owner: their items, and what this node has followed of a log that it may own next.
+//! Metrics of batch jobs: items at the owner, progress of following a log, and pending ends.
 
 use prometheus::{IntGauge, IntGaugeVec, Registry};
 
@@ -16,13 +16,13 @@
 impl BatchMetrics {
     pub(super) fn new(registry: &Registry) -> Self {
         Self {
-            items: registration::gauges(
+            items: registration::gauge_vec(
                 registry,
                 "lichenpulley_batch_items",
                 "Items of batch jobs at their owner, by state",
                 &["state"],
             ),
-            regional_items: registration::gauges(
+            regional_items: registration::gauge_vec(
                 registry,
                 "lichenpulley_regional_batch_items",
                 "Items of batch jobs that are bound to some regions at their owner, by shard and state",
--- a/crates/daemon/src/metrics/ingress.rs
+++ b/crates/daemon/src/metrics/ingress.rs
@@ -1,5 +1,5 @@
-//! What decides at a gateway which requests reach which replicas: cold replicas, evacuated zones, quarantined requests, and
-//! refusals for the regions that a request is bound to.
+//! Metrics of a gateway that serves the platform API: cold replicas, evacuated zones, quarantined requests, and refusals
+//! because of the regions that a request is restricted to.
 
 use lichenpulley_core::ingress::warmups::ColdCount;
 use lichenpulley_protocol::operator::RegionRefusals;
@@ -7,7 +7,7 @@
 
 use super::registration::{self, to_gauge};
 
-/// Gauges and counters of a gateway in the platform's form.
+/// Gauges and counters of a gateway that serves the platform API.
 #[derive(Clone)]
 pub(super) struct IngressMetrics {
     cold_replicas: IntGaugeVec,
@@ -19,7 +19,7 @@
 impl IngressMetrics {
     pub(super) fn new(registry: &Registry) -> Self {
         Self {
-            cold_replicas: registration::gauges(
+            cold_replicas: registration::gauge_vec(
                 registry,
                 "lichenpulley_cold_replicas",
                 "Cold replicas, by whether this gateway has a share of what they bear",
@@ -35,7 +35,7 @@
                 "lichenpulley_quarantined_requests",
                 "Requests that this node keeps from all replicas, since replicas ended under them",
             ),
-            region_refusals: registration::counters(
+            region_refusals: registration::counter_vec(
                 registry,
                 "lichenpulley_region_refusals_total",
                 "Requests refused that are bound to some regions, by these and by reason",
@@ -64,12 +64,12 @@
         self.region_refusals.with_label_values(&[regions, reason]).inc();
     }
 
-    /// How often each kind of refusal was counted so far.
+    /// Returns the number of refusals by regions and reason.
     pub(super) fn region_refusals(&self) -> Vec<RegionRefusals> {
         let families = prometheus::core::Collector::collect(&self.region_refusals);
         let metrics = families.iter().flat_map(|family| family.get_metric());
         let read = |metric: &prometheus::proto::Metric| {
-            // Every metric of the family has both labels.
+            // Every metric of the family has both labels, so the default is never used.
             let label = |name: &str| {
                 let label = metric.get_label().iter().find(|label| label.name() == name);
                 label.map(|label| label.value().to_owned()).unwrap_or_default()
--- a/crates/daemon/src/metrics/latency.rs
+++ b/crates/daemon/src/metrics/latency.rs
@@ -1,4 +1,4 @@
-//! How long requests, runs, appends and orders take.
+//! Latency histograms of requests, runs, appends and orders.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 
 use super::registration;
 
-/// What a latency is of.
+/// Kind of operation whose latency is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Latency {
-    /// A plain request, from the time it was read whole to its answer.
+    /// A request without streaming, from the end of its body to its response.
     Request,
-    /// A stream, to the head of its answer.
+    /// A streaming request, from the end of its body to the head of its response.
     StreamBegin,
-    /// A run of an item of a batch job.
+    /// A run of a batch item.
     ItemRun,
     /// An append to the log of the batch jobs.
     Append,
-    /// An order to a replica, until it reports what was ordered.
+    /// An order to a replica, until the replica reports that it is done.
     Order,
-    /// A score request at one replica.
+    /// A score request to one replica.
     Score,
 }
 
@@ -36,11 +36,11 @@
     }
 }
 
-/// Upper bounds of the latency histograms, in seconds, each at most some twice the one before. Chosen, not measured:
-/// with wider steps a percentile read from the histogram would be off by more than that factor.
-const LATENCY_BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
+/// Upper bounds of the histogram buckets, in seconds. Each is at most about 2.5 times the previous one, which limits the
+/// error of percentiles derived from the histogram.
+const LATENCY_BUCKETS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
-/// One histogram for each kind of latency and outcome.
+/// Histograms by kind of operation and outcome.
 #[derive(Clone)]
 pub(super) struct LatencyMetrics(HistogramVec);
 
@@ -49,10 +49,10 @@
         let help = "Latencies by what they are of and their outcome";
         let labels = ["of", "outcome"];
         let name = "lichenpulley_latency_seconds";
-        Self(registration::histograms(registry, name, help, &LATENCY_BOUNDS, &labels))
+        Self(registration::histogram_vec(registry, name, help, &LATENCY_BUCKETS, &labels))
     }
 
-    pub(super) fn observe(&self, latency: Latency, outcome: &str, took: Duration) {
-        self.0.with_label_values(&[latency.as_str(), outcome]).observe(took.as_secs_f64());
+    pub(super) fn observe(&self, latency: Latency, outcome: &str, elapsed: Duration) {
+        self.0.with_label_values(&[latency.as_str(), outcome]).observe(elapsed.as_secs_f64());
     }
 }
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -1,8 +1,8 @@
-//! A node's counters, gauges and histograms in the Prometheus text form.
+//! Metrics of a node, exported in the Prometheus text format.
 //!
-//! One handle for the whole node, registered when it is made. Each file below holds the metrics of one subject with their
-//! names; names and labels are read by operators' dashboards and don't change. Imports no part of the node but `logging`,
-//! whose dropped lines it shows, so that every part may hold it.
+//! [`Metrics`] is one handle for the whole node. Each submodule defines the metrics of one subject; their names and labels
+//! are stable, since operators' dashboards use them. Depends only on `logging`, for its count of dropped lines, so that every
+//! other subsystem can use it.
 
 mod batch;
 mod ingress;
@@ -27,7 +27,7 @@
 use peers::PeerMetrics;
 pub use placement::PlacementMetrics;
 
-/// A node's metrics. Cheap to clone; all clones count the same.
+/// Metrics of a node. Cheap to clone; clones share all metrics.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -41,15 +41,15 @@
 }
 
 impl Metrics {
-    /// An empty set, for one node.
+    /// Creates and registers all metrics of a node.
     ///
     /// # Panics
-    /// Never: the names are constants that Prometheus accepts, each registered once.
+    /// Never panics: the names are valid constants, each registered once.
     pub fn new() -> Self {
         let registry = Registry::new();
-        registration::process(&registry);
+        registration::register_process_metrics(&registry);
         Self {
-            decisions: registration::counters(
+            decisions: registration::counter_vec(
                 &registry,
                 "lichenpulley_decisions_total",
                 "Decisions by component, action and reason",
@@ -69,81 +69,81 @@
         }
     }
 
-    /// The registry, for parts that add their own metrics.
+    /// Returns the registry, for subsystems that register their own metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Counts a decision by its labels.
+    /// Counts a decision by component, action and reason.
     pub fn count_decision(&self, decision: &Decision) {
         let labels = [decision.component.as_str(), &decision.action, &decision.reason];
         self.decisions.with_label_values(&labels).inc();
     }
 
-    /// Takes a latency into its histogram; `outcome` has few distinct values.
-    pub fn observe(&self, latency: Latency, outcome: &str, took: Duration) {
-        self.latencies.observe(latency, outcome, took);
+    /// Records a latency; `outcome` must have few distinct values, since each makes a time series.
+    pub fn observe(&self, latency: Latency, outcome: &str, elapsed: Duration) {
+        self.latencies.observe(latency, outcome, elapsed);
     }
 
-    /// How many items of batch jobs run and wait at this node's owner, of the main shard or of one of some regions.
+    /// Sets the number of running and waiting batch items of a shard that this node owns; `None` is the main shard.
     pub fn set_batch_items(&self, shard: Option<&str>, running: usize, waiting: usize) {
         self.batch.set_items(shard, running, waiting);
     }
 
-    /// How many bytes of the batch jobs' log this node has followed; 0 where another would own next.
+    /// Sets the bytes of the batch log that this node has followed; 0 if it is not the next candidate.
     pub fn set_followed_bytes(&self, bytes: usize) {
         self.batch.set_followed_bytes(bytes);
     }
 
-    /// How many ends of batch jobs this node has read and does not know to be kept.
+    /// Sets the number of ends of batch jobs that this node has read and does not know to be committed.
     pub fn set_pending_ends(&self, ends: usize) {
         self.batch.set_pending_ends(ends);
     }
 
-    /// The stores of the batch jobs' logs, and the losses that they tolerate.
+    /// Returns the metrics of the replica sets of the batch logs.
     pub fn placement(&self) -> &PlacementMetrics {
         &self.placement
     }
 
-    /// How many replicas are cold for this gateway, and to how many of them it may send.
+    /// Sets the number of cold replicas, and the number of those that this gateway may send to.
     pub fn set_cold_replicas(&self, count: ColdCount) {
         self.ingress.set_cold_replicas(count);
     }
 
-    /// How many zones are evacuated, as this node knows them.
+    /// Sets the number of evacuated zones in the view of this node.
     pub fn set_evacuated_zones(&self, zones: usize) {
         self.ingress.set_evacuated_zones(zones);
     }
 
-    /// How many requests are quarantined, since replicas ended under them.
+    /// Sets the number of quarantined requests.
     pub fn set_quarantined_requests(&self, requests: usize) {
         self.ingress.set_quarantined_requests(requests);
     }
 
-    /// Counts a refused request that may be served in some regions only.
+    /// Counts a refused request that is restricted to some regions.
     pub fn count_region_refusal(&self, regions: &str, reason: &str) {
         self.ingress.count_region_refusal(regions, reason);
     }
 
-    /// What [`Self::count_region_refusal`] counted.
+    /// Returns the counts of [`Self::count_region_refusal`].
     pub fn region_refusals(&self) -> Vec<RegionRefusals> {
         self.ingress.region_refusals()
     }
 
-    /// Counts a peer's connection that was closed for what arrived on it.
+    /// Counts a peer's connection that was closed because of an error on it.
     pub fn count_closed_connection(&self, reason: &str) {
         self.peers.count_closed(reason);
     }
 
-    /// What counts the frames of one connection that a peer made.
+    /// Returns a meter that counts the frames of one incoming peer connection.
     pub fn frame_meter(&self) -> FrameMeter {
         self.peers.frame_meter()
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// When a metric can't be encoded.
+    /// Returns an error if a metric can't be encoded.
     pub fn encode(&self) -> Result<String, prometheus::Error> {
         self.dropped_lines.set(i64::try_from(logging::dropped_lines()).unwrap_or(i64::MAX));
         TextEncoder::new().encode_to_string(&self.registry.gather())
--- a/crates/daemon/src/metrics/peers.rs
+++ b/crates/daemon/src/metrics/peers.rs
@@ -1,4 +1,4 @@
-//! Traffic on connections that peers made to this node.
+//! Metrics of incoming peer connections.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::registration;
 
-/// Frames, their bytes, and connections that were closed for what arrived on them.
+/// Counters of frames, their bytes, and connections closed because of an error.
 #[derive(Clone)]
 pub(super) struct PeerMetrics {
     frames: IntCounterVec,
@@ -18,19 +18,19 @@
 impl PeerMetrics {
     pub(super) fn new(registry: &Registry) -> Self {
         Self {
-            frames: registration::counters(
+            frames: registration::counter_vec(
                 registry,
                 "lichenpulley_peer_frames_total",
                 "Frames on connections that peers made to this node, by direction",
                 &["direction"],
             ),
-            bytes: registration::counters(
+            bytes: registration::counter_vec(
                 registry,
                 "lichenpulley_peer_bytes_total",
                 "Bytes of these frames, without TCP and IP headers, by direction",
                 &["direction"],
             ),
-            closed: registration::counters(
+            closed: registration::counter_vec(
                 registry,
                 "lichenpulley_peer_connections_closed_total",
                 "Peers' connections closed for what arrived on them, by reason",
@@ -43,7 +43,7 @@
         self.closed.with_label_values(&[reason]).inc();
     }
 
-    /// What counts the frames of one connection.
+    /// Returns a meter that counts the frames of one connection.
     pub(super) fn frame_meter(&self) -> FrameMeter {
         let received = FrameCounters::new(self, "received");
         let sent = FrameCounters::new(self, "sent");
@@ -54,7 +54,7 @@
     }
 }
 
-/// Counters of one direction, looked up once for each connection.
+/// Counters of one direction, looked up once per connection instead of once per frame.
 struct FrameCounters {
     frames: IntCounter,
     bytes: IntCounter,
--- a/crates/daemon/src/metrics/placement.rs
+++ b/crates/daemon/src/metrics/placement.rs
@@ -1,4 +1,4 @@
-//! The stores that keep a log of batch jobs, and the losses that they tolerate.
+//! Metrics of the replica sets of batch logs: their size and the losses that they tolerate.
 
 use lichenpulley_core::identity::ShardId;
 use lichenpulley_core::replication::placement::FaultTolerance;
@@ -6,7 +6,7 @@
 
 use super::registration::{self, to_gauge};
 
-/// How each log of batch jobs is placed, shown by its owner.
+/// Size and fault tolerance of the replica set of each batch log, reported by the owner of the log.
 #[derive(Clone)]
 pub struct PlacementMetrics {
     members: IntGaugeVec,
@@ -16,13 +16,13 @@
 impl PlacementMetrics {
     pub(super) fn new(registry: &Registry) -> Self {
         Self {
-            members: registration::gauges(
+            members: registration::gauge_vec(
                 registry,
                 "lichenpulley_log_members",
                 "Stores that keep a log of batch jobs, at its owner",
                 &["shard"],
             ),
-            tolerated: registration::gauges(
+            tolerated: registration::gauge_vec(
                 registry,
                 "lichenpulley_log_borne_losses",
                 "Losses that a log of batch jobs bears, at its owner, by what is lost",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Shows the set of stores that keeps a log.
+    /// Sets the size and the fault tolerance of the replica set of a log.
     pub(crate) fn show(&self, shard: &ShardId, members: usize, tolerance: FaultTolerance) {
         let shard = shard.as_str();
         let set = |of: &str, count: usize| {
--- a/crates/daemon/src/metrics/registration.rs
+++ b/crates/daemon/src/metrics/registration.rs
@@ -1,28 +1,28 @@
-//! Makes metrics and registers them.
+//! Creates and registers metrics.
 //!
-//! Names and labels are constants of this crate, each registered once for a registry, so Prometheus can't refuse them;
-//! a name that it does refuse is a fault in this crate that every start of a node shows.
+//! Panics on an invalid or duplicate name. Names and labels are constants of this crate, so such an error fails every start
+//! of a node.
 
 use prometheus::core::Collector;
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
-/// A gauge without labels.
+/// Registers a gauge without labels.
 pub(super) fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    registered(registry, IntGauge::new(name, help))
+    register(registry, IntGauge::new(name, help))
 }
 
-/// A gauge for each combination of labels.
-pub(super) fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
-    registered(registry, IntGaugeVec::new(Opts::new(name, help), labels))
+/// Registers a gauge with labels.
+pub(super) fn gauge_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
+    register(registry, IntGaugeVec::new(Opts::new(name, help), labels))
 }
 
-/// A counter for each combination of labels.
-pub(super) fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-    registered(registry, IntCounterVec::new(Opts::new(name, help), labels))
+/// Registers a counter with labels.
+pub(super) fn counter_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    register(registry, IntCounterVec::new(Opts::new(name, help), labels))
 }
 
-/// A histogram of seconds, with these upper bounds, for each combination of labels.
-pub(super) fn histograms(
+/// Registers a histogram of seconds with labels; `bounds` are the upper bounds of its buckets.
+pub(super) fn histogram_vec(
     registry: &Registry,
     name: &str,
     help: &str,
@@ -30,28 +30,28 @@
     labels: &[&str],
 ) -> HistogramVec {
     let options = HistogramOpts::new(name, help).buckets(bounds.to_vec());
-    registered(registry, HistogramVec::new(options, labels))
+    register(registry, HistogramVec::new(options, labels))
 }
 
-/// Processor time, memory and open files of the process, under the names that every Prometheus client uses. The
-/// budget of control (docs/CAPACITY.md) is watched by them.
+/// Registers processor time, memory and open files of the process, under the standard names of Prometheus clients. They
+/// show the resource budget of the control thread (docs/CAPACITY.md).
 #[cfg(target_os = "linux")]
-pub(super) fn process(registry: &Registry) {
+pub(super) fn register_process_metrics(registry: &Registry) {
     let process = prometheus::process_collector::ProcessCollector::for_self();
     registry.register(Box::new(process)).expect("registered once");
 }
 
-/// Elsewhere the library has no collector for the process.
+/// Does nothing: the library has a process collector only for Linux.
 #[cfg(not(target_os = "linux"))]
-pub(super) fn process(_registry: &Registry) {}
+pub(super) fn register_process_metrics(_registry: &Registry) {}
 
-/// A count as a gauge holds it.
+/// Converts a count to the value of a gauge, saturating.
 pub(super) fn to_gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-fn registered<M: Collector + Clone + 'static>(registry: &Registry, made: Result<M, prometheus::Error>) -> M {
-    let metric = made.expect("a valid name");
+fn register<M: Collector + Clone + 'static>(registry: &Registry, created: Result<M, prometheus::Error>) -> M {
+    let metric = created.expect("a valid name");
     registry.register(Box::new(metric.clone())).expect("registered once");
     metric
 }
