--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,6 +1,7 @@
-//! The command line.
+//! Command line parsing.
 //!
-//! Turns words and environment into one typed command; reads no file and asks no node. `syntax` holds how each is written.
+//! Converts the arguments and the environment into one typed command. `syntax` defines the syntax of each command and
+//! reads the files that a command takes as its input, such as a job specification.
 
 mod syntax;
 
@@ -21,21 +22,20 @@
 use crate::error::CliError;
 use syntax::{SYNTAXES, Syntax};
 
-/// How long a command waits for its answer where `--timeout-ms` is absent. Chosen, not measured: a change of a setting may take
-/// 8 s until it is in force; longer keeps an operator waiting for a node that is gone.
+/// Default of `--timeout-ms`: exceeds the 8 s that a change of a setting may take until it is in force.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the command reads from its environment.
+/// Values that are read from the environment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Environment {
-    /// `LICHENPULLEY_OPERATORS`.
+    /// Value of `LICHENPULLEY_OPERATORS`.
     pub operators: Option<String>,
-    /// `LICHENPULLEY_CALLERS`.
+    /// Value of `LICHENPULLEY_CALLERS`.
     pub callers: Option<String>,
 }
 
 impl Environment {
-    /// The environment of this process.
+    /// Reads the environment of this process.
     pub fn of_process() -> Self {
         Self {
             operators: std::env::var(Interface::Operators.variable()).ok(),
@@ -44,25 +44,25 @@
     }
 }
 
-/// Options that every command takes.
+/// Options that are common to all commands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommonOptions {
-    /// Operators' addresses; the first that takes a connection is asked, `watch` follows all.
+    /// Addresses of the operators' interface. Commands use the first that accepts a connection; `watch` uses all.
     pub operators: Vec<SocketAddr>,
-    /// Callers' addresses; the first that takes a connection is asked.
+    /// Addresses of the callers' interface. Commands use the first that accepts a connection.
     pub callers: Vec<SocketAddr>,
-    /// Print JSON in place of tables.
+    /// Whether results are printed as JSON instead of tables.
     pub json: bool,
-    /// How long to wait for an answer.
+    /// Time limit for a response.
     pub timeout: Duration,
 }
 
-/// What to do.
+/// A parsed command with its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Print this help.
+    /// Prints this help text.
     Help(String),
-    /// Print the version.
+    /// Prints the version.
     Version,
     /// `config get [LEVEL [KEY]]`
     ConfigGet(Selection),
@@ -104,20 +104,20 @@
     Watch(WatchOptions),
 }
 
-/// A command with its options.
+/// A command and the common options.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Invocation {
-    /// Options that every command takes.
+    /// Options that are common to all commands.
     pub options: CommonOptions,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
 impl Invocation {
-    /// Reads a command line, without the program's name.
+    /// Parses a command line without the program's name.
     ///
     /// # Errors
-    /// [`CliError::Usage`] with what is wrong; [`CliError::File`] where a named file can't be used.
+    /// Returns [`CliError::Usage`] if the command line is invalid and [`CliError::File`] if an input file can't be used.
     pub fn parse(arguments: &[String], environment: &Environment) -> Result<Self, CliError> {
         let mut leading = common_options();
         leading.optflag("V", "version", "print the version and end");
@@ -125,7 +125,7 @@
         let before = parse(&leading, arguments)?;
         let words = &before.free;
         let Some(syntax) = SYNTAXES.iter().find(|syntax| starts_with(words, syntax.words)) else {
-            return Self::without_command(&before, environment);
+            return Self::parse_without_command(&before, environment);
         };
         let mut options = common_options();
         (syntax.add_options)(&mut options);
@@ -138,7 +138,7 @@
         Ok(Self { options: CommonOptions::read(&[&before, &after], environment)?, command })
     }
 
-    fn without_command(matches: &Matches, environment: &Environment) -> Result<Self, CliError> {
+    fn parse_without_command(matches: &Matches, environment: &Environment) -> Result<Self, CliError> {
         let first = matches.free.first().map(String::as_str);
         let command = match first {
             _ if matches.opt_present("version") => Command::Version,
@@ -155,7 +155,7 @@
 }
 
 impl CommonOptions {
-    /// Later matches go before earlier ones, and flags before the environment.
+    /// Combines the options. Later matches override earlier ones, and flags override the environment.
     fn read(all: &[&Matches], environment: &Environment) -> Result<Self, CliError> {
         let flag = |name: &str| {
             all.iter().rev().map(|matches| matches.opt_strs(name)).find(|values| !values.is_empty())
@@ -184,7 +184,7 @@
     }
 }
 
-/// The text of `lichenpulley --help`.
+/// Returns the text of `lichenpulley --help`.
 fn help() -> String {
     let mut table = crate::table::Table::new(&["usage: lichenpulley COMMAND [options]", ""]);
     for syntax in SYNTAXES {
@@ -219,9 +219,9 @@
 }
 
 fn parse_address(text: &str) -> Result<SocketAddr, CliError> {
-    let bare = text.trim().trim_start_matches("http://").trim_end_matches('/');
-    let wrong = || CliError::Usage(format!("`{text}` is no address; give an IP number and a port"));
-    bare.parse().map_err(|_| wrong())
+    let trimmed = text.trim().trim_start_matches("http://").trim_end_matches('/');
+    let usage_error = || CliError::Usage(format!("`{text}` is not a valid address; give IP:PORT"));
+    trimmed.parse().map_err(|_| usage_error())
 }
 
 fn parse_number<Number: FromStr>(name: &str, text: &str) -> Result<Number, CliError> {
--- a/crates/cli/src/arguments/syntax.rs
+++ b/crates/cli/src/arguments/syntax.rs
@@ -1,4 +1,4 @@
-//! How each command is written, and what is read from it.
+//! Syntax of each command: its words, arguments, options and help text, and how its arguments are parsed.
 
 use std::fs;
 use std::io::Read;
@@ -16,7 +16,7 @@
 use crate::commands::watch::WatchOptions;
 use crate::error::CliError;
 
-/// How one command is written.
+/// Syntax of one command.
 pub(super) struct Syntax {
     pub(super) words: &'static [&'static str],
     pub(super) arguments: &'static str,
@@ -25,7 +25,7 @@
     pub(super) read: fn(&Matches) -> Result<Command, CliError>,
 }
 
-/// All commands.
+/// Syntax of all commands, in the order of the help text.
 pub(super) const SYNTAXES: &[Syntax] = &[
     Syntax {
         words: &["config", "get"],
@@ -219,7 +219,7 @@
     Ok(Command::ConfigSet(SettingChange { setting, value, base, change_id: matches.opt_str("change-id") }))
 }
 
-/// A value as JSON; what is not JSON is a text, so that names need no quotes.
+/// Parses a value as JSON. Text that is not valid JSON becomes a string, so that names need no quotes.
 fn parse_value(text: &str) -> serde_json::Value {
     serde_json::from_str(text).unwrap_or_else(|_| serde_json::Value::String(text.to_owned()))
 }
@@ -233,9 +233,9 @@
 
 fn read_job_submit(matches: &Matches) -> Result<Command, CliError> {
     let path = one_argument(matches, "FILE")?;
-    let unusable = |cause: String| CliError::File { path: path.clone(), cause };
-    let text = read_text(&path).map_err(|error| unusable(error.to_string()))?;
-    let specification = serde_json::from_str(&text).map_err(|error| unusable(error.to_string()))?;
+    let file_error = |cause: String| CliError::File { path: path.clone(), cause };
+    let text = read_text(&path).map_err(|error| file_error(error.to_string()))?;
+    let specification = serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))?;
     Ok(Command::JobSubmit(specification))
 }
 
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,7 +1,8 @@
-//! One HTTP request to one of several nodes.
+//! HTTP client for the nodes.
 //!
-//! Owns the choice of a node: addresses are tried in order until one takes the connection, within one time for all. Relies on
-//! the typed bodies of `lichenpulley_protocol`; tells a lost answer from a request that was not sent.
+//! Addresses are tried in order until one accepts a connection; the timeout applies to each connection attempt and to the
+//! exchange. Requests and responses have the types of `lichenpulley_protocol`. The errors distinguish a missing response from
+//! a request that was not sent.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,17 +23,17 @@
 
 use crate::error::CliError;
 
-/// Which of a node's HTTP ports a command needs.
+/// HTTP interface of a node that a command uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interface {
-    /// Settings, pools, drains, decisions.
+    /// Interface for settings, pools, drains and decisions.
     Operators,
-    /// Jobs.
+    /// Interface for jobs.
     Callers,
 }
 
 impl Interface {
-    /// The flag that gives its address.
+    /// Returns the name of the flag that sets the address.
     pub const fn flag(self) -> &'static str {
         match self {
             Self::Operators => "operators",
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The environment variable that gives its address.
+    /// Returns the environment variable that sets the address.
     pub const fn variable(self) -> &'static str {
         match self {
             Self::Operators => "LICHENPULLEY_OPERATORS",
@@ -58,7 +59,7 @@
     }
 }
 
-/// Asks the first of several nodes that takes a connection.
+/// Client that sends each request to the first address that accepts a connection.
 #[derive(Clone, Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
@@ -66,10 +67,10 @@
 }
 
 impl Client {
-    /// A client of one interface.
+    /// Creates a client of one interface.
     ///
     /// # Errors
-    /// [`CliError::NoAddress`] where no address is known.
+    /// Returns [`CliError::NoAddress`] if `addresses` is empty.
     pub fn new(interface: Interface, addresses: &[SocketAddr], timeout: Duration) -> Result<Self, CliError> {
         if addresses.is_empty() {
             return Err(CliError::NoAddress { interface });
@@ -77,12 +78,12 @@
         Ok(Self { addresses: addresses.to_vec(), timeout })
     }
 
-    /// The addresses, in the order in which they are tried.
+    /// Returns the addresses in the order in which they are tried.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Reads a value.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     /// See [`CliError`].
@@ -90,11 +91,11 @@
         self.exchange(Method::GET, path, Bytes::new()).await
     }
 
-    /// Sends a value.
+    /// Sends `content` as JSON and decodes the response.
     ///
     /// # Errors
-    /// See [`CliError`]; only [`CliError::ReplyLost`] and [`CliError::Undecodable`] leave in doubt whether it
-    /// took effect.
+    /// See [`CliError`]. After [`CliError::ReplyLost`], [`CliError::Undecodable`] or a server error that doesn't state
+    /// `not_run`, it is unknown whether the request took effect.
     pub async fn send<Content: Serialize, Answer: DeserializeOwned>(
         &self,
         method: Method,
@@ -116,12 +117,12 @@
         let exchange = async {
             let response = send(sender, address, method, path, body).await?;
             let status = response.status();
-            let whole = response.into_body().collect().await.map_err(|error| lost(error.to_string()))?;
-            Ok::<_, CliError>((status, whole.to_bytes()))
+            let collected = response.into_body().collect().await.map_err(|error| lost(error.to_string()))?;
+            Ok::<_, CliError>((status, collected.to_bytes()))
         };
         let (status, bytes) = timeout(self.timeout, exchange)
             .await
-            .map_err(|_| lost(format!("none came within {} ms", self.timeout.as_millis())))??;
+            .map_err(|_| lost(format!("timed out after {} ms", self.timeout.as_millis())))??;
         if !status.is_success() {
             return Err(refused(status.as_u16(), &bytes));
         }
@@ -141,7 +142,7 @@
         Err(CliError::Unreachable { addresses: addresses.join(", "), cause })
     }
 
-    /// Opens a stream of server-sent events at one node.
+    /// Opens a stream of server-sent events from one node.
     ///
     /// # Errors
     /// See [`CliError`].
@@ -152,14 +153,14 @@
         let sent = send(sender, address, Method::GET, path, Bytes::new());
         let response = timeout(self.timeout, sent)
             .await
-            .map_err(|_| CliError::ReplyLost { address, cause: "the stream did not begin".to_owned() })??;
+            .map_err(|_| CliError::ReplyLost { address, cause: "the stream did not start".to_owned() })??;
         let status = response.status();
         if status.is_success() {
             return Ok(response.into_body());
         }
-        let whole = response.into_body().collect().await;
-        // Where the body is lost the status is still told.
-        let bytes = whole.map(http_body_util::Collected::to_bytes).unwrap_or_default();
+        let collected = response.into_body().collect().await;
+        // If the body can't be read, the error still reports the status.
+        let bytes = collected.map(http_body_util::Collected::to_bytes).unwrap_or_default();
         Err(refused(status.as_u16(), &bytes))
     }
 }
@@ -170,8 +171,8 @@
         handshake(TokioIo::new(stream)).await.map_err(|error| error.to_string())
     };
     let (sender, connection) =
-        timeout(limit, connecting).await.map_err(|_| "connecting took too long".to_owned())??;
-    // The request's own result says how the connection ended.
+        timeout(limit, connecting).await.map_err(|_| "the connection attempt timed out".to_owned())??;
+    // Errors of the connection are reported by the request itself.
     tokio::spawn(connection);
     Ok(sender)
 }
@@ -190,7 +191,7 @@
         .header(ACCEPT, "application/json, text/event-stream")
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(|error| CliError::Usage(format!("`{path}` can't be asked for: {error}")))?;
+        .map_err(|error| CliError::Usage(format!("invalid request path `{path}`: {error}")))?;
     let sent = sender.send_request(request).await;
     sent.map_err(|error| CliError::ReplyLost { address, cause: error.to_string() })
 }
@@ -198,13 +199,14 @@
 fn refused(status: u16, bytes: &[u8]) -> CliError {
     let body = serde_json::from_slice(bytes).unwrap_or_else(|_| {
         let text = String::from_utf8_lossy(bytes).trim().to_owned();
-        let message = if text.is_empty() { "the node refused without a reason".to_owned() } else { text };
-        ErrorBody::new("refused", message, "look into the node's log")
+        let message =
+            if text.is_empty() { "the node refused without giving a reason".to_owned() } else { text };
+        ErrorBody::new("refused", message, "check the node's log")
     });
     CliError::Refused { status, body }
 }
 
-/// Escapes what may not stand in one part of a path or query (RFC 3986, section 2.3).
+/// Percent-encodes all bytes except the unreserved characters of RFC 3986, section 2.3.
 pub fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/cli/src/commands/account.rs
+++ b/crates/cli/src/commands/account.rs
@@ -1,6 +1,6 @@
-//! `account`: where the time of a trainer's steps went, from the logs of the nodes.
+//! `account`: prints the time breakdown of a trainer's steps from the logs of the nodes.
 //!
-//! Reads the logs; the figures are worked out by `step_account`.
+//! `step_account` computes the durations.
 
 use crate::account_plot;
 use crate::error::CliError;
@@ -9,27 +9,28 @@
 use crate::step_account::{self, StepAccount};
 use crate::table::Table;
 
-/// What to account for.
+/// Arguments of `account`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// Files with log lines; `-` is standard input.
+    /// Log files; `-` is standard input.
     pub files: Vec<String>,
-    /// Where to write a plot.
+    /// Path to which an SVG plot is written.
     pub plot: Option<String>,
 }
 
-/// Shows the accounts.
+/// Prints the time breakdown of each step and writes the plot.
 ///
 /// # Errors
-/// When a file can't be read or the plot can't be written.
+/// Returns [`CliError::File`] if a log can't be read or the plot can't be written.
 pub fn account(account: &Account, output: &mut Output<'_>) -> Result<(), CliError> {
-    let accounts = step_account::account(&read_all(&account.files)?);
+    let accounts = step_account::account_steps(&read_all(&account.files)?);
     if accounts.is_empty() {
-        output.note("no line says that a batch job was taken; give the logs of every gateway")?;
+        output.note("no log line records that a batch job was taken; give the logs of every gateway")?;
     }
     if let Some(path) = &account.plot {
-        let problem = |error: std::io::Error| CliError::File { path: path.clone(), cause: error.to_string() };
-        std::fs::write(path, account_plot::render(&accounts)).map_err(problem)?;
+        let file_error =
+            |error: std::io::Error| CliError::File { path: path.clone(), cause: error.to_string() };
+        std::fs::write(path, account_plot::render(&accounts)).map_err(file_error)?;
     }
     output.result(&accounts, || describe(&accounts))
 }
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -1,6 +1,6 @@
 //! `config get`, `config set` and `config explain`.
 //!
-//! A change is named by an id, so that it can be sent again until it is answered and takes effect once.
+//! Each change has an id, so that it can be sent repeatedly until a response arrives and takes effect at most once.
 
 use std::time::Duration;
 
@@ -18,50 +18,48 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// How often a change is sent before it is reported as in doubt. Chosen, not measured: fewer leave an operator to repeat it by
-/// hand, more keep them waiting for an object API that is away.
+/// Number of times that a change is sent before it is reported as in doubt.
 const CHANGE_ATTEMPTS: u32 = 4;
-/// The pause before a repeat. Chosen, not measured: all repeats fit in 1.4 s, in which a node that restarts is back or another
-/// is asked.
+/// Pause before each repeat; at most 1.4 s for all repeats together.
 const REPEAT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(200), Duration::from_millis(800));
 
-/// What `config get` shows.
+/// Filter of `config get`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selection {
-    /// Only this level and those below it.
+    /// Level to show, including the levels below it.
     pub path: Option<String>,
-    /// Only this key.
+    /// Key to show.
     pub key: Option<String>,
 }
 
 /// A setting at a level.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// The level's path.
+    /// Path of the level.
     pub path: String,
-    /// The key.
+    /// Key of the setting.
     pub key: String,
 }
 
-/// What `config set` changes.
+/// A change by `config set`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingChange {
-    /// Which setting.
+    /// The setting to change.
     pub setting: Setting,
-    /// Its new value; `None` removes it, so that the level inherits again.
+    /// New value; `None` removes the value, so that the level inherits again.
     pub value: Option<serde_json::Value>,
-    /// The revision the change is based on; read first where absent.
+    /// Revision that the change is based on; the current revision if absent.
     pub base: Option<Revision>,
-    /// Names the change; drawn at random where absent.
+    /// Id of the change; random if absent.
     pub change_id: Option<String>,
 }
 
-/// How a setting comes by its value.
+/// Effective value of a setting and the levels that it is derived from.
 #[derive(Debug, Serialize)]
 struct Explanation {
     #[serde(flatten)]
     effective: EffectiveSetting,
-    /// The levels from the organisation down to the path, with what each sets.
+    /// Levels from the root to the path, each with the value that it sets.
     levels: Vec<LevelValue>,
 }
 
@@ -71,13 +69,13 @@
     value: Option<serde_json::Value>,
 }
 
-/// Shows the values that are set, each at its level.
+/// Shows the values that are set, with their levels.
 ///
 /// # Errors
 /// See [`CliError`].
 pub async fn get(client: &Client, selection: &Selection, output: &mut Output<'_>) -> Result<(), CliError> {
     let mut document: ConfigurationDocument = client.get("/v1/config").await?;
-    document.settings.retain(|setting| selection.holds(setting));
+    document.settings.retain(|setting| selection.selects(setting));
     output.result(&document, || {
         let mut table = Table::new(&["LEVEL", "KEY", "VALUE"]);
         for setting in &document.settings {
@@ -88,14 +86,14 @@
 }
 
 impl Selection {
-    fn holds(&self, setting: &SettingValue) -> bool {
+    fn selects(&self, setting: &SettingValue) -> bool {
         let level_fits = self.path.as_ref().is_none_or(|path| is_at_or_below(&setting.path, path));
         let key_fits = self.key.as_ref().is_none_or(|key| key == &setting.key);
         level_fits && key_fits
     }
 }
 
-/// Shows the value in force at a level and the levels that it came through.
+/// Shows the value in force at a level and the values of the levels above it.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -131,10 +129,10 @@
     )
 }
 
-/// Changes a setting. A lost answer is met by repeating the same change, which takes effect once.
+/// Changes a setting. If no response arrives, the same change is repeated; its id makes it take effect at most once.
 ///
 /// # Errors
-/// See [`CliError`]; [`CliError::InDoubt`] where no repeat was answered either.
+/// See [`CliError`]. Returns [`CliError::InDoubt`] if no attempt gets a definite response.
 pub async fn set(client: &Client, change: &SettingChange, output: &mut Output<'_>) -> Result<(), CliError> {
     let base_revision = match change.base {
         Some(base) => base,
@@ -164,11 +162,11 @@
             Err(error) => error,
         };
         in_doubt |= leaves_in_doubt(&error);
-        if !in_doubt || is_verdict(&error) {
+        if !in_doubt || is_definite_refusal(&error) {
             return Err(error);
         }
         if attempt == CHANGE_ATTEMPTS {
-            let cause = format!("{error}, after {attempt} tries");
+            let cause = format!("{error}, after {attempt} attempts");
             let change_id = request.change_id.clone();
             return Err(CliError::InDoubt { change_id, base: request.base_revision, cause });
         }
@@ -178,7 +176,7 @@
     }
 }
 
-/// Whether the change may have taken effect although the answer is no success.
+/// Returns whether the change may have taken effect despite the error.
 fn leaves_in_doubt(error: &CliError) -> bool {
     match error {
         CliError::ReplyLost { .. } | CliError::Undecodable { .. } => true,
@@ -187,8 +185,8 @@
     }
 }
 
-/// Whether the node says for certain that the change did not take effect.
-fn is_verdict(error: &CliError) -> bool {
+/// Returns whether the node's response proves that the change did not take effect.
+fn is_definite_refusal(error: &CliError) -> bool {
     matches!(error, CliError::Refused { .. }) && !leaves_in_doubt(error)
 }
 
@@ -201,7 +199,7 @@
     found.map(|setting| setting.value.clone())
 }
 
-/// The levels from the root to a path: `/a/b` gives `/`, `/a`, `/a/b`.
+/// Returns the levels from the root to a path: `/a/b` gives `/`, `/a`, `/a/b`.
 fn levels_down_to(path: &str) -> Vec<String> {
     let mut levels = vec!["/".to_owned()];
     let mut level = String::new();
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -8,7 +8,7 @@
 use crate::error::CliError;
 use crate::output::Output;
 
-/// Orders a replica to finish what runs and to take nothing new. Repeating it changes nothing.
+/// Orders a replica to finish its running requests and to accept no new ones. The order is idempotent.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -23,7 +23,7 @@
     })
 }
 
-/// Orders a drained replica to take work again. Repeating it changes nothing.
+/// Orders a drained replica to accept requests again. The order is idempotent.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/ends.rs
+++ b/crates/cli/src/commands/ends.rs
@@ -7,7 +7,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows the ends of jobs that a node has read and that are not known to be kept.
+/// Shows the ends of jobs that a node has read and that are not known to be committed.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/job.rs
+++ b/crates/cli/src/commands/job.rs
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Creates a job. Repeating the same specification changes nothing.
+/// Creates a job. Submitting the same specification again has no effect.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -22,7 +22,7 @@
     output.result(&status, || describe(&status))
 }
 
-/// Shows how a job stands.
+/// Shows the progress of a job.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,7 +1,7 @@
-//! One module for each group of commands.
+//! The commands, with one module for each group.
 //!
-//! A command asks a node through `client` and renders the typed answer through `output`; `trace` and `account` read
-//! logs instead and ask nobody.
+//! A command sends a request to a node through `client` and prints the typed response through `output`. `trace` and
+//! `account` read log files instead.
 
 pub mod account;
 pub(crate) mod config;
--- a/crates/cli/src/commands/pool.rs
+++ b/crates/cli/src/commands/pool.rs
@@ -8,7 +8,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows the pools and their replicas as one node sees them.
+/// Shows the pools and their replicas, as known to one node.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows the requests that a node keeps from all replicas.
+/// Shows the quarantined requests, which a node sends to no replica.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -18,7 +18,7 @@
     output.result(&held, || describe(&held))
 }
 
-/// Lets a request through again.
+/// Releases a request from quarantine.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/regions.rs
+++ b/crates/cli/src/commands/regions.rs
@@ -7,7 +7,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows regions, the shards of batch jobs, and what a node refused for want of a region.
+/// Shows the regions, the shards of batch jobs, and the requests that a node refused because of region restrictions.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/replicas.rs
+++ b/crates/cli/src/commands/replicas.rs
@@ -7,7 +7,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows what one gateway may send to each replica that the platform lists.
+/// Shows, for each replica that the platform lists, whether a gateway may send requests to it and at which rate.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -1,6 +1,6 @@
-//! `watch`: the stream of decisions of one or more nodes.
+//! `watch`: prints the stream of decisions of one or more nodes.
 //!
-//! Owns one stream for each node, opened again with backoff, and tells of gaps by `sequence`.
+//! Reads one stream for each node, reconnects with backoff, and reports gaps that `sequence` detects.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,32 +18,31 @@
 use crate::output::Output;
 use crate::sequence::{Gap, SequenceTracker};
 
-/// The pause before a broken stream is opened again: quick enough for a node that restarts, and no load on one that is away.
-/// Chosen, not measured.
+/// Pause before reconnecting to a node after its stream ended or could not be opened.
 const RECONNECT_BACKOFF: Backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(5));
 
-/// Notices that may wait to be printed before the readers of streams wait too.
-const NOTICE_BACKLOG: usize = 1_024;
+/// Capacity of the channel of notices; stream readers wait while it is full.
+const NOTICE_CAPACITY: usize = 1_024;
 
-/// Which decisions are shown, and for how long.
+/// Filters and limits of `watch`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchOptions {
-    /// Only of this part, such as `routing`.
+    /// Component of the decisions to show, such as `routing`.
     pub component: Option<String>,
-    /// Only with this action, such as `refused`.
+    /// Action of the decisions to show, such as `refused`.
     pub action: Option<String>,
-    /// Only with this reason.
+    /// Reason of the decisions to show.
     pub reason: Option<String>,
-    /// Only about a subject that contains this.
+    /// Text that the subject must contain.
     pub subject: Option<String>,
-    /// Ends after so many are shown.
+    /// Number of decisions after which the command ends.
     pub count: Option<u64>,
-    /// Ends after this time.
+    /// Time after which the command ends.
     pub duration: Option<Duration>,
 }
 
 impl WatchOptions {
-    fn shows(&self, event: &DecisionEvent) -> bool {
+    fn selects(&self, event: &DecisionEvent) -> bool {
         let decision = &event.decision;
         let equals =
             |wanted: &Option<String>, actual: &str| wanted.as_ref().is_none_or(|wanted| wanted == actual);
@@ -54,19 +53,19 @@
     }
 }
 
-/// What the reader of one node's stream tells the printer.
+/// Message from the reader of a node's stream to the printer.
 enum Notice {
     Decision(Box<DecisionEvent>),
-    Broken { address: SocketAddr, cause: String },
+    Disconnected { address: SocketAddr, cause: String },
     Connected { address: SocketAddr },
 }
 
-/// Shows decisions as they are made, on every node that was named. Reconnects for as long as it runs.
+/// Shows the decisions of all configured nodes as they are made. Reconnects until the command ends.
 ///
 /// # Errors
-/// [`CliError::Output`] where nothing can be printed.
+/// Returns [`CliError::Output`] if the output can't be written.
 pub async fn watch(client: &Client, options: &WatchOptions, output: &mut Output<'_>) -> Result<(), CliError> {
-    let (sender, mut notices) = mpsc::channel(NOTICE_BACKLOG);
+    let (sender, mut notices) = mpsc::channel(NOTICE_CAPACITY);
     let mut readers = tokio::task::JoinSet::new();
     for &address in client.addresses() {
         readers.spawn(follow(client.clone(), address, sender.clone()));
@@ -102,15 +101,15 @@
     fn print(&mut self, notice: Notice, output: &mut Output<'_>) -> Result<(), CliError> {
         match notice {
             Notice::Decision(event) => self.print_decision(&event, output),
-            Notice::Broken { address, cause } => {
-                output.note(&format!("the stream of {address} broke: {cause}; connecting again"))
+            Notice::Disconnected { address, cause } => {
+                output.note(&format!("lost the stream from {address}: {cause}; connecting again"))
             }
             Notice::Connected { address } => output.note(&format!("watching {address}")),
         }
     }
 
     fn print_decision(&mut self, event: &DecisionEvent, output: &mut Output<'_>) -> Result<(), CliError> {
-        // Gaps are looked for before the filter: a hidden decision is no lost one.
+        // Gaps are detected before filtering, so that a hidden decision doesn't count as lost.
         match self.tracker.observe(event) {
             Some(Gap::Lost { node, count }) => {
                 output.note(&format!("{count} decisions of {node} were lost"))?
@@ -120,7 +119,7 @@
             }
             None => {}
         }
-        if !self.options.shows(event) {
+        if !self.options.selects(event) {
             return Ok(());
         }
         self.shown += 1;
@@ -128,7 +127,7 @@
     }
 }
 
-/// One line for a decision: time of day in UTC, node, part, action, reason, subject and inputs.
+/// Formats a decision as one line: time of day in UTC, node, component, action, reason, subject and inputs.
 fn describe(event: &DecisionEvent) -> String {
     let decision = &event.decision;
     let inputs: Vec<String> =
@@ -167,7 +166,7 @@
             }
             Err(error) => error.to_string(),
         };
-        if notices.send(Notice::Broken { address, cause }).await.is_err() {
+        if notices.send(Notice::Disconnected { address, cause }).await.is_err() {
             return;
         }
         failures += 1;
@@ -175,7 +174,7 @@
     }
 }
 
-/// Reads until the stream ends and tells how it ended.
+/// Reads the stream until it ends and returns the cause.
 async fn read_stream(mut body: Incoming, notices: &mpsc::Sender<Notice>) -> String {
     let mut decoder = EventDecoder::default();
     while let Some(frame) = body.frame().await {
@@ -190,9 +189,9 @@
                 Err(error) => return format!("an event can't be decoded: {error}"),
             };
             if notices.send(Notice::Decision(decision)).await.is_err() {
-                return "nobody reads".to_owned();
+                return "the command has ended".to_owned();
             }
         }
     }
-    "the node ended it".to_owned()
+    "the node closed the stream".to_owned()
 }
--- a/crates/cli/src/commands/zones.rs
+++ b/crates/cli/src/commands/zones.rs
@@ -8,7 +8,7 @@
 use crate::output::Output;
 use crate::table::Table;
 
-/// Shows the zones as one node sees them.
+/// Shows the zones and their state, as known to one node.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -17,7 +17,7 @@
     output.result(&zones, || describe(&zones))
 }
 
-/// Asks that the replicas of a zone be sent nothing new.
+/// Orders the evacuation of a zone: its replicas get no new requests.
 ///
 /// # Errors
 /// See [`CliError`].
@@ -28,7 +28,7 @@
     })
 }
 
-/// Gives an evacuated zone back.
+/// Ends the evacuation of a zone.
 ///
 /// # Errors
 /// See [`CliError`].
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,6 +1,7 @@
-//! Errors of the command, each with its remedy and its exit code.
+//! Errors of the commands, each with a remedy and an exit code.
 //!
-//! One type for all commands. The kind is a stable word for programs; what a node refused keeps the node's own kind and remedy.
+//! Each error has a kind, which is a stable identifier for programs. A refusal by a node keeps the kind and the remedy that
+//! the node sent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,94 +11,94 @@
 
 use crate::client::Interface;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The command line can't be understood.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// No address was given for the interface that the command needs.
-    #[error("no address for the {interface} interface")]
+    /// No address is configured for the interface that the command needs.
+    #[error("no address is configured for the {interface} interface")]
     NoAddress {
         /// The interface.
         interface: Interface,
     },
-    /// No connection came about, so nothing was asked.
-    #[error("no node answers at {addresses}: {cause}")]
+    /// No connection could be established, so no request was sent.
+    #[error("no node could be reached at {addresses}: {cause}")]
     Unreachable {
         /// Every address that was tried.
         addresses: String,
-        /// What the last one said.
+        /// The error of the last attempt.
         cause: String,
     },
-    /// The request was sent and its answer did not arrive.
-    #[error("the answer of {address} was lost: {cause}")]
+    /// The request was sent, but no complete response arrived.
+    #[error("no complete response from {address}: {cause}")]
     ReplyLost {
-        /// Who was asked.
+        /// Address of the node.
         address: SocketAddr,
-        /// How it was lost.
+        /// Why the response is missing.
         cause: String,
     },
-    /// The node refused.
+    /// The node refused the request.
     #[error("{} (HTTP {status})", body.message)]
     Refused {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
-        /// The typed reason with its remedy.
+        /// Reason and remedy that the node sent.
         body: ErrorBody,
     },
-    /// The answer is not what this version of the command knows.
-    #[error("{address} answered with something else than expected: {cause}")]
+    /// The response has a format that this version of the command doesn't know.
+    #[error("unexpected response from {address}: {cause}")]
     Undecodable {
-        /// Who answered.
+        /// Address of the node.
         address: SocketAddr,
-        /// What did not fit.
+        /// The decoding error.
         cause: String,
     },
-    /// A change was sent, and whether it took effect is not known.
-    #[error("whether the change took effect is in doubt: {cause}")]
+    /// A change was sent, but it is unknown whether it took effect.
+    #[error("it is unknown whether the change took effect: {cause}")]
     InDoubt {
-        /// The id that makes a repeat harmless.
+        /// Id of the change, which makes a repeat idempotent.
         change_id: String,
-        /// The revision that the change was based on.
+        /// Revision that the change is based on.
         base: Revision,
-        /// Why the last repeat gave no answer.
+        /// Why the last attempt got no response.
         cause: String,
     },
     /// A file named on the command line can't be used.
     #[error("{path}: {cause}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Why it can't be used.
         cause: String,
     },
-    /// The result could not be printed.
-    #[error("the result can't be printed: {0}")]
+    /// The output could not be written.
+    #[error("can't write the output: {0}")]
     Output(#[from] io::Error),
 }
 
 impl CliError {
-    /// What the reader can do.
+    /// Returns what the operator can do about the error.
     pub fn remedy(&self) -> String {
         match self {
             Self::Usage(_) => "see `lichenpulley --help`".to_owned(),
             Self::NoAddress { interface } => {
                 format!("give --{} IP:PORT or set {}", interface.flag(), interface.variable())
             }
-            Self::Unreachable { .. } => "check that a node runs there, or name another address".to_owned(),
-            Self::ReplyLost { .. } => "read the state before repeating the command".to_owned(),
+            Self::Unreachable { .. } => "check that a node runs there, or give another address".to_owned(),
+            Self::ReplyLost { .. } => "check the current state before repeating the command".to_owned(),
             Self::Refused { body, .. } => body.remedy.clone(),
-            Self::Undecodable { .. } => "use the command of the same version as the node".to_owned(),
+            Self::Undecodable { .. } => "use the version of `lichenpulley` that matches the node".to_owned(),
             Self::InDoubt { change_id, base, .. } => format!(
                 "repeat the command with `--change-id {change_id} --base {base}`: it takes effect at most once"
             ),
-            Self::File { .. } => "name a file that can be read and holds a job as JSON".to_owned(),
-            Self::Output(_) => "check where the output goes".to_owned(),
+            Self::File { .. } => "check the path, its permissions and the format of the file".to_owned(),
+            Self::Output(_) => "check that standard output and standard error can be written".to_owned(),
         }
     }
 
-    /// A stable word for programs, in snake case.
+    /// Returns the stable identifier of the error for programs, in snake case.
     pub fn kind(&self) -> &str {
         match self {
             Self::Usage(_) => "usage",
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The process's exit code: 2 where the command line is wrong, 1 for every other failure.
+    /// Returns the exit code: 2 if the command line or an input file is invalid, 1 on every other failure.
     pub const fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) | Self::NoAddress { .. } | Self::File { .. } => 2,
@@ -120,12 +121,12 @@
         }
     }
 
-    /// Whether the reader of the output went away.
+    /// Returns whether the reader closed the output.
     pub fn is_closed_output(&self) -> bool {
         matches!(self, Self::Output(error) if error.kind() == io::ErrorKind::BrokenPipe)
     }
 
-    /// The text for standard error: for people, or one JSON object.
+    /// Returns the message for standard error, as text or as one JSON object.
     pub fn describe(&self, json: bool) -> String {
         if json {
             let body = ErrorBody::new(self.kind(), self.to_string(), self.remedy());
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' command: settings, jobs, pools, drains and the stream of decisions.
+//! Command line tool for operators: settings, jobs, pools, drains and the stream of decisions.
 //!
-//! A library too, so that tests can run a command inside their process with [`run`].
+//! The commands are in a library so that tests can call [`run`] in their own process.
 
 mod account_plot;
 pub mod arguments;
@@ -19,10 +19,10 @@
 use error::CliError;
 use output::Output;
 
-/// Runs one command.
+/// Runs one command and writes its result to `output`.
 ///
 /// # Errors
-/// [`CliError`], with a remedy in its message and its exit code.
+/// Returns a [`CliError`], which gives the remedy and the exit code.
 pub async fn run(invocation: Invocation, output: &mut Output<'_>) -> Result<(), CliError> {
     let options = &invocation.options;
     let operators = || Client::new(Interface::Operators, &options.operators, options.timeout);
--- a/crates/cli/src/log_lines.rs
+++ b/crates/cli/src/log_lines.rs
@@ -1,6 +1,7 @@
-//! Structured log lines of one or more nodes, as a collector or a file keeps them.
+//! Reader for the structured log lines of one or more nodes.
 //!
-//! Reads what the daemon's `logging` writes; what stands before a line's JSON is passed over, and lines of other programs too.
+//! Reads the format that the daemon's `logging` module writes. Text before the JSON object of a line, such as a collector's
+//! prefix, is skipped, and so are lines without a JSON object.
 
 use std::io::Read;
 
@@ -8,13 +9,13 @@
 
 use crate::error::CliError;
 
-/// One line, by field.
+/// Fields of one log line.
 pub type LogLine = Map<String, Value>;
 
-/// The lines of all files, in the order of their time. `-` is standard input.
+/// Reads the lines of all files and sorts them by time. `-` is standard input.
 ///
 /// # Errors
-/// When a file can't be read.
+/// Returns [`CliError::File`] if a file can't be read.
 pub fn read_all(files: &[String]) -> Result<Vec<LogLine>, CliError> {
     let mut lines = Vec::new();
     for file in files {
@@ -24,7 +25,7 @@
     Ok(lines)
 }
 
-/// The time of a line, in milliseconds since the start of its month. `None` where it has none.
+/// Returns the time of a line within its month, in milliseconds, or `None` if it has no valid time.
 pub fn time_ms(line: &LogLine) -> Option<u64> {
     let (date, clock) = text(line, "time").trim_end_matches('Z').split_once('T')?;
     let day: u64 = date.rsplit('-').next()?.parse().ok()?;
@@ -36,27 +37,28 @@
     Some(((day * 24 + hours) * 60 + minutes) * 60_000 + milliseconds)
 }
 
-/// Lines of one file, in its order.
+/// Reads the lines of one file in their order.
 fn read(file: &str) -> Result<Vec<LogLine>, CliError> {
-    let problem = |error: std::io::Error| CliError::File { path: file.to_owned(), cause: error.to_string() };
+    let file_error =
+        |error: std::io::Error| CliError::File { path: file.to_owned(), cause: error.to_string() };
     let mut bytes = Vec::new();
     match file {
-        "-" => std::io::stdin().read_to_end(&mut bytes).map_err(problem)?,
+        "-" => std::io::stdin().read_to_end(&mut bytes).map_err(file_error)?,
         path => {
-            std::fs::File::open(path).and_then(|mut file| file.read_to_end(&mut bytes)).map_err(problem)?
+            std::fs::File::open(path).and_then(|mut file| file.read_to_end(&mut bytes)).map_err(file_error)?
         }
     };
     let text = String::from_utf8_lossy(&bytes);
     Ok(text.lines().filter_map(parse).collect())
 }
 
-/// Whatever a collector put before a line is passed over; what is no log line of ours is left out.
+/// Parses the JSON object of a line, skipping any prefix. Returns `None` if there is no valid object.
 fn parse(line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
 
-/// A field as text; empty where there is none.
+/// Returns a string field, or the empty string if the line doesn't have it.
 pub fn text<'a>(line: &'a LogLine, field: &str) -> &'a str {
     line.get(field).and_then(Value::as_str).unwrap_or_default()
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
-//! `lichenpulley`: the operators' command.
+//! `lichenpulley`: the command line tool for operators.
 //!
-//! Owns the process and its exit code: 2 where the command line is wrong, 1 for every other failure.
+//! Exits with 2 if the command line is invalid and with 1 on every other failure.
 
 use std::process::ExitCode;
 
@@ -14,7 +14,7 @@
     let json = arguments.iter().any(|argument| argument == "--json");
     match execute(&arguments).await {
         Ok(()) => ExitCode::SUCCESS,
-        // A reader such as `head` has seen enough.
+        // The reader of a pipe, such as `head`, closed it; this is not a failure.
         Err(error) if error.is_closed_output() => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}", error.describe(json));
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,6 +1,6 @@
-//! Where results and notes go.
+//! Output of the commands.
 //!
-//! Results go to standard output, for people or as JSON; notes to standard error. Owns no format: each command renders its own.
+//! Results go to standard output, as text or as JSON, and notes go to standard error. Each command renders its own text.
 
 use std::io::Write;
 
@@ -8,7 +8,7 @@
 
 use crate::error::CliError;
 
-/// Results go to one writer, notes for people to another.
+/// Writes results to one writer and notes to another.
 pub struct Output<'a> {
     results: &'a mut dyn Write,
     notes: &'a mut dyn Write,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> Output<'a> {
-    /// An output; with `json`, results are JSON, one value a line.
+    /// Creates an output. With `json`, each result is printed as one line of JSON.
     pub fn new(results: &'a mut dyn Write, notes: &'a mut dyn Write, json: bool) -> Self {
         Self { results, notes, json }
     }
@@ -24,33 +24,33 @@
     /// Prints a line of text.
     ///
     /// # Errors
-    /// When it can't be written.
+    /// Returns [`CliError::Output`] if the writer fails.
     pub fn line(&mut self, text: &str) -> Result<(), CliError> {
         writeln!(self.results, "{text}")?;
         self.results.flush()?;
         Ok(())
     }
 
-    /// Prints a result: as one line of JSON, or as the text for people.
+    /// Prints a result as one line of JSON, or else as the text that `render_text` returns.
     ///
     /// # Errors
-    /// When it can't be written.
+    /// Returns [`CliError::Output`] if the writer fails.
     pub fn result<Value: Serialize>(
         &mut self,
         value: &Value,
-        for_people: impl FnOnce() -> String,
+        render_text: impl FnOnce() -> String,
     ) -> Result<(), CliError> {
         if self.json {
             let text = serde_json::to_string(value).map_err(std::io::Error::from)?;
             return self.line(&text);
         }
-        self.line(&for_people())
+        self.line(&render_text())
     }
 
-    /// Prints a note for people, apart from the results.
+    /// Prints a note, separate from the results.
     ///
     /// # Errors
-    /// When it can't be written.
+    /// Returns [`CliError::Output`] if the writer fails.
     pub fn note(&mut self, text: &str) -> Result<(), CliError> {
         writeln!(self.notes, "lichenpulley: {text}")?;
         Ok(())
--- a/crates/cli/src/sequence.rs
+++ b/crates/cli/src/sequence.rs
@@ -1,37 +1,37 @@
-//! Tells when decisions of a watched node were missed.
+//! Detects gaps in the sequence numbers of the decisions of each watched node.
 //!
-//! Owns the last number of each node. Numbers that begin anew mean that the node was started again.
+//! A sequence number that is lower than expected means that the node was restarted.
 
 use std::collections::BTreeMap;
 
 use lichenpulley_core::identity::NodeId;
 use lichenpulley_protocol::operator::DecisionEvent;
 
-/// What a watcher missed.
+/// A gap in the decisions of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Gap {
-    /// So many decisions of a node were made and not seen.
+    /// Decisions were made but not received.
     Lost {
         /// The node.
         node: NodeId,
-        /// How many.
+        /// Number of missing decisions.
         count: u64,
     },
-    /// The node began to count anew, so it was started again; how many were missed is not known.
+    /// The node restarted its numbering, so the number of missing decisions is unknown.
     Restarted {
         /// The node.
         node: NodeId,
     },
 }
 
-/// The last sequence number seen of each node.
+/// Tracks the last sequence number of each node.
 #[derive(Debug, Default)]
 pub struct SequenceTracker {
     last_seen: BTreeMap<NodeId, u64>,
 }
 
 impl SequenceTracker {
-    /// Notes an event and tells what was missed before it. The first event of a node is never a gap.
+    /// Records an event and returns the gap before it, if any. The first event of a node has no gap.
     pub fn observe(&mut self, event: &DecisionEvent) -> Option<Gap> {
         let previous = self.last_seen.insert(event.node.clone(), event.sequence)?;
         let expected = previous + 1;
--- a/crates/cli/src/step_account.rs
+++ b/crates/cli/src/step_account.rs
@@ -1,7 +1,7 @@
-//! Where the time of a trainer's steps went, from the owner's decisions.
+//! Time breakdown of a trainer's steps, computed from the decisions that the owner logs.
 //!
-//! A trainer waits for a number of whole groups. The last item of the group that completes this number decides how long the
-//! step took; its way through the system is the account of the step.
+//! A trainer waits for a number of complete groups. The last item of the group that completes this number determines the
+//! duration of the step, so the phases of this item are the time breakdown of the step.
 
 use std::collections::BTreeMap;
 
@@ -14,44 +14,44 @@
 pub struct RunAccount {
     /// The replica.
     pub replica: String,
-    /// How long it ran, in milliseconds.
+    /// Duration of the run, in milliseconds.
     pub run_ms: u64,
-    /// How it ended; empty where the logs don't say.
+    /// Reason of its end; empty if the logs don't contain it.
     pub end: String,
 }
 
-/// The account of one step.
+/// Time breakdown of one step. Durations are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StepAccount {
     /// The trainer's step.
     pub step: String,
     /// The batch job.
     pub batch: String,
-    /// When it was taken, in milliseconds since the first step in the logs.
+    /// Time at which the batch job was taken, in milliseconds since the first step in the logs.
     pub taken_ms: u64,
-    /// The item that decided; empty where too few groups became whole.
+    /// The item that completed the step; empty if too few groups were completed.
     pub item: String,
-    /// Groups that the trainer waited for, and those that became whole.
+    /// Number of groups that the trainer waited for.
     pub desired: u64,
-    /// Groups that became whole.
+    /// Number of groups that were completed.
     pub whole: u64,
-    /// From the taking of the step to the item's first run.
+    /// From the time the batch job was taken to the item's first run.
     pub wait_ms: u64,
-    /// The item's runs.
+    /// Total duration of the item's runs.
     pub run_ms: u64,
-    /// Between its runs: it broke off, was moved, or its owner was lost.
+    /// Time between its runs, after a failure, a move to another replica or the loss of the owner.
     pub gap_ms: u64,
-    /// From its last event to its score.
+    /// From the end of its last run to its score.
     pub score_ms: u64,
-    /// From its score to its place in the list.
+    /// From its score to the completion of its group.
     pub list_ms: u64,
-    /// From there to the trainer's end of the step.
+    /// From the completion of its group until the trainer ended the step.
     pub read_ms: u64,
-    /// From the taking to the end.
+    /// From the time the batch job was taken to its end.
     pub total_ms: u64,
     /// The runs of the item.
     pub runs: Vec<RunAccount>,
-    /// Owners that took over meanwhile.
+    /// Number of takeovers by another owner during the step.
     pub takeovers: u64,
 }
 
@@ -69,13 +69,13 @@
     ended_at: Option<u64>,
     desired: u64,
     whole: u64,
-    /// The last item of the group that made enough groups whole, and when.
-    decided: Option<(String, u64)>,
+    /// The last item of the group that completed the desired number of groups, and the time.
+    completed: Option<(String, u64)>,
     items: BTreeMap<String, ItemTimes>,
 }
 
-/// The accounts of all steps in the logs, in the order in which they were taken.
-pub fn account(lines: &[LogLine]) -> Vec<StepAccount> {
+/// Returns the time breakdown of every step in the logs, ordered by the time it was taken.
+pub fn account_steps(lines: &[LogLine]) -> Vec<StepAccount> {
     let mut batches: BTreeMap<String, BatchTimes> = BTreeMap::new();
     let mut takeovers = Vec::new();
     for line in lines {
@@ -94,20 +94,20 @@
             }
             _ => {
                 if let Some(batch) = batches.get_mut(text(line, "batch")) {
-                    batch.note(line, at);
+                    batch.record(line, at);
                 }
             }
         }
     }
-    let first = batches.values().map(|batch| batch.taken_at).min().unwrap_or(0);
+    let first_taken_at = batches.values().map(|batch| batch.taken_at).min().unwrap_or(0);
     let mut accounts: Vec<StepAccount> =
-        batches.into_iter().map(|(id, batch)| batch.account(id, first, &takeovers)).collect();
+        batches.into_iter().map(|(id, batch)| batch.into_account(id, first_taken_at, &takeovers)).collect();
     accounts.sort_by_key(|account| account.taken_ms);
     accounts
 }
 
 impl BatchTimes {
-    fn note(&mut self, line: &LogLine, at: u64) {
+    fn record(&mut self, line: &LogLine, at: u64) {
         let item = text(line, "id").to_owned();
         let replica = text(line, "replica").to_owned();
         let reason = text(line, "reason").to_owned();
@@ -119,36 +119,36 @@
                 self.items.entry(item).or_default().scored_at = Some(at);
             }
             "group_whole" => {
-                // A line without the number is of another release: it completes no step.
+                // Other releases log no numbers here; such a line doesn't complete a step.
                 let number = |field: &str| text(line, field).parse().unwrap_or(0);
                 self.desired = number("desired");
                 self.whole = self.whole.max(number("whole"));
-                if self.decided.is_none() && self.whole >= self.desired {
-                    self.decided = Some((item, at));
+                if self.completed.is_none() && self.whole >= self.desired {
+                    self.completed = Some((item, at));
                 }
             }
             _ => {}
         }
     }
 
-    fn account(self, batch: String, first: u64, takeovers: &[u64]) -> StepAccount {
-        let ended_at = self.ended_at.or(self.decided.as_ref().map(|(_, at)| *at));
-        let until = ended_at.unwrap_or(self.taken_at);
-        let meanwhile = takeovers.iter().filter(|at| (self.taken_at..=until).contains(*at)).count();
+    fn into_account(self, batch: String, first_taken_at: u64, takeovers: &[u64]) -> StepAccount {
+        let ended_at = self.ended_at.or(self.completed.as_ref().map(|(_, at)| *at));
+        let step_end = ended_at.unwrap_or(self.taken_at);
+        let takeover_count = takeovers.iter().filter(|at| (self.taken_at..=step_end).contains(*at)).count();
         let mut account = StepAccount {
             step: self.step,
             batch,
-            taken_ms: self.taken_at - first,
+            taken_ms: self.taken_at - first_taken_at,
             desired: self.desired,
             whole: self.whole,
-            total_ms: until - self.taken_at,
-            takeovers: meanwhile as u64,
+            total_ms: step_end - self.taken_at,
+            takeovers: takeover_count as u64,
             ..StepAccount::default()
         };
-        let Some((item, decided_at)) = self.decided else { return account };
-        account.read_ms = until.saturating_sub(decided_at);
+        let Some((item, completed_at)) = self.completed else { return account };
+        account.read_ms = step_end.saturating_sub(completed_at);
         if let Some(times) = self.items.get(&item) {
-            times.split(&mut account, self.taken_at, decided_at);
+            times.fill_account(&mut account, self.taken_at, completed_at);
         }
         account.item = item;
         account
@@ -156,33 +156,33 @@
 }
 
 impl ItemTimes {
-    fn split(&self, account: &mut StepAccount, taken_at: u64, decided_at: u64) {
+    fn fill_account(&self, account: &mut StepAccount, taken_at: u64, completed_at: u64) {
         let mut ends = self.ends.iter().peekable();
         let mut last_end = taken_at;
-        for (number, (began, replica)) in self.starts.iter().enumerate() {
-            while ends.peek().is_some_and(|(at, _)| at < began) {
+        for (number, (started, replica)) in self.starts.iter().enumerate() {
+            while ends.peek().is_some_and(|(at, _)| at < started) {
                 ends.next();
             }
-            // A run without an end in the logs went on until the next one, or until its owner was lost.
-            let next = self.starts.get(number + 1).map_or(decided_at, |(at, _)| *at);
+            // A run without a logged end counts up to the start of the next run, or to the completion of the step.
+            let next = self.starts.get(number + 1).map_or(completed_at, |(at, _)| *at);
             let end = ends.peek().filter(|(at, _)| *at <= next);
             let (ended, reason) = end.map_or((next, String::new()), |(at, reason)| (*at, reason.clone()));
-            let pause = began.saturating_sub(last_end);
+            let idle_ms = started.saturating_sub(last_end);
             if number == 0 {
-                account.wait_ms = pause
+                account.wait_ms = idle_ms
             } else {
-                account.gap_ms += pause
+                account.gap_ms += idle_ms
             }
-            account.run_ms += ended.saturating_sub(*began);
+            account.run_ms += ended.saturating_sub(*started);
             last_end = ended;
             account.runs.push(RunAccount {
                 replica: replica.clone(),
-                run_ms: ended.saturating_sub(*began),
+                run_ms: ended.saturating_sub(*started),
                 end: reason,
             });
         }
-        let scored_at = self.scored_at.unwrap_or(last_end).clamp(last_end, decided_at.max(last_end));
+        let scored_at = self.scored_at.unwrap_or(last_end).clamp(last_end, completed_at.max(last_end));
         account.score_ms = scored_at - last_end;
-        account.list_ms = decided_at.saturating_sub(scored_at);
+        account.list_ms = completed_at.saturating_sub(scored_at);
     }
 }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,16 +1,16 @@
-//! Plain tables with aligned columns.
+//! Text tables with aligned columns.
 
-/// What stands between two columns.
+/// Separator between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// A table that is printed as text.
+/// A table that is rendered as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a row of headings.
+    /// Creates a table with a row of headings.
     pub fn new(headings: &[&str]) -> Self {
         Self { rows: vec![headings.iter().map(|heading| (*heading).to_owned()).collect()] }
     }
@@ -20,7 +20,7 @@
         self.rows.push(cells);
     }
 
-    /// The text, one line for each row, no blanks at the ends of lines.
+    /// Renders one line for each row, without trailing blanks.
     pub fn render(&self) -> String {
         let widths = self.widths();
         let lines: Vec<String> = self.rows.iter().map(|row| render_row(row, &widths)).collect();
--- a/crates/cli/tests/account.rs
+++ b/crates/cli/tests/account.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_time_of_a_step_is_that_of_the_item_that_decided_it() {
-    let accounts = step_account::account(&logs());
+    let accounts = step_account::account_steps(&logs());
     let [step] = accounts.as_slice() else { panic!("{accounts:?}") };
     assert_eq!((step.step.as_str(), step.item.as_str(), step.whole, step.desired), ("3", "slow", 2, 2));
     let parts = [step.wait_ms, step.run_ms, step.gap_ms, step.score_ms, step.list_ms, step.read_ms];
@@ -54,7 +54,7 @@
 #[test]
 fn a_step_that_never_gets_enough_groups_is_told_so() {
     let logs: Vec<LogLine> = logs().into_iter().take(6).collect();
-    let accounts = step_account::account(&logs);
+    let accounts = step_account::account_steps(&logs);
     assert_eq!((accounts[0].whole, accounts[0].desired, accounts[0].item.as_str()), (1, 2, ""));
 }
 
