--- a/crates/cli/tests/account.rs
+++ b/crates/cli/tests/account.rs
@@ -1,4 +1,4 @@
-//! `lichenpulley account`: where the time of a step went, through the logs of two owners.
+//! Tests of `lichenpulley account` on the logs of two owners.
 
 use lichenpulley_cli::commands::account::{Account, account};
 use lichenpulley_cli::log_lines::{LogLine, time_ms};
@@ -14,7 +14,7 @@
     line
 }
 
-/// A step of two groups, of which the trainer wants both: the item `slow` decides. Its first owner is lost.
+/// Logs of a step with two groups, both desired by the trainer. The item `slow` completes the step; its first owner is lost.
 fn logs() -> Vec<LogLine> {
     vec![
         line(0, "batch_taken", json!({"id": "j", "step": "3"})),
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn the_time_of_a_step_is_that_of_the_item_that_decided_it() {
+fn a_step_is_split_by_the_phases_of_the_item_that_completed_it() {
     let accounts = step_account::account_steps(&logs());
     let [step] = accounts.as_slice() else { panic!("{accounts:?}") };
     assert_eq!((step.step.as_str(), step.item.as_str(), step.whole, step.desired), ("3", "slow", 2, 2));
     let parts = [step.wait_ms, step.run_ms, step.gap_ms, step.score_ms, step.list_ms, step.read_ms];
     assert_eq!(parts, [200, 2_000, 300, 60, 10, 430]);
-    assert_eq!((parts.iter().sum::<u64>(), step.total_ms), (3_000, 3_000), "the parts are the whole");
+    assert_eq!((parts.iter().sum::<u64>(), step.total_ms), (3_000, 3_000), "the parts add up to the total");
     assert_eq!(step.takeovers, 1);
     let runs: Vec<(&str, &str)> =
         step.runs.iter().map(|run| (run.replica.as_str(), run.end.as_str())).collect();
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn a_step_that_never_gets_enough_groups_is_told_so() {
+fn a_step_with_too_few_complete_groups_has_no_item() {
     let logs: Vec<LogLine> = logs().into_iter().take(6).collect();
     let accounts = step_account::account_steps(&logs);
     assert_eq!((accounts[0].whole, accounts[0].desired, accounts[0].item.as_str()), (1, 2, ""));
 }
 
 #[test]
-fn a_line_without_a_time_has_none() {
+fn the_time_of_a_line_without_a_time_field_is_none() {
     assert_eq!(time_ms(&LogLine::new()), None);
     assert_eq!(time_ms(&line(1_500, "x", json!({}))).map(|at| at % 60_000), Some(1_500));
 }
 
 #[test]
-fn the_command_reads_files_with_whatever_stands_before_a_line_and_writes_a_plot() {
+fn the_command_skips_line_prefixes_and_writes_a_plot() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let path = |name: &str| folder.path().join(name).to_string_lossy().into_owned();
     let text: Vec<String> = logs().iter().map(|line| format!("7.5 node-1 {}", json!(line))).collect();
--- a/crates/cli/tests/arguments.rs
+++ b/crates/cli/tests/arguments.rs
@@ -1,4 +1,4 @@
-//! Command lines that are understood, and those that are refused.
+//! Tests of command line parsing: accepted and rejected command lines.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 }
 
 #[test]
-fn common_options_stand_before_or_after_the_command() {
-    let before = parse("--json -o 127.0.0.1:1 pool list").expect("understood");
-    let after = parse("pool list --json -o 127.0.0.1:1").expect("understood");
+fn common_options_are_accepted_before_and_after_the_command() {
+    let before = parse("--json -o 127.0.0.1:1 pool list").expect("a valid command line");
+    let after = parse("pool list --json -o 127.0.0.1:1").expect("a valid command line");
     assert_eq!(before, after);
     assert!(before.options.json);
 }
 
 #[test]
-fn a_flag_goes_before_the_environment() {
+fn a_flag_overrides_the_environment() {
     let environment = Environment { operators: Some("127.0.0.1:9,127.0.0.1:8".to_owned()), callers: None };
-    let from_environment = parse_with("watch", &environment).expect("understood");
+    let from_environment = parse_with("watch", &environment).expect("a valid command line");
     assert_eq!(from_environment.options.operators.len(), 2);
-    let from_flag = parse_with("watch -o 127.0.0.1:1", &environment).expect("understood");
+    let from_flag = parse_with("watch -o 127.0.0.1:1", &environment).expect("a valid command line");
     assert_eq!(from_flag.options.operators, ["127.0.0.1:1".parse().expect("an address")]);
 }
 
 #[test]
 fn watch_takes_filters_and_limits() {
-    let invocation =
-        parse("watch --component routing --reason least_load -n 3 --for-ms 50").expect("understood");
+    let invocation = parse("watch --component routing --reason least_load -n 3 --for-ms 50")
+        .expect("a valid command line");
     let Command::Watch(options) = invocation.command else { panic!("{:?}", invocation.command) };
     assert_eq!(options.component.as_deref(), Some("routing"));
     assert_eq!(options.reason.as_deref(), Some("least_load"));
@@ -42,19 +42,21 @@
 }
 
 #[test]
-fn help_names_every_command() {
-    let Command::Help(text) = parse("--help").expect("understood").command else { panic!("no help") };
+fn help_lists_the_commands() {
+    let Command::Help(text) = parse("--help").expect("a valid command line").command else {
+        panic!("no help")
+    };
     for command in
         ["config get", "config set", "config explain", "job submit", "job status", "pool list", "replicas"]
     {
         assert!(text.contains(command), "{command} is missing in\n{text}");
     }
-    assert!(matches!(parse("config set --help").expect("understood").command, Command::Help(_)));
+    assert!(matches!(parse("config set --help").expect("a valid command line").command, Command::Help(_)));
 }
 
 #[test]
-fn wrong_command_lines_end_with_code_2() {
-    let wrong = [
+fn invalid_command_lines_exit_with_code_2() {
+    let invalid = [
         "",
         "config",
         "configure",
@@ -74,7 +76,7 @@
         "pool list -o 127.0.0.1",
         "--timeout-ms soon pool list",
     ];
-    for line in wrong {
+    for line in invalid {
         let error = parse(line).expect_err(line);
         assert_eq!(error.exit_code(), 2, "{line}: {error}");
     }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,5 @@
-//! Jobs, pools, drains, addresses and exit codes against a scripted node.
+//! Tests of the commands other than `config`, `watch`, `trace` and `account`, and of addresses and exit codes, against a
+//! scripted node.
 
 mod support;
 
@@ -21,7 +22,7 @@
     let expected = "JOB  STEP  STEPS  READY  DELIVERED  REOPENED  IN FLIGHT  FINISHED\n\
                     j    1     4      3      32         1         5          no\n";
     assert_eq!(run.results, expected);
-    assert_eq!(server.seen()[0].path, "/v1/jobs/j");
+    assert_eq!(server.requests()[0].path, "/v1/jobs/j");
 }
 
 #[tokio::test]
@@ -36,13 +37,13 @@
     std::fs::write(&path, specification.to_string()).expect("written");
     let line = ["job", "submit", path.to_str().expect("text"), "-c", &server.address.to_string()];
     run(&line).await.result.expect("success");
-    let seen = server.seen();
-    assert_eq!((seen[0].method.as_str(), seen[0].path.as_str()), ("POST", "/v1/jobs"));
-    assert_eq!(seen[0].body, specification);
+    let requests = server.requests();
+    assert_eq!((requests[0].method.as_str(), requests[0].path.as_str()), ("POST", "/v1/jobs"));
+    assert_eq!(requests[0].body, specification);
 }
 
 #[tokio::test]
-async fn a_job_file_with_an_unknown_key_is_refused_before_anything_is_sent() {
+async fn a_job_file_with_an_unknown_key_is_rejected_before_any_request() {
     let server = Server::start(|_, _| job_status()).await;
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("job.json");
@@ -51,7 +52,7 @@
     let error = run.result.expect_err("refused");
     assert_eq!((error.kind(), error.exit_code()), ("file", 2));
     assert!(error.to_string().contains("unknown field `step`"), "{error}");
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
 }
 
 #[tokio::test]
@@ -76,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn replicas_shows_what_a_gateway_may_send_to_those_of_one_service() {
+async fn replicas_shows_the_send_state_of_one_service() {
     let cold = |interval_ms: Option<u64>| json!({"cause": "recorded", "since_ms": 1_200, "left_ms": 4_800, "interval_ms": interval_ms, "sent": 1});
     let replica = |id: &str, service: &str, state: &str, cold: serde_json::Value| json!({"replica": id, "service": service, "zone": "z1", "state": state, "cold": cold});
     let replicas = json!([
@@ -93,11 +94,11 @@
                     engines  i-2      z1    cold   recorded  1200      4800     never     1\n\
                     engines  i-3      z1    warm   -         -         -        -         -\n";
     assert_eq!(run.results, expected);
-    assert_eq!(server.seen()[0].path, "/v1/replicas");
+    assert_eq!(server.requests()[0].path, "/v1/replicas");
 }
 
 #[tokio::test]
-async fn drain_orders_the_replica() {
+async fn drain_sends_the_order_to_the_replica() {
     let load = json!({
         "role": "draining", "running": 4, "queued": 1, "capacity": 8, "tokens_per_second": 0,
         "weight_version": 1, "incarnation": 1, "age_ms": 0
@@ -107,12 +108,15 @@
     let run = run(&["drain", "bench/1", "-o", &server.address.to_string()]).await;
     run.result.expect("success");
     assert_eq!(run.results, "bench/1 takes no new work; 4 requests run and 1 wait there\n");
-    let seen = server.seen();
-    assert_eq!((seen[0].method.as_str(), seen[0].path.as_str()), ("POST", "/v1/replicas/bench%2F1/drain"));
+    let requests = server.requests();
+    assert_eq!(
+        (requests[0].method.as_str(), requests[0].path.as_str()),
+        ("POST", "/v1/replicas/bench%2F1/drain")
+    );
 }
 
 #[tokio::test]
-async fn undrain_takes_the_order_back() {
+async fn undrain_sends_the_order_to_the_replica() {
     let load = json!({
         "role": "serving", "running": 4, "queued": 1, "capacity": 8, "tokens_per_second": 0,
         "weight_version": 1, "incarnation": 1, "age_ms": 0
@@ -122,12 +126,15 @@
     let run = run(&["undrain", "bench/1", "-o", &server.address.to_string()]).await;
     run.result.expect("success");
     assert_eq!(run.results, "bench/1 takes work again\n");
-    let seen = server.seen();
-    assert_eq!((seen[0].method.as_str(), seen[0].path.as_str()), ("POST", "/v1/replicas/bench%2F1/undrain"));
+    let requests = server.requests();
+    assert_eq!(
+        (requests[0].method.as_str(), requests[0].path.as_str()),
+        ("POST", "/v1/replicas/bench%2F1/undrain")
+    );
 }
 
 #[tokio::test]
-async fn regions_shows_what_stands_where_who_owns_which_shard_and_what_was_refused() {
+async fn regions_shows_regions_shard_owners_and_refusals() {
     let document = json!({
         "regions": [{"region": "east", "zones": ["e-1", "e-2"], "nodes": 5, "coordinators": 2, "stores": 3,
             "replicas": 7}],
@@ -144,11 +151,11 @@
         let shows = |shown: &str| line.iter().all(|word| shown.contains(word));
         assert!(run.results.lines().any(shows), "{}", run.results);
     }
-    assert_eq!(server.seen()[0].path, "/v1/regions");
+    assert_eq!(server.requests()[0].path, "/v1/regions");
 }
 
 #[tokio::test]
-async fn zones_shows_what_is_evacuated_since_when_and_through_whom() {
+async fn zones_shows_the_state_age_and_source_of_evacuations() {
     let zones = json!([
         {"zone": "a/1", "state": "evacuated", "replicas": 12, "evacuated_for_ms": 2100, "through": "edge-2", "age_ms": 300},
         {"zone": "b", "state": "open", "replicas": 0, "evacuated_for_ms": null, "through": null, "age_ms": 300}
@@ -163,28 +170,28 @@
 }
 
 #[tokio::test]
-async fn evacuate_and_return_name_the_zone_and_show_a_refusal_with_its_remedy() {
-    let server = Server::start(|_, seen| match seen.path.as_str() {
+async fn evacuate_and_return_send_the_zone_and_report_a_refusal() {
+    let server = Server::start(|_, request| match request.path.as_str() {
         "/v1/zones/a%2F1/evacuate" => Answer::Json(200, json!({"zone": "a/1", "state": "evacuated"})),
         "/v1/zones/a%2F1/return" => Answer::Json(200, json!({"zone": "a/1", "state": "open"})),
         _ => Answer::Json(404, json!({"kind": "unknown_zone", "message": "m", "remedy": "r"})),
     })
     .await;
     let address = server.address.to_string();
-    let said = run(&["evacuate", "a/1", "-o", &address]).await;
-    said.result.expect("success");
-    assert!(said.results.starts_with("a/1 is to be evacuated"), "{}", said.results);
-    let said = run(&["return", "a/1", "-o", &address]).await;
-    assert_eq!(said.results, "a/1 takes work again\n");
+    let printed = run(&["evacuate", "a/1", "-o", &address]).await;
+    printed.result.expect("success");
+    assert!(printed.results.starts_with("a/1 is to be evacuated"), "{}", printed.results);
+    let printed = run(&["return", "a/1", "-o", &address]).await;
+    assert_eq!(printed.results, "a/1 takes work again\n");
     let refused = run(&["evacuate", "c", "-o", &address]).await.result.expect_err("refused");
     assert_eq!((refused.kind(), refused.exit_code()), ("unknown_zone", 1));
 }
 
 #[tokio::test]
-async fn quarantine_shows_what_is_held_and_release_names_it() {
+async fn quarantine_lists_requests_and_release_sends_the_fingerprint() {
     let fingerprint = "93855f52fce4cd53d9d1ef4b5334c338";
     let held = json!([{"fingerprint": fingerprint, "replicas": ["r-1", "r-2", "r-3"], "held_for_ms": 1200}]);
-    let server = Server::start(move |_, seen| match seen.path.as_str() {
+    let server = Server::start(move |_, request| match request.path.as_str() {
         "/v1/quarantine" => Answer::Json(200, held.clone()),
         "/v1/quarantine/93855f52fce4cd53d9d1ef4b5334c338/release" => {
             Answer::Json(200, json!({"fingerprint": fingerprint}))
@@ -207,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn ends_shows_what_is_held_and_for_how_long() {
+async fn ends_lists_pending_ends_and_how_long_they_are_held() {
     let pending = json!([{"batch": "job-1", "source": "peer", "held_for_ms": 1200, "questions": 2}]);
     let server = Server::start(move |_, _| Answer::Json(200, pending.clone())).await;
     let address = server.address.to_string();
@@ -218,7 +225,7 @@
 }
 
 #[tokio::test]
-async fn the_next_address_is_asked_where_one_takes_no_connection() {
+async fn the_next_address_is_used_if_one_refuses_the_connection() {
     let server = Server::start(|_, _| job_status()).await;
     let closed = closed_address().await;
     let both = format!("{closed},{}", server.address);
@@ -226,29 +233,29 @@
 }
 
 #[tokio::test]
-async fn no_connection_is_told_with_every_address() {
+async fn a_failed_connection_reports_the_address() {
     let closed = closed_address().await;
-    let error = run(&["job", "status", "j", "-c", &closed]).await.result.expect_err("nobody listens");
+    let error = run(&["job", "status", "j", "-c", &closed]).await.result.expect_err("no listener");
     assert_eq!((error.kind(), error.exit_code()), ("unreachable", 1));
     assert!(error.to_string().contains(&closed), "{error}");
 }
 
 #[tokio::test]
-async fn a_command_without_its_address_names_flag_and_variable() {
+async fn a_missing_address_error_names_the_flag_and_the_variable() {
     let error = run(&["pool", "list"]).await.result.expect_err("no address");
     assert_eq!(error.exit_code(), 2);
     assert_eq!(error.remedy(), "give --operators IP:PORT or set LICHENPULLEY_OPERATORS");
 }
 
 #[tokio::test]
-async fn errors_are_json_where_json_was_asked_for() {
+async fn errors_are_json_with_the_json_option() {
     let error = run(&["pool", "list"]).await.result.expect_err("no address");
     let body: serde_json::Value = serde_json::from_str(&error.describe(true)).expect("JSON");
     assert_eq!(body["kind"], "no_address");
     assert!(error.describe(false).contains("\n  remedy: give --operators"));
 }
 
-/// An address where nobody listens: it was bound and is closed again.
+/// Returns an address without a listener: its port was bound and closed again.
 async fn closed_address() -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     listener.local_addr().expect("an address").to_string()
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small HTTP server with scripted answers, and a way to run a command line against it.
+//! Test support: an HTTP server with scripted responses, and a function that runs a command line in this process.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,53 +16,56 @@
 use lichenpulley_cli::output::Output;
 use tokio::net::TcpListener;
 
-/// What the server saw.
+/// A request that the server received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct RecordedRequest {
     pub method: String,
     pub path: String,
     pub body: serde_json::Value,
 }
 
-/// What the server answers.
+/// A scripted response of the server.
 pub enum Answer {
     Json(u16, serde_json::Value),
     Text(String),
-    /// The connection closes without an answer.
-    Lost,
+    /// Closes the connection without a response.
+    Dropped,
 }
 
 pub struct Server {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is lost on purpose")]
-struct LostAnswer;
+#[error("the test closes the connection without a response")]
+struct DroppedConnection;
 
 impl Server {
-    /// Answers the n-th request (from 0) with what the script gives for it.
-    pub async fn start(script: impl Fn(usize, &Seen) -> Answer + Send + Sync + 'static) -> Self {
+    /// Starts a server that answers each request with the result of `script`, called with the request's index from 0.
+    pub async fn start(script: impl Fn(usize, &RecordedRequest) -> Answer + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let seen: Arc<Mutex<Vec<Seen>>> = Arc::default();
-        tokio::spawn(accept(listener, Arc::new(script), Arc::clone(&seen)));
-        Self { address, seen }
+        let requests: Arc<Mutex<Vec<RecordedRequest>>> = Arc::default();
+        tokio::spawn(accept(listener, Arc::new(script), Arc::clone(&requests)));
+        Self { address, requests }
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no panic while held").clone()
+    pub fn requests(&self) -> Vec<RecordedRequest> {
+        self.requests.lock().expect("no panic while held").clone()
     }
 }
 
-async fn accept<Script>(listener: TcpListener, script: Arc<Script>, seen: Arc<Mutex<Vec<Seen>>>)
-where
-    Script: Fn(usize, &Seen) -> Answer + Send + Sync + 'static,
+async fn accept<Script>(
+    listener: TcpListener,
+    script: Arc<Script>,
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
+) where
+    Script: Fn(usize, &RecordedRequest) -> Answer + Send + Sync + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
-        let (script, seen) = (Arc::clone(&script), Arc::clone(&seen));
-        let service = service_fn(move |request| answer(request, Arc::clone(&script), Arc::clone(&seen)));
+        let (script, requests) = (Arc::clone(&script), Arc::clone(&requests));
+        let service = service_fn(move |request| answer(request, Arc::clone(&script), Arc::clone(&requests)));
         let connection =
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::spawn(connection);
@@ -72,23 +75,23 @@
 async fn answer<Script>(
     request: Request<Incoming>,
     script: Arc<Script>,
-    seen: Arc<Mutex<Vec<Seen>>>,
-) -> Result<Response<Full<Bytes>>, LostAnswer>
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
+) -> Result<Response<Full<Bytes>>, DroppedConnection>
 where
-    Script: Fn(usize, &Seen) -> Answer + Send + Sync + 'static,
+    Script: Fn(usize, &RecordedRequest) -> Answer + Send + Sync + 'static,
 {
     let method = request.method().to_string();
     let path = request.uri().to_string();
-    let body = request.into_body().collect().await.map_err(|_| LostAnswer)?.to_bytes();
+    let body = request.into_body().collect().await.map_err(|_| DroppedConnection)?.to_bytes();
     let body = serde_json::from_slice(&body).unwrap_or(serde_json::Value::Null);
-    let this = Seen { method, path, body };
-    let number = {
-        let mut seen = seen.lock().expect("no panic while held");
-        seen.push(this.clone());
-        seen.len() - 1
+    let received = RecordedRequest { method, path, body };
+    let index = {
+        let mut requests = requests.lock().expect("no panic while held");
+        requests.push(received.clone());
+        requests.len() - 1
     };
-    match script(number, &this) {
-        Answer::Lost => Err(LostAnswer),
+    match script(index, &received) {
+        Answer::Dropped => Err(DroppedConnection),
         Answer::Text(text) => Ok(Response::new(Full::from(text))),
         Answer::Json(status, value) => {
             let mut response = Response::new(Full::from(value.to_string()));
@@ -98,15 +101,15 @@
     }
 }
 
-/// What a command printed, and how it ended.
-pub struct Run {
+/// Result and output of a command.
+pub struct CommandRun {
     pub result: Result<(), CliError>,
     pub results: String,
     pub notes: String,
 }
 
-/// Runs a command line.
-pub async fn run(line: &[&str]) -> Run {
+/// Parses and runs a command line.
+pub async fn run(line: &[&str]) -> CommandRun {
     let arguments: Vec<String> = line.iter().map(|word| (*word).to_owned()).collect();
     let (mut results, mut notes) = (Vec::new(), Vec::new());
     let result = match Invocation::parse(&arguments, &Environment::default()) {
@@ -118,5 +121,5 @@
         Err(error) => Err(error),
     };
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    Run { result, results: text(results), notes: text(notes) }
+    CommandRun { result, results: text(results), notes: text(notes) }
 }
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,9 +1,9 @@
-//! `lichenpulley trace`: from an id to its cause, through logs of several nodes.
+//! Tests of `lichenpulley trace` on the logs of several nodes.
 
 use lichenpulley_cli::commands::trace::{Trace, trace};
 use lichenpulley_cli::output::Output;
 
-/// Lines of three nodes as a collector hands them over, out of order and with something before them.
+/// Log lines of three nodes, out of order and with a collector's prefix.
 const LOG: &str = r#"
 edge-2 {"time":"2026-08-30T18:17:27.143Z","node":"edge-2","level":"info","part":"rollout","message":"taking_over","id":"batch/main","reason":"owner_silent","idle_ms":"6130"}
 edge-1 {"time":"2026-08-30T18:17:20.025Z","node":"edge-1","level":"info","part":"rollout","message":"batch_taken","id":"3ab6","reason":"has_room","items":"96"}
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_item_is_followed_across_owners_in_the_order_of_time() {
+fn an_item_is_traced_across_owners_in_order_of_time() {
     let shown = run("item-7", false);
     let decisions: Vec<&str> =
         shown.lines().skip(1).filter_map(|line| line.split_whitespace().nth(2)).collect();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_refused_request_shows_its_reason_and_nothing_else() {
+fn a_refused_request_shows_its_reason_without_other_decisions() {
     let shown = run("r-9", true);
     assert!(shown.contains("no_owner") && !shown.contains("item-7"), "{shown}");
 }
--- a/crates/cli/tests/watch.rs
+++ b/crates/cli/tests/watch.rs
@@ -1,4 +1,4 @@
-//! `watch` against scripted nodes: filters, reconnects, and what it says of lost decisions.
+//! Tests of `watch` against scripted nodes: filters, reconnection and reports of lost decisions.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use serde_json::json;
 use support::{Answer, Server, run};
 
-/// A stream that ends after these sequence numbers; even ones are of routing, odd ones of rollout.
+/// Returns a stream that ends after these sequence numbers; even ones belong to routing, odd ones to rollout.
 fn stream(sequences: &[u64]) -> Answer {
     let mut text = ": hello\n\n".to_owned();
     for &sequence in sequences {
@@ -18,13 +18,13 @@
             "action": "routed", "reason": "least_load", "subject": format!("request-{sequence}"),
             "inputs": [{"name": "in_flight", "value": "3"}]
         });
-        write!(text, "data: {event}\n\n").expect("a text takes it");
+        write!(text, "data: {event}\n\n").expect("writing to a string succeeds");
     }
     Answer::Text(text)
 }
 
 #[tokio::test]
-async fn decisions_are_lines_with_reason_and_inputs() {
+async fn a_decision_is_one_line_with_its_reason_and_inputs() {
     let server = Server::start(|_, _| stream(&[4])).await;
     let run = run(&["watch", "-n", "1", "-o", &server.address.to_string()]).await;
     run.result.expect("success");
@@ -34,8 +34,8 @@
 }
 
 #[tokio::test]
-async fn a_jump_in_the_sequence_is_told_also_across_a_reconnect() {
-    let server = Server::start(|number, _| match number {
+async fn a_sequence_gap_is_reported_also_after_a_reconnect() {
+    let server = Server::start(|index, _| match index {
         0 => stream(&[4, 5, 9]),
         _ => stream(&[12]),
     })
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn a_filtered_decision_is_no_lost_one() {
+async fn a_filtered_decision_is_not_reported_as_lost() {
     let server = Server::start(|_, _| stream(&[4, 5, 6, 7, 8])).await;
     let address = server.address.to_string();
     let run = run(&["watch", "-n", "2", "--component", "rollout", "-o", &address]).await;
@@ -60,21 +60,21 @@
 }
 
 #[tokio::test]
-async fn a_node_that_counts_anew_was_restarted() {
-    let server = Server::start(|number, _| if number == 0 { stream(&[40]) } else { stream(&[0]) }).await;
+async fn a_lower_sequence_number_is_reported_as_a_restart() {
+    let server = Server::start(|index, _| if index == 0 { stream(&[40]) } else { stream(&[0]) }).await;
     let run = run(&["watch", "-n", "2", "-o", &server.address.to_string()]).await;
     run.result.expect("success");
     assert!(run.notes.contains("node-1 was started again"), "{}", run.notes);
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_are_cut() {
+fn events_are_independent_of_chunk_boundaries() {
     let text = b": comment\r\n\r\nevent: error\r\ndata: one\r\ndata: two\r\n\r\ndata:three\n\nid: 4\n\n";
     let event = |name: &str, data: &str| ServerSentEvent { name: name.to_owned(), data: data.to_owned() };
     let expected = [event("error", "one\ntwo"), event("", "three")];
     for size in 1..=text.len() {
         let mut decoder = EventDecoder::default();
-        let events: Vec<ServerSentEvent> = text.chunks(size).flat_map(|piece| decoder.push(piece)).collect();
-        assert_eq!(events, expected, "in pieces of {size}");
+        let events: Vec<ServerSentEvent> = text.chunks(size).flat_map(|chunk| decoder.push(chunk)).collect();
+        assert_eq!(events, expected, "in chunks of {size}");
     }
 }
