--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -60,7 +60,7 @@
 /// A parsed command with its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Prints this help text.
+    /// Prints a help text.
     Help(String),
     /// Prints the version.
     Version,
--- a/crates/cli/src/commands/config.rs
+++ b/crates/cli/src/commands/config.rs
@@ -1,4 +1,4 @@
-//! `config get`, `config set` and `config explain`.
+//! `config get`, `config set` and `config explain`: show and change settings.
 //!
 //! Each change has an id, so that it can be sent repeatedly until a response arrives and takes effect at most once.
 
--- a/crates/cli/src/commands/drain.rs
+++ b/crates/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`.
+//! `drain` and `undrain`: change whether a replica accepts new requests.
 
 use hyper::Method;
 use lichenpulley_core::identity::ReplicaId;
--- a/crates/cli/src/commands/ends.rs
+++ b/crates/cli/src/commands/ends.rs
@@ -1,4 +1,4 @@
-//! `ends`.
+//! `ends`: lists the ends of jobs that are not known to be committed.
 
 use lichenpulley_protocol::operator::PendingEndStatus;
 
--- a/crates/cli/src/commands/job.rs
+++ b/crates/cli/src/commands/job.rs
@@ -1,4 +1,4 @@
-//! `job submit` and `job status`.
+//! `job submit` and `job status`: create a rollout job and show its progress.
 
 use hyper::Method;
 use lichenpulley_core::identity::JobId;
--- a/crates/cli/src/commands/pool.rs
+++ b/crates/cli/src/commands/pool.rs
@@ -1,4 +1,4 @@
-//! `pool list`.
+//! `pool list`: lists pools and their replicas.
 
 use lichenpulley_core::identity::PoolName;
 use lichenpulley_protocol::operator::PoolStatus;
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine` and `release`.
+//! `quarantine` and `release`: list and release quarantined requests.
 
 use hyper::Method;
 use lichenpulley_core::quarantine::Fingerprint;
--- a/crates/cli/src/commands/regions.rs
+++ b/crates/cli/src/commands/regions.rs
@@ -1,4 +1,4 @@
-//! `regions`.
+//! `regions`: lists regions, shards of batch jobs and refusals.
 
 use lichenpulley_protocol::operator::RegionsDocument;
 
--- a/crates/cli/src/commands/replicas.rs
+++ b/crates/cli/src/commands/replicas.rs
@@ -1,4 +1,4 @@
-//! `replicas`.
+//! `replicas`: lists what a gateway may send to each replica.
 
 use lichenpulley_protocol::operator::{ColdStatus, ReplicaSendStatus};
 
--- a/crates/cli/src/commands/zones.rs
+++ b/crates/cli/src/commands/zones.rs
@@ -1,4 +1,4 @@
-//! `zones`, `evacuate` and `return`.
+//! `zones`, `evacuate` and `return`: list zones and change whether they are evacuated.
 
 use hyper::Method;
 use lichenpulley_protocol::operator::{ZoneChanged, ZoneStatus};
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
 //! `lichenpulley`: the command line tool for operators.
 //!
-//! Exits with 2 if the command line is invalid and with 1 on every other failure.
+//! Exits with 2 if the command line or an input file is invalid and with 1 on every other failure.
 
 use std::process::ExitCode;
 
