--- a/crates/lab/src/soak/system.rs
+++ b/crates/lab/src/soak/system.rs
@@ -1,6 +1,6 @@
 //! The system under test: daemon processes, simulated platform and replicas, and the proxies between them.
 
-mod storm;
+mod injection;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::error::LabError;
 use crate::metadata_store::{self, MetadataStore};
 use crate::platform_replica::{self, Replica, ReplicaBehaviour, ReplicaPlan, SeenRequest};
-pub(super) use storm::OBSERVATION_PERIOD;
+pub(super) use injection::OBSERVATION_PERIOD;
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 const SIZE: SystemSize = SystemSize { gateways: 3, stores: 3, replicas: 3, zones: ZONES.len() };
