--- a/crates/protocol/src/caller.rs
+++ b/crates/protocol/src/caller.rs
@@ -1,6 +1,6 @@
-//! The callers' interface: completions, rollout jobs and the trainer's pull.
+//! The HTTP interface for callers: completions, rollout jobs, sample pulls by trainers, and weight publication.
 //!
-//! | method and path | body | answer |
+//! | method and path | request body | response |
 //! |---|---|---|
 //! | `POST /v1/completions` | [`CompletionRequest`] | [`CompletionResponse`], or server-sent [`CompletionChunk`]s |
 //! | `POST /v1/jobs` | [`JobSpecification`] | [`JobStatus`] |
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// The header that names a request; the same as `request_id` in the body.
+/// HTTP header that carries the request id; equivalent to `request_id` in the body.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// A request to generate text.
@@ -25,31 +25,31 @@
     /// The model pool.
     #[serde(alias = "model")]
     pub pool: PoolName,
-    /// The prompt.
+    /// The prompt text.
     pub prompt: String,
-    /// At most this many tokens are generated.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Who waits.
+    /// The scheduling priority.
     #[serde(default)]
     pub priority: Priority,
-    /// Milliseconds from arrival after which the answer is of no use; the pool's setting where absent.
+    /// Deadline in milliseconds from arrival; defaults to the pool's setting.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether running it twice does no harm. A request marked `false` runs at most once (brief point 6).
+    /// Whether the request may run more than once. A request marked `false` runs at most once.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// The caller's own id; required where `repeatable` is `false`.
+    /// An id chosen by the caller; required if `repeatable` is `false`.
     #[serde(default)]
     pub request_id: Option<RequestId>,
-    /// Milliseconds since the Unix epoch when the caller first issued this id; required where `repeatable` is
-    /// `false`, so that an id older than the claims kept can be refused.
+    /// When the caller first issued this id, in milliseconds since the Unix epoch; required if `repeatable` is
+    /// `false`, so that an id older than the retained claims can be refused.
     #[serde(default)]
     pub issued_at_unix_ms: Option<u64>,
-    /// The seed of sampling: the same prompt, seed and weights give the same tokens.
+    /// The sampling seed: the same prompt, seed and weights give the same tokens.
     #[serde(default)]
     pub seed: u64,
-    /// Whether the answer is streamed as server-sent events.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -62,59 +62,59 @@
     true
 }
 
-/// A whole answer.
+/// A complete response to a [`CompletionRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The id the caller gave, or the one given to it.
+    /// The id that the caller supplied or the gateway generated.
     pub request_id: RequestId,
-    /// The text.
+    /// The generated text.
     pub text: String,
-    /// The tokens.
+    /// The generated tokens.
     pub tokens: Vec<u32>,
-    /// Which weights produced which tokens; covers every token.
+    /// The weight version of each range of tokens; the ranges cover every token.
     pub spans: Vec<VersionSpan>,
-    /// Why it ended.
+    /// Why generation ended.
     pub finish_reason: FinishReason,
-    /// How many attempts were made.
+    /// Number of attempts made.
     pub attempts: u32,
 }
 
-/// One server-sent event of a streamed answer: `data: {json}`. The last carries `finish_reason`; a stream that
-/// can't be made whole ends with `event: error` and an [`crate::error::ErrorBody`].
+/// One server-sent event of a streamed response, sent as `data: {json}`. The last one carries `finish_reason`; a
+/// stream that can't be completed ends with `event: error` and an [`crate::error::ErrorBody`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChunk {
-    /// The request.
+    /// The request's id.
     pub request_id: RequestId,
-    /// Number of the first token in this chunk, counted from 0 over the whole answer.
+    /// Index of the first token of this chunk within the whole response, from 0.
     pub first_token: u32,
-    /// The tokens, in order, without gaps to the chunk before.
+    /// The tokens, contiguous with those of the previous chunk.
     pub tokens: Vec<u32>,
     /// The text of these tokens.
     pub text: String,
-    /// The weights that produced them.
+    /// The version of the weights that produced the tokens.
     pub weight_version: WeightVersion,
-    /// Set on the last chunk.
+    /// Why generation ended; set on the last chunk only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<FinishReason>,
 }
 
-/// A trainer says that a version of a pool's weights is in the weight store.
+/// Announces that a version of a pool's weights is available in the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct PublishWeights {
-    /// The new version; a version at or below the current one changes nothing.
+    /// The new version; one at or below the current version has no effect.
     pub weight_version: WeightVersion,
 }
 
-/// How far a pool's weights have come.
+/// Rollout progress of a pool's weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 pub struct WeightsStatus {
-    /// The version that all replicas are to have; `None` before the first was published.
+    /// The version that all replicas should load; `None` until the first is published.
     pub target: Option<WeightVersion>,
-    /// Replicas of the pool.
+    /// Number of replicas in the pool.
     pub replicas: u32,
-    /// Replicas that have been ordered to load it and have not reported it.
+    /// Replicas ordered to load the target version that have not reported it yet.
     pub loading: u32,
-    /// Replicas that have reported it.
+    /// Replicas that have reported the target version.
     pub confirmed: u32,
 }
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,43 +1,43 @@
-//! The error body that every HTTP interface of ours answers with.
+//! The JSON error body of all HTTP interfaces.
 //!
-//! A kind for programs, a message and a remedy for people, and whether the request has run.
+//! It has a machine-readable kind, a message and a remedy for people, and whether the request has run.
 
 use lichenpulley_core::identity::Revision;
 use serde::{Deserialize, Serialize};
 
-/// A typed error as JSON: what kind, what happened, and what to do about it.
+/// A typed error with a machine-readable kind, a message and a remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message}; {remedy}")]
 pub struct ErrorBody {
-    /// A stable word that programs can match, in snake case.
+    /// Stable identifier for programs, in snake case.
     pub kind: String,
-    /// What happened, for people.
+    /// Human-readable description of the error.
     pub message: String,
-    /// What the reader can do about it.
+    /// How to resolve the error.
     pub remedy: String,
-    /// Whether the request ran: `not_run` only where that is proved; `unknown` where it is in doubt.
+    /// Whether the request ran: `not_run` only if that is certain, else `unknown`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub execution: Option<Execution>,
-    /// When to come back, in milliseconds; also sent as `Retry-After` in whole seconds.
+    /// Delay before a retry, in milliseconds; also sent as `Retry-After` in whole seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The current revision of the configuration, where a change lost a race.
+    /// The current revision of the configuration, if a change was based on an older one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_revision: Option<Revision>,
 }
 
-/// What is known about whether a failed request ran (brief point 5).
+/// What is known about whether a failed request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// Proved: no engine admitted it.
+    /// No engine admitted the request, so it did not run.
     NotRun,
-    /// An engine may have run all or part of it.
+    /// An engine may have run all or part of the request.
     Unknown,
 }
 
 impl ErrorBody {
-    /// An error that says nothing about execution.
+    /// Creates an error without execution status, retry delay or revision.
     pub fn new(kind: &str, message: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             kind: kind.to_owned(),
--- a/crates/protocol/src/internal/batch.rs
+++ b/crates/protocol/src/internal/batch.rs
@@ -1,7 +1,7 @@
-//! Requests to the owner of the batch jobs.
+//! Requests to the owner of a shard of batch jobs.
 //!
-//! Between gateways and the owner of a shard, and from an owner that leaves to the next. Order and form of the variants are the
-//! wire format: new ones go at the end.
+//! Gateways send them to the owner, and a departing owner sends one to its successor. The order and types of the
+//! variants are the wire format: new ones are added at the end.
 
 use lichenpulley_core::batch::job::{BatchJob, ItemResult};
 use lichenpulley_core::batch::progress_offer::ProgressOffer;
@@ -9,46 +9,47 @@
 use lichenpulley_core::usage::meter::UsageReport;
 use speedy::{Readable, Writable};
 
-/// A request to the owner of the batch jobs. Each can be repeated without harm.
+/// A request to the owner of a shard of batch jobs. All requests are idempotent.
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum BatchRequest {
-    /// Takes a job.
+    /// Submits a job.
     Submit(BatchJob),
-    /// Reads results from a position on; waits for one where there is none.
+    /// Reads results starting at a position; waits for the first if there is none yet.
     Read {
-        /// The job.
+        /// The job's id.
         batch: BatchId,
-        /// The first position wanted.
+        /// The first position to read.
         from: u64,
-        /// How long to wait, in milliseconds.
+        /// Longest wait, in milliseconds.
         wait_ms: u64,
-        /// Who asks; `None` where callers need no key.
+        /// The calling tenant; `None` if callers need no key.
         caller: Option<TenantName>,
     },
-    /// Reads the body of an item that is not listed.
+    /// Reads the body of an item, which the results do not include.
     ItemBody {
-        /// The job.
+        /// The job's id.
         batch: BatchId,
         /// The item's id.
         item: String,
-        /// Who asks; `None` where callers need no key.
+        /// The calling tenant; `None` if callers need no key.
         caller: Option<TenantName>,
     },
     /// Ends a job.
     End {
-        /// The job.
+        /// The job's id.
         batch: BatchId,
-        /// Who asks; `None` where callers need no key.
+        /// The calling tenant; `None` if callers need no key.
         caller: Option<TenantName>,
     },
-    /// The owner leaves: the receiver should take over now. One that can't reach its stores offers what they don't keep.
+    /// Asks the receiver to take over from the departing sender. A sender that can't reach its stores includes the
+    /// progress that is not committed.
     TakeOver(Option<ProgressOffer>),
-    /// What a node counted for the duty of usage.
+    /// Reports the usage that a node has metered.
     Usage(UsageReport),
 }
 
 impl BatchRequest {
-    /// The job that is read or ended.
+    /// Returns the job that is read or ended; `None` for other requests.
     pub const fn job(&self) -> Option<&BatchId> {
         match self {
             Self::Read { batch, .. } | Self::ItemBody { batch, .. } | Self::End { batch, .. } => Some(batch),
@@ -57,52 +58,52 @@
     }
 }
 
-/// A result and the id of its item.
+/// An item's result and id.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ListedResult {
     /// The item's id.
     pub item: String,
-    /// What came of it.
+    /// The item's result.
     pub result: ItemResult,
 }
 
-/// The owner's answer.
+/// The owner's response to a [`BatchRequest`].
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum BatchResponse {
-    /// The job is kept by a majority of stores.
+    /// The job is committed by a majority of stores.
     Taken,
-    /// There is no room; nothing of the job runs.
+    /// The owner's capacity is exhausted; no item of the job runs.
     Full,
-    /// Another tenant's job has the id; nothing of this one runs.
+    /// The id belongs to another tenant's job; no item of this job runs.
     IdTaken,
-    /// Results.
+    /// Results of a job.
     Results {
-        /// How many items the job has.
+        /// Number of items in the job.
         total: u64,
-        /// The results, at the positions asked for.
+        /// The results, starting at the requested position.
         results: Vec<ListedResult>,
     },
-    /// The body of an item.
+    /// An item's body.
     Body(Vec<u8>),
-    /// The job is ended.
+    /// The job has ended.
     Ended,
-    /// What a node counted is kept by a majority of stores.
+    /// The usage report is committed by a majority of stores.
     UsageKept,
-    /// There is no such job or item.
+    /// The job or item does not exist.
     Unknown,
-    /// The receiver does not own the jobs; it knows who may.
+    /// The receiver does not own the shard; contains the presumed owner, if known.
     NotOwner(Option<NodeId>),
-    /// The owner can't be sure now. Nothing was begun.
+    /// The owner can't confirm its ownership now; the request had no effect.
     Unavailable,
-    /// The log failed while the request was on its way to the stores: it may be kept or not.
+    /// The log failed while the request was being replicated; it may or may not be committed.
     InDoubt,
 }
 
-/// An end that the sender read, for the receiver to bring to the owner too: it outlasts the sender then.
+/// The end of a job, which the receiver forwards to the owner too, so that it isn't lost if the sender fails.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct HoldEnd {
-    /// The job.
+    /// The job's id.
     pub batch: BatchId,
-    /// Who ends it; `None` where callers need no key.
+    /// The tenant that ends the job; `None` if callers need no key.
     pub caller: Option<TenantName>,
 }
--- a/crates/protocol/src/internal/configuration.rs
+++ b/crates/protocol/src/internal/configuration.rs
@@ -1,25 +1,25 @@
-//! What nodes say to each other about the documents that every node holds.
+//! Requests that disseminate the documents replicated on every node.
 //!
-//! Carries the messages of `core::configuration::dissemination`, which owns what they mean.
+//! The messages are defined in `core::configuration::dissemination`.
 
 use lichenpulley_core::configuration::dissemination::Message;
 use lichenpulley_core::identity::NodeId;
 use speedy::{Readable, Writable};
 
-/// A document that every node holds.
+/// A document that is replicated on every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub enum DocumentName {
     /// The settings tree.
     Configuration,
-    /// The machines, as the platform's list gives them.
+    /// The platform's list of machines.
     Directory,
 }
 
 impl DocumentName {
-    /// Every document.
+    /// All documents.
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Directory];
 
-    /// The name under which its revision rides on the heartbeats.
+    /// Returns the key of the document's revision in heartbeats.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -28,20 +28,20 @@
     }
 }
 
-/// A message about a document.
+/// A dissemination message for a document.
 #[derive(Clone, Debug, Readable, Writable)]
 pub struct ConfigurationRequest {
-    /// Which document.
+    /// The document that the message concerns.
     pub document: DocumentName,
-    /// The sender.
+    /// The sending node.
     pub from: NodeId,
-    /// What it says.
+    /// The dissemination message.
     pub message: Message,
 }
 
-/// What the receiver has to say to the sender at once.
+/// The receiver's immediate response.
 #[derive(Clone, Debug, Default, Readable, Writable)]
 pub struct ConfigurationResponse {
-    /// Its messages, in order.
+    /// The reply messages, in order.
     pub replies: Vec<Message>,
 }
--- a/crates/protocol/src/internal/coordinator.rs
+++ b/crates/protocol/src/internal/coordinator.rs
@@ -1,6 +1,6 @@
-//! Requests to the owner of a shard of control work.
+//! Requests to the owner of a shard of rollout jobs or weights.
 //!
-//! For rollout jobs and weights of the product's own interface. Each request can be repeated without harm.
+//! All requests are idempotent.
 
 use lichenpulley_core::identity::{JobId, NodeId, PoolName, ReplicaId, ShardId};
 use speedy::{Readable, Writable};
@@ -10,31 +10,31 @@
 /// A request to a shard's owner.
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum CoordinatorRequest {
-    /// A store replica that holds this shard asks its owner to run it.
+    /// Asks the owner of a shard to run it; sent by a store replica that holds the shard.
     Own(ShardId),
-    /// Creates a job; repeating the same specification changes nothing.
+    /// Creates a job; repeating the same specification has no effect.
     SubmitJob(JobSpecification),
-    /// Asks how a job stands.
+    /// Requests a job's status.
     JobStatus(JobId),
-    /// A trainer's pull.
+    /// Pulls samples for a trainer.
     Pull(JobId, PullRequest),
-    /// A new version of a pool's weights.
+    /// Publishes a new version of a pool's weights.
     PublishWeights(PoolName, PublishWeights),
-    /// Asks how far a pool's weights have come.
+    /// Requests the rollout progress of a pool's weights.
     WeightsStatus(PoolName),
-    /// Orders a replica to drain, or to take work again.
+    /// Orders a replica to drain or to accept work again.
     ChangeRole {
-        /// Its pool.
+        /// The replica's pool.
         pool: PoolName,
         /// The replica.
         replica: ReplicaId,
-        /// Whether it is to drain.
+        /// Whether the replica should drain.
         draining: bool,
     },
 }
 
 impl CoordinatorRequest {
-    /// The shard whose owner answers.
+    /// Returns the shard whose owner serves the request.
     pub fn shard(&self) -> ShardId {
         match self {
             Self::Own(shard) => shard.clone(),
@@ -47,43 +47,42 @@
     }
 }
 
-/// The shard of a job.
+/// Returns the shard of a job.
 pub fn job_shard(job: &JobId) -> ShardId {
     ShardId::new(format!("job/{job}"))
 }
 
-/// The shard of a pool's weights.
+/// Returns the shard of a pool's weights.
 pub fn weights_shard(pool: &PoolName) -> ShardId {
     ShardId::new(format!("weights/{pool}"))
 }
 
-/// Its answer.
+/// The response to a [`CoordinatorRequest`].
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum CoordinatorResponse {
-    /// The shard runs on the node that answers, or is being taken over there.
+    /// The shard runs on the responding node, or is being taken over by it.
     Owned,
-    /// How the job stands.
+    /// The job's status.
     Job(JobStatus),
-    /// Samples.
+    /// The pulled samples.
     Samples(PullResponse),
-    /// The version now published.
+    /// The currently published version.
     Weights(PublishWeights),
-    /// How far a pool's weights have come.
+    /// The rollout progress of the pool's weights.
     WeightsStatus(WeightsStatus),
-    /// The role is kept by a majority, and ordered until the replica has taken it.
+    /// The role is committed; the order is repeated until the replica has taken it.
     RoleChanged,
-    /// The node does not own the shard; ask this one, if it is known.
+    /// The node does not own the shard; contains the presumed owner, if known.
     NotOwner(Option<NodeId>),
-    /// The request can't be met; a kind, a message and a remedy for the caller, and when to come back in
-    /// milliseconds.
+    /// The request is refused, with an error for the caller.
     Refused {
-        /// A stable word in snake case.
+        /// Stable identifier of the error, in snake case.
         kind: String,
-        /// What happened.
+        /// Human-readable description of the error.
         message: String,
-        /// What the caller can do.
+        /// How the caller can resolve the error.
         remedy: String,
-        /// When to come back, in milliseconds; 0 where coming back does not help.
+        /// Delay before a retry, in milliseconds; 0 if a retry does not help.
         retry_after_ms: u64,
     },
 }
--- a/crates/protocol/src/internal/metadata.rs
+++ b/crates/protocol/src/internal/metadata.rs
@@ -1,23 +1,22 @@
-//! What nodes tell each other of the platform's metadata, for those that can't reach the platform
-//! or need not.
+//! Requests that share the platform's metadata between nodes, so that not every node has to reach the platform.
 //!
-//! Objects travel as the platform's JSON, unread: each node reads them by the `platform` crate for itself.
+//! Objects are sent as the platform's original JSON; the receiver decodes them with the `platform` crate.
 
 use lichenpulley_core::quarantine::CrashReport;
 use speedy::{Readable, Writable};
 
-/// Objects of the platform that nodes watch.
+/// A kind of platform object that nodes watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub enum MetadataKind {
-    /// The operator's configuration.
+    /// Configuration set by the operator.
     Configuration,
     /// Replicas.
     Replicas,
-    /// Versions that trainers named.
+    /// Weight versions that trainers announced.
     Versions,
-    /// Zones that the operator wants evacuated.
+    /// Zones to be evacuated.
     Evacuations,
-    /// What nodes told of requests under which replicas ended.
+    /// Reports of requests during which replicas crashed.
     Quarantine,
 }
 
@@ -27,62 +26,62 @@
         [Self::Configuration, Self::Replicas, Self::Versions, Self::Evacuations, Self::Quarantine];
 }
 
-/// Asks a node that reaches the platform's store to keep a report there.
+/// Asks a node that reaches the platform's store to write a crash report to it.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct KeepReport {
-    /// The name under which it is kept, once.
+    /// The report's unique name, which makes the write idempotent.
     pub name: String,
-    /// The report.
+    /// The crash report.
     pub report: CrashReport,
 }
 
-/// What becomes of a report that is to be kept.
+/// The response to a [`KeepReport`] request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum KeepResponse {
-    /// The receiver keeps trying in the sender's place.
+    /// The receiver retries the write on the sender's behalf.
     Taken,
-    /// The receiver has no way to the store, or too much to write already.
+    /// The receiver can't reach the store, or its write queue is full.
     Refused,
 }
 
-/// Asks for what changed in a kind.
+/// Requests changes to the objects of a kind.
 #[derive(Clone, Debug, Readable, Writable)]
 pub struct MetadataRequest {
-    /// The kind.
+    /// The kind of objects.
     pub kind: MetadataKind,
-    /// The platform's revision that the sender's copy is of.
+    /// The platform revision of the sender's copy, if it has one.
     pub newer_than: Option<u64>,
-    /// How long the answer may wait for a change, in milliseconds.
+    /// Longest wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// A copy of all objects of a kind.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MetadataCopy {
-    /// The platform's revision that it is of.
+    /// The platform revision of the copy.
     pub revision: u64,
-    /// Names, and what stands in each object as JSON; in rising order of names.
+    /// The name and JSON text of each object, sorted by name.
     pub objects: Vec<(String, String)>,
 }
 
-/// What turns a copy into a later one.
+/// The difference between a copy and a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MetadataUpdate {
-    /// The platform's revision that results.
+    /// The platform revision after the update.
     pub revision: u64,
-    /// Whether `objects` are all there are; otherwise those that changed.
+    /// Whether `objects` contains all objects instead of the changed ones only.
     pub is_whole: bool,
-    /// Names, and what stands in each object as JSON.
+    /// The name and JSON text of each object.
     pub objects: Vec<(String, String)>,
-    /// Names of objects that are gone.
+    /// Names of deleted objects.
     pub removed: Vec<String>,
 }
 
-/// What a node knows beyond the sender.
+/// The response to a [`MetadataRequest`].
 #[derive(Clone, Debug, Readable, Writable)]
 pub struct MetadataResponse {
-    /// What changed, where the receiver has a later copy.
+    /// The changes, if the responding node has a later copy.
     pub update: Option<MetadataUpdate>,
-    /// How long ago the platform last confirmed the receiver's copy, in milliseconds.
+    /// Time since the platform last confirmed the responding node's copy, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/protocol/src/internal/mod.rs
+++ b/crates/protocol/src/internal/mod.rs
@@ -1,7 +1,7 @@
-//! Requests between our own processes. One `tarpc` service, one request type for each part.
+//! The `tarpc` service between nodes, with one request type for each subsystem.
 //!
-//! Owns the wire format between nodes of one release and the next: order and form of fields and variants stay, new ones go at the
-//! end.
+//! Nodes of successive releases exchange these messages: the order and types of fields and variants must not change,
+//! and new ones are added at the end.
 
 pub mod batch;
 pub mod configuration;
@@ -18,23 +18,23 @@
 };
 pub use store::{StoreRequest, StoreResponse};
 
-/// What every node answers to its peers.
+/// The requests that a node serves to its peers.
 #[tarpc::service(derive = [Clone, speedy::Readable, speedy::Writable])]
 pub trait Peer {
-    /// Epochs, logs and claims, answered by nodes with the store role.
+    /// Accesses epochs, logs and claims; served by nodes with the store role.
     async fn store(request: StoreRequest) -> StoreResponse;
-    /// Job and weight control, answered by the owner of the shard.
+    /// Controls rollout jobs and weights; served by the owner of the shard.
     async fn coordinator(request: CoordinatorRequest) -> CoordinatorResponse;
-    /// Revisions of the configuration and of the replica directory, answered by every node.
+    /// Exchanges revisions of the configuration and of the machine directory; served by every node.
     async fn configuration(request: ConfigurationRequest) -> ConfigurationResponse;
-    /// Batch jobs, answered by their owner.
+    /// Submits, reads and ends batch jobs; served by their owner.
     async fn batch(request: BatchRequest) -> BatchResponse;
-    /// The platform's metadata as this node knows it, answered by every node.
+    /// Reads this node's copy of the platform's metadata; served by every node.
     async fn metadata(request: MetadataRequest) -> MetadataResponse;
-    /// Batch jobs of a shard that is bound to some regions, answered by its owner.
+    /// Like `batch`, for a shard restricted to certain regions; served by the shard's owner.
     async fn regional_batch(shard: ShardId, request: BatchRequest) -> BatchResponse;
-    /// A report for the platform's store, for a node that can't reach it; answered by every node.
+    /// Writes a report to the platform's store for a node that can't reach it; served by every node.
     async fn keep_report(request: KeepReport) -> KeepResponse;
-    /// The end of a batch job, for a node that may be lost before the owner keeps it; answered by every node.
+    /// Holds the end of a batch job until the owner has committed it, in case the sender fails; served by every node.
     async fn hold_end(request: HoldEnd);
 }
--- a/crates/protocol/src/internal/store.rs
+++ b/crates/protocol/src/internal/store.rs
@@ -1,6 +1,6 @@
-//! Requests to a store replica.
+//! Requests to a store replica from owners, claimants, candidates and other stores.
 //!
-//! From owners, claimants, candidates and other stores. The messages of a log are those of `core::replication`, carried as they are.
+//! The messages of the replicated log are defined in `core::replication`.
 
 use lichenpulley_core::identity::{Epoch, ShardId};
 use lichenpulley_core::replication::ballot::{Ballot, ProposerId};
@@ -11,63 +11,63 @@
 /// A request to a store replica.
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum StoreRequest {
-    /// Asks whether the node keeps a store.
+    /// Checks whether the node has a store.
     Probe,
-    /// Asks which store the node keeps.
+    /// Requests the id of the node's store.
     Identity,
-    /// Asks for the latest replica set of a shard that the store knows of.
+    /// Requests the latest replica set of a shard that the store knows.
     KnownSet(ShardId),
-    /// Asks who leads a shard, as far as the store knows.
+    /// Requests the leader of a shard that the store knows.
     Leadership(ShardId),
-    /// The leader under this ballot is at work, though it appends nothing: it changes the stores. The answer tells who
-    /// leads, as far as the store knows, so that one that was superseded learns it.
+    /// Signals that the leader under this ballot is alive although it appends nothing, because it is changing the
+    /// replica set. The response contains the leader that the store knows, so that a superseded leader learns of it.
     LeaderAlive {
-        /// The shard.
+        /// The shard that it leads.
         shard: ShardId,
         /// The leader's ballot.
         ballot: Ballot,
     },
-    /// Asks one replica of one shard.
+    /// A request to one replica of one shard.
     Replica(Box<ReplicaRequest>),
-    /// The same, for decided entries without the texts of events.
+    /// Like [`Self::Replica`], but decided entries are returned without the texts of events.
     Outline(Box<ReplicaRequest>),
 }
 
-/// Its answer.
+/// The response to a [`StoreRequest`].
 #[derive(Clone, Debug, Readable, Writable)]
 pub enum StoreResponse {
-    /// The node keeps a store.
+    /// The node has a store.
     Ready,
     /// The node has no store role.
     NotAStore,
-    /// The store that the node keeps.
+    /// The id of the node's store.
     Identity(StoreId),
-    /// The latest replica set of the shard that the store knows of.
+    /// The latest replica set of the shard that the store knows.
     KnownSet(Option<KnownSet>),
-    /// Who leads the shard, where anybody ever did.
+    /// The shard's leader, if it has ever had one.
     Leadership(Option<Leadership>),
-    /// The replica's answer.
+    /// The replica's response.
     Replica(Box<ReplicaResponse>),
-    /// The store can't be used; its log says why.
+    /// The store is unusable; the node's log contains the cause.
     Unavailable,
 }
 
-/// A replica set as a store knows it.
+/// A replica set that a store knows.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct KnownSet {
-    /// The set that the store has or had a part in.
+    /// The set of which the store is or was a member.
     pub set: ReplicaSet,
-    /// The set that is taking its place, where the store is sealed.
+    /// The successor set, if the store is sealed.
     pub next: Option<ReplicaSet>,
 }
 
-/// Who leads a shard, as one store knows it.
+/// The leader of a shard that one store knows.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Leadership {
     /// The highest epoch promised.
     pub epoch: Epoch,
-    /// To whom.
+    /// The proposer to which it was promised.
     pub proposer: ProposerId,
-    /// Milliseconds since it last appended here, or since the store started.
+    /// Milliseconds since the proposer last appended to this store, or since the store started.
     pub idle_ms: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages that cross a process boundary.
+//! Message types exchanged between processes.
 //!
-//! Towards callers, engines, the platform and operators these are JSON bodies over HTTP; between our own
-//! processes they are [`speedy`] bodies carried by `tarpc` (see [`internal`] and [`transport`]).
+//! Callers, engines, the platform and operators exchange JSON over HTTP. Nodes exchange [`speedy`]-encoded messages
+//! over `tarpc` (see [`internal`] and [`transport`]).
 
 pub mod caller;
 pub mod engine;
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -1,16 +1,16 @@
-//! The operators' interface, on a port of its own.
+//! The HTTP interface for operators, served on a separate port.
 //!
-//! | method and path | body | answer |
+//! | method and path | request body | response |
 //! |---|---|---|
 //! | `GET /healthz` | | 200 while the process runs |
-//! | `GET /readyz` | | 200 while it takes work, else 503 with the reason |
+//! | `GET /readyz` | | 200 while the process accepts work, else 503 with the reason |
 //! | `GET /metrics` | | Prometheus text |
 //! | `GET /v1/config` | | [`ConfigurationDocument`] |
 //! | `GET /v1/config/effective?path={path}&key={key}` | | [`EffectiveSetting`] |
 //! | `PUT /v1/config` | [`ChangeConfiguration`] | [`ConfigurationChanged`]; 409 with the current revision |
 //! | `GET /v1/pools` | | a list of [`PoolStatus`] |
 //! | `GET /v1/regions` | | [`RegionsDocument`] |
-//! | `GET /v1/replicas` | | a list of [`ReplicaSendStatus`]; empty where the platform lists none |
+//! | `GET /v1/replicas` | | a list of [`ReplicaSendStatus`]; empty if the platform lists none |
 //! | `POST /v1/replicas/{replica}/drain` | | [`crate::engine::OrderAccepted`] |
 //! | `POST /v1/replicas/{replica}/undrain` | | [`crate::engine::OrderAccepted`] |
 //! | `GET /v1/zones` | | a list of [`ZoneStatus`] |
@@ -25,26 +25,26 @@
 use lichenpulley_core::identity::{NodeId, PoolName, ReplicaId, Revision, WeightVersion, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A decision with where and when it was made.
+/// A decision with the node and time at which it was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionEvent {
-    /// The node that decided.
+    /// The node that made the decision.
     pub node: NodeId,
-    /// Number on that node since it started; a jump means that the reader was too slow and lost some.
+    /// Sequence number on that node since its start; a gap means that a slow reader missed events.
     pub sequence: u64,
-    /// Milliseconds since the Unix epoch.
+    /// Time of the decision, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// The settings tree: values by level path and key.
+/// The settings tree, as values by level path and key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDocument {
-    /// Its revision.
+    /// Revision of the tree.
     pub revision: Revision,
-    /// Values that are set, each at its level.
+    /// The values that are set, each with its level.
     pub settings: Vec<SettingValue>,
 }
 
@@ -55,22 +55,22 @@
     pub path: String,
     /// The setting's key.
     pub key: String,
-    /// Its value.
+    /// The setting's value.
     pub value: serde_json::Value,
 }
 
-/// An effective value and where it came from.
+/// A setting's effective value and its source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveSetting {
-    /// The path asked for.
+    /// The requested path.
     pub path: String,
-    /// The key asked for.
+    /// The requested key.
     pub key: String,
-    /// The value in force there.
+    /// The value in force at that path.
     pub value: serde_json::Value,
-    /// The level that set it; `None` where it is the built-in default.
+    /// The level that sets the value; `None` for the built-in default.
     pub source: Option<String>,
-    /// The revision in force on the answering node.
+    /// The revision in force on the responding node.
     pub revision: Revision,
 }
 
@@ -78,137 +78,137 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeConfiguration {
-    /// The revision the change was based on; a race loses.
+    /// The revision that the change is based on; the change is refused if it is not current.
     pub base_revision: Revision,
-    /// Names the change, so that a repeat after a lost answer takes effect once.
+    /// Idempotency id: a change repeated after a lost response takes effect once.
     pub change_id: String,
-    /// The level.
+    /// The path of the level to change.
     pub path: String,
-    /// The key.
+    /// The setting's key.
     pub key: String,
-    /// The new value; `None` removes it, so that the level inherits again.
+    /// The new value; `None` removes the value, so that the level inherits it.
     pub value: Option<serde_json::Value>,
 }
 
-/// The change is accepted.
+/// Confirmation that a change was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChanged {
-    /// The revision that holds it.
+    /// The revision that contains the change.
     pub revision: Revision,
 }
 
-/// A pool as one node sees it.
+/// The state of a pool on one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolStatus {
     /// The pool.
     pub pool: PoolName,
-    /// Its replicas.
+    /// The pool's replicas.
     pub replicas: Vec<ReplicaStatus>,
 }
 
-/// A replica as one node sees it.
+/// The state of a replica on one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// The replica.
     pub replica: ReplicaId,
-    /// Its zone.
+    /// The replica's zone.
     pub zone: ZoneName,
-    /// Whether this node sends it new work, and why not.
+    /// Whether this node sends new work to the replica, or the reason why not.
     pub eligibility: String,
-    /// Requests that this node has there now.
+    /// Requests from this node in flight on the replica.
     pub in_flight: u32,
-    /// How many this node would send at once.
+    /// Maximum number of concurrent requests from this node.
     pub concurrency_limit: u32,
-    /// The weights it last reported.
+    /// The weight version that the replica last reported.
     pub weight_version: Option<WeightVersion>,
 }
 
-/// Regions as one node sees them.
+/// Regions, batch shards and refused requests as known to one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionsDocument {
-    /// The regions that the settings name, and what stands there.
+    /// The regions named in the settings.
     pub regions: Vec<RegionStatus>,
-    /// The shards of batch jobs, each with the regions where it is kept.
+    /// The shards of batch jobs, each with its permitted regions.
     pub shards: Vec<BatchShardStatus>,
-    /// Requests bound to some regions that this node refused since it started.
+    /// Region-restricted requests that this node has refused since its start.
     pub refusals: Vec<RegionRefusals>,
 }
 
-/// What stands in a region.
+/// The nodes and replicas in a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionStatus {
-    /// The region; `-` for what stands in zones that the settings give no region.
+    /// The region's name; `-` for zones that the settings assign to no region.
     pub region: String,
-    /// Its zones.
+    /// The region's zones.
     pub zones: Vec<String>,
-    /// Live nodes.
+    /// Number of live nodes.
     pub nodes: usize,
-    /// Those among them that can own shards of batch jobs.
+    /// Live nodes that can own shards of batch jobs.
     pub coordinators: usize,
-    /// Those among them that keep logs.
+    /// Live nodes that store logs.
     pub stores: usize,
-    /// Replicas that take new work.
+    /// Replicas that accept new work.
     pub replicas: usize,
 }
 
 /// A shard of batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchShardStatus {
-    /// Its name.
+    /// The shard's name.
     pub shard: String,
-    /// Where what it keeps may stand; `all` where that is anywhere.
+    /// The regions in which the shard's data may be stored; `all` if unrestricted.
     pub regions: String,
-    /// Who owns it, by the stores' word.
+    /// The shard's owner according to the stores.
     pub owner: Option<NodeId>,
-    /// The nodes that keep its log.
+    /// The nodes that store the shard's log.
     pub stores: Vec<NodeId>,
-    /// Why it can't be kept there, where it can't.
+    /// The reason why the shard can't be placed in its regions, if it can't.
     pub shortage: Option<String>,
 }
 
-/// Requests that were refused.
+/// Number of requests refused for one set of regions and one reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionRefusals {
-    /// The regions in which they may be served; `none` where their route and tenant have none in common.
+    /// The regions in which the requests may be served; `none` if route and tenant have none in common.
     pub regions: String,
-    /// Why.
+    /// The reason for the refusal.
     pub reason: String,
-    /// How many.
+    /// Number of refused requests.
     pub count: u64,
 }
 
-/// A request that reaches no replica, since replicas ended under it.
+/// A request that is no longer sent to replicas because replicas ended while running it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
-    /// The digest of its method, host, path, tenant and body.
+    /// Digest of the request's method, host, path, tenant and body.
     pub fingerprint: String,
-    /// The lives of replicas that ended while it ran there.
+    /// The replica instances that ended while running the request.
     pub replicas: Vec<String>,
-    /// For how long the answering node has held it back, in milliseconds.
+    /// How long the responding node has quarantined the request, in milliseconds.
     pub held_for_ms: u64,
 }
 
-/// A request is let through again.
+/// Confirmation that a request was released from quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReleased {
-    /// Its fingerprint.
+    /// The request's fingerprint.
     pub fingerprint: String,
 }
 
-/// Whether replicas of a zone are sent work.
+/// Whether the replicas of a zone receive work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ZoneState {
-    /// They are.
+    /// The replicas receive work.
     Open,
-    /// They are sent nothing new.
+    /// The replicas receive no new work.
     Evacuated,
-    /// The answering node has not learnt it yet, and sends nothing to any replica.
+    /// The responding node does not know the zone's state yet and sends no work to any replica.
     Unknown,
 }
 
 impl ZoneState {
-    /// The word that is shown.
+    /// Returns the name used in the operators' interface.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
@@ -218,22 +218,22 @@
     }
 }
 
-/// What a gateway may send to a replica of the platform now.
+/// How much work a gateway may currently send to a replica of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaSendState {
-    /// Whatever it has room for.
+    /// As much as the replica has capacity for.
     Warm,
-    /// This gateway's share of what it bears while it is cold.
+    /// This gateway's share of the reduced rate for cold replicas.
     Cold,
-    /// Nothing: its zone is evacuated.
+    /// No work: the replica's zone is evacuated.
     Evacuated,
-    /// Nothing: it will leave.
+    /// No work: the replica is scheduled for removal.
     Draining,
 }
 
 impl ReplicaSendState {
-    /// The name used in the operators' interface.
+    /// Returns the name used in the operators' interface.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Warm => "warm",
@@ -244,71 +244,71 @@
     }
 }
 
-/// A zone as one node sees it.
+/// The state of a zone on one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStatus {
     /// The zone.
     pub zone: String,
-    /// Whether its replicas are sent work.
+    /// Whether the zone's replicas receive work.
     pub state: ZoneState,
-    /// Replicas that are listed there.
+    /// Number of replicas listed in the zone.
     pub replicas: usize,
-    /// How long ago this node learnt that the zone is evacuated.
+    /// Milliseconds since this node learnt that the zone is evacuated.
     pub evacuated_for_ms: Option<u64>,
-    /// Through whom: the platform, or the peer that told.
+    /// The source of that information: the platform or a peer.
     pub through: Option<String>,
-    /// How long ago the platform last confirmed what this node knows of evacuations; `None` where it never did.
+    /// Milliseconds since the platform last confirmed this node's list of evacuations; `None` if it never has.
     pub age_ms: Option<u64>,
 }
 
-/// The platform holds the change.
+/// Confirmation that the platform has stored a zone's new state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneChanged {
     /// The zone.
     pub zone: String,
-    /// What it is to be.
+    /// The zone's requested state.
     pub state: ZoneState,
 }
 
-/// A replica of the platform as one gateway sees it.
+/// The state of a replica of the platform on one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSendStatus {
     /// The replica.
     pub replica: String,
-    /// Its service.
+    /// The replica's service.
     pub service: String,
-    /// Its zone.
+    /// The replica's zone.
     pub zone: String,
-    /// What it may be sent.
+    /// How much work the replica may receive.
     pub state: ReplicaSendState,
-    /// Its cold time, where it is cold; also while its zone is evacuated.
+    /// The replica's cold state, if it is cold; also present while its zone is evacuated.
     pub cold: Option<ColdStatus>,
 }
 
-/// The cold time of a replica, and what one gateway makes of it.
+/// The cold period of a replica, and how one gateway limits its requests during it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStatus {
-    /// Why it is taken to be cold: `recorded`, `unknown` or `zone_returned`.
+    /// Why the replica is considered cold: `recorded`, `unknown` or `zone_returned`.
     pub cause: String,
-    /// Milliseconds since it was found cold.
+    /// Milliseconds since the replica was found to be cold.
     pub since_ms: u64,
-    /// Milliseconds until it is warm.
+    /// Milliseconds until the replica is considered warm.
     pub left_ms: u64,
-    /// Milliseconds between two requests of this gateway; none where it sends none.
+    /// Milliseconds between two requests of this gateway; `None` if it sends none.
     pub interval_ms: Option<u64>,
-    /// Requests that this gateway has sent meanwhile.
+    /// Requests that this gateway has sent during the cold period.
     pub sent: u64,
 }
 
-/// An end of a batch job that a node has read and that is not known to be kept.
+/// The end of a batch job that a node has received and does not know to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingEndStatus {
     /// The job.
     pub batch: String,
-    /// From whom the node has it: `caller` or `peer`.
+    /// The source of the end: `caller` or `peer`.
     pub source: String,
-    /// For how long it has been held, in milliseconds.
+    /// How long the node has held the end, in milliseconds.
     pub held_for_ms: u64,
-    /// How often the owner was asked.
+    /// Number of requests sent to the owner.
     pub questions: u32,
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,18 +1,18 @@
-//! The platform's interfaces, as the stand-ins serve them.
+//! The HTTP interfaces of the platform, as served by the simulated platform services.
 //!
 //! Object API:
 //!
-//! | method and path | body | answer |
+//! | method and path | request body | response |
 //! |---|---|---|
-//! | `GET /objects/{key}` | | [`Object`]; 404 where there is none |
-//! | `PUT /objects/{key}` | [`PutObject`] | [`Object`]; [`Conflict`] with 409 where the base version is not current |
+//! | `GET /objects/{key}` | | [`Object`]; 404 if it does not exist |
+//! | `PUT /objects/{key}` | [`PutObject`] | [`Object`]; [`Conflict`] with 409 if the base version is not current |
 //! | `GET /objects?prefix={prefix}` | | [`ObjectList`] |
-//! | `GET /watch?prefix={prefix}&after={revision}&hold_ms={ms}` | | held until something changed, then [`ObjectList`] |
+//! | `GET /watch?prefix={prefix}&after={revision}&hold_ms={ms}` | | [`ObjectList`], on a change or after `hold_ms` |
 //!
-//! Machine list: `GET /machines` gives [`MachineList`]; `PUT /machines/{id}` with [`Machine`] changes it,
-//! `DELETE /machines/{id}` takes it out.
-//! Weight store: `GET /weights/{pool}/{version}` gives the bytes at its rate.
-//! Scorer: `POST /score` with [`ScoreRequest`] gives [`ScoreResponse`].
+//! Machine list: `GET /machines` returns [`MachineList`]; `PUT /machines/{id}` with [`Machine`] sets an
+//! entry, and `DELETE /machines/{id}` removes it.
+//! Weight store: `GET /weights/{pool}/{version}` returns the weights at a limited rate.
+//! Scorer: `POST /score` with [`ScoreRequest`] returns [`ScoreResponse`].
 
 use lichenpulley_core::identity::{PoolName, Revision, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -20,40 +20,40 @@
 /// A stored object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Its key, such as `config/tree`.
+    /// The object's key, such as `config/tree`.
     pub key: String,
     /// The store-wide revision of its last change.
     pub version: Revision,
-    /// Its value.
+    /// The object's value.
     pub value: serde_json::Value,
 }
 
 /// A conditional write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PutObject {
-    /// The version that the change was based on; `None` creates, and fails where the object exists.
+    /// The version that the change is based on; `None` creates the object and fails if it exists.
     pub base_version: Option<Revision>,
     /// The new value.
     pub value: serde_json::Value,
 }
 
-/// The base version was not current.
+/// Rejection of a write whose base version was not current.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The object as it stands, if there is one.
+    /// The current object, if it exists.
     pub current: Option<Object>,
 }
 
-/// Objects, and the revision up to which the list is complete.
+/// A list of objects and the revision up to which it is complete.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectList {
     /// The objects under the prefix; for a watch, those that changed.
     pub objects: Vec<Object>,
-    /// Ask the next watch after this revision.
+    /// Revision after which the next watch should start.
     pub revision: Revision,
 }
 
-/// What a machine does.
+/// The role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineKind {
@@ -63,53 +63,53 @@
     Engine,
 }
 
-/// Whether a machine stays.
+/// Lifecycle state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
     /// In use.
     Live,
-    /// Will be taken away.
+    /// Scheduled for removal.
     Leaving,
 }
 
-/// One machine of the list.
+/// One entry of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The node's or the replica's id.
+    /// The id of the node or replica.
     pub id: String,
-    /// What it does.
+    /// The machine's role.
     pub kind: MachineKind,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: ZoneName,
-    /// Its address, an IP number and a port.
+    /// IP address and port.
     pub address: String,
-    /// The pool, for an engine.
+    /// The model pool, for an engine.
     #[serde(default)]
     pub pool: Option<PoolName>,
-    /// Whether it stays.
+    /// The machine's lifecycle state.
     pub state: MachineState,
 }
 
-/// The list, some time ago.
+/// The machine list, possibly outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Goes up with each change.
+    /// Revision of the list; increases with each change.
     pub revision: Revision,
     /// The machines.
     pub machines: Vec<Machine>,
 }
 
-/// An answer to be scored.
+/// A response to be scored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreRequest {
-    /// The prompt.
+    /// The prompt text.
     pub prompt: String,
-    /// The answer's tokens.
+    /// The response's tokens.
     pub tokens: Vec<u32>,
 }
 
-/// Its score.
+/// The scorer's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreResponse {
     /// The reward.
--- a/crates/protocol/src/transport.rs
+++ b/crates/protocol/src/transport.rs
@@ -1,8 +1,8 @@
-//! The `tarpc` transport: `speedy` bodies in length-delimited frames with a limit.
+//! The `tarpc` transport: `speedy`-encoded messages in length-delimited frames of limited size.
 //!
-//! A frame that is too long or can't be decoded ends its connection with a typed error; other connections don't
-//! notice. Deadlines travel as time remaining, since clocks of different nodes can't be compared. The tracing
-//! context that `tarpc` adds does not travel.
+//! A frame that is too long or can't be decoded closes its connection with a typed error and does not affect others.
+//! Deadlines are sent as remaining time because the clocks of different nodes can't be compared. The tracing context
+//! of `tarpc` is not sent.
 
 use std::io;
 use std::marker::PhantomData;
@@ -17,29 +17,28 @@
 
 use crate::internal::{PeerRequest, PeerResponse};
 
-/// Longest frame, in bytes: holds a trainer's pull of samples. Chosen, not measured: shorter refuses pulls of long samples, longer
-/// lets one peer take more memory.
+/// Maximum frame length in bytes; bounds the memory that one peer can use and still fits a trainer's sample pull.
 pub const FRAME_LIMIT_BYTES: usize = 16 << 20;
 
-/// Why a connection between our processes ended.
+/// Errors that close a connection between nodes.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
-    /// A frame is longer than the limit.
+    /// A frame exceeds the length limit.
     #[error("a frame is longer than {FRAME_LIMIT_BYTES} bytes; ask for fewer items at once")]
     FrameTooLong,
-    /// A frame's bytes are no message.
+    /// A frame does not contain a valid message.
     #[error("a frame can't be decoded: {0}; check that all nodes run the same release")]
     Undecodable(speedy::Error),
-    /// A message has no encoding.
+    /// A message can't be encoded.
     #[error("a message can't be encoded: {0}; check that all nodes run the same release")]
     Unencodable(String),
     /// The socket failed.
-    #[error("the connection failed: {0}; it is made again on next use")]
+    #[error("the connection failed: {0}; it is re-established on the next use")]
     Socket(io::Error),
 }
 
 impl TransportError {
-    /// The kind as a metrics label.
+    /// Returns the error kind as a metrics label.
     pub const fn label(&self) -> &'static str {
         match self {
             Self::FrameTooLong => "frame_too_long",
@@ -57,59 +56,59 @@
     }
 }
 
-/// The client's end of a connection between nodes.
+/// The client side of a connection between nodes.
 pub type ClientTransport<S> = Framed<S, MessageCodec<Response<PeerResponse>, ClientMessage<PeerRequest>>>;
-/// The server's end of a connection between nodes.
+/// The server side of a connection between nodes.
 pub type ServerTransport<S> = Framed<S, MessageCodec<ClientMessage<PeerRequest>, Response<PeerResponse>>>;
 
-/// Frames a client's connection.
+/// Wraps a stream in the client side of the transport.
 pub fn client<S: AsyncRead + AsyncWrite>(stream: S) -> ClientTransport<S> {
     Framed::new(stream, MessageCodec::new())
 }
 
-/// Frames a server's connection.
+/// Wraps a stream in the server side of the transport.
 pub fn server<S: AsyncRead + AsyncWrite>(stream: S) -> ServerTransport<S> {
     Framed::new(stream, MessageCodec::new())
 }
 
-/// Frames a server's connection, and tells `meter` of each frame.
+/// Wraps a stream in the server side of the transport and calls `meter` for each frame.
 pub fn metered_server<S: AsyncRead + AsyncWrite>(stream: S, meter: FrameMeter) -> ServerTransport<S> {
     Framed::new(stream, MessageCodec { meter: Some(meter), ..MessageCodec::new() })
 }
 
-/// Which way a frame went.
+/// Direction of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// It arrived.
+    /// The frame was received.
     Received,
-    /// It was sent.
+    /// The frame was sent.
     Sent,
 }
 
-/// Told of each frame's direction and its bytes, the length field included.
+/// Callback that receives each frame's direction and its length in bytes, including the length field.
 pub type FrameMeter = Arc<dyn Fn(Direction, usize) + Send + Sync>;
 
-/// Bytes of the length field before each frame.
+/// Size in bytes of the length field before each frame.
 const LENGTH_FIELD_BYTES: usize = 4;
 
-/// Encodes and decodes whole messages, one to a frame.
+/// Encodes and decodes messages, one per frame.
 pub struct MessageCodec<Incoming, Outgoing> {
     frames: LengthDelimitedCodec,
     meter: Option<FrameMeter>,
-    directions: PhantomData<fn(Outgoing) -> Incoming>,
+    message_types: PhantomData<fn(Outgoing) -> Incoming>,
 }
 
 impl<Incoming, Outgoing> MessageCodec<Incoming, Outgoing> {
-    /// A codec with the frame limit.
+    /// Creates a codec with the frame limit [`FRAME_LIMIT_BYTES`].
     pub fn new() -> Self {
         let frames = LengthDelimitedCodec::builder()
             .length_field_type::<u32>()
             .max_frame_length(FRAME_LIMIT_BYTES)
             .new_codec();
-        Self { frames, meter: None, directions: PhantomData }
+        Self { frames, meter: None, message_types: PhantomData }
     }
 
-    fn measure(&self, direction: Direction, body_bytes: usize) {
+    fn report_frame(&self, direction: Direction, body_bytes: usize) {
         if let Some(meter) = &self.meter {
             meter(direction, body_bytes + LENGTH_FIELD_BYTES);
         }
@@ -129,7 +128,7 @@
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Incoming>, TransportError> {
         match self.frames.decode(buffer)? {
             Some(frame) => {
-                self.measure(Direction::Received, frame.len());
+                self.report_frame(Direction::Received, frame.len());
                 Incoming::from_frame(&frame).map(Some)
             }
             None => Ok(None),
@@ -142,41 +141,41 @@
 
     fn encode(&mut self, message: Outgoing, buffer: &mut BytesMut) -> Result<(), TransportError> {
         let body = message.to_frame()?;
-        self.measure(Direction::Sent, body.len());
+        self.report_frame(Direction::Sent, body.len());
         Ok(self.frames.encode(Bytes::from(body), buffer)?)
     }
 }
 
-/// A message of `tarpc` that has a form on the wire.
+/// A `tarpc` message with a wire encoding.
 pub trait WireMessage: Sized {
-    /// The frame's body.
+    /// Encodes the message as a frame body.
     ///
     /// # Errors
-    /// When the message has no encoding or is too long.
+    /// If the message can't be encoded or is too long.
     fn to_frame(&self) -> Result<Vec<u8>, TransportError>;
 
-    /// Reads a frame's body.
+    /// Decodes a frame body.
     ///
     /// # Errors
-    /// When the bytes are no message, or hold more than one.
+    /// If the bytes are not exactly one message.
     fn from_frame(frame: &[u8]) -> Result<Self, TransportError>;
 }
 
-/// What a client sends.
+/// Header of a frame sent by a client.
 #[derive(Readable, Writable)]
 enum ClientFrame {
     /// A request; the encoded message follows.
     Request { id: u64, remaining_us: u64 },
-    /// The client no longer waits for an answer.
+    /// The client no longer waits for a response.
     Cancel { id: u64 },
 }
 
-/// What a server sends.
+/// Header of a frame sent by a server.
 #[derive(Readable, Writable)]
 enum ServerFrame {
-    /// An answer; the encoded message follows.
+    /// A response; the encoded message follows.
     Answer { id: u64 },
-    /// The request was not answered.
+    /// The request failed without a response.
     Failure { id: u64, detail: String },
 }
 
@@ -189,25 +188,27 @@
             Self::Request(request) => {
                 let remaining = request.context.deadline.saturating_duration_since(Instant::now());
                 let remaining_us = u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX);
-                let head = ClientFrame::Request { id: request.id, remaining_us };
-                join(&head, Some(&request.message))
+                let header = ClientFrame::Request { id: request.id, remaining_us };
+                encode_frame(&header, Some(&request.message))
+            }
+            Self::Cancel { request_id, .. } => {
+                encode_frame::<T>(&ClientFrame::Cancel { id: *request_id }, None)
             }
-            Self::Cancel { request_id, .. } => join::<T>(&ClientFrame::Cancel { id: *request_id }, None),
             other => Err(TransportError::Unencodable(format!("{:?}", std::mem::discriminant(other)))),
         }
     }
 
     fn from_frame(frame: &[u8]) -> Result<Self, TransportError> {
-        let (head, body) = split::<ClientFrame>(frame)?;
-        match head {
+        let (header, body) = decode_header::<ClientFrame>(frame)?;
+        match header {
             ClientFrame::Request { id, remaining_us } => {
                 let mut context = tarpc::context::current();
                 context.deadline = deadline_after(remaining_us);
-                let message = read_whole(body)?;
+                let message = decode_body(body)?;
                 Ok(Self::Request(Request { context, id, message }))
             }
             ClientFrame::Cancel { id } => {
-                expect_end(body)?;
+                expect_no_trailing_bytes(body)?;
                 let trace_context = tarpc::trace::Context::default();
                 Ok(Self::Cancel { trace_context, request_id: id })
             }
@@ -222,25 +223,27 @@
     fn to_frame(&self) -> Result<Vec<u8>, TransportError> {
         let id = self.request_id;
         let answer = match &self.message {
-            Ok(message) => join(&ServerFrame::Answer { id }, Some(message)),
-            Err(error) => return join::<T>(&ServerFrame::Failure { id, detail: error.detail.clone() }, None),
+            Ok(message) => encode_frame(&ServerFrame::Answer { id }, Some(message)),
+            Err(error) => {
+                return encode_frame::<T>(&ServerFrame::Failure { id, detail: error.detail.clone() }, None);
+            }
         };
         match answer {
-            // Only this call fails, not the connection with every other call on it.
+            // Fails this call only and keeps the connection for the other calls on it.
             Err(TransportError::FrameTooLong) => {
                 let detail = TransportError::FrameTooLong.to_string();
-                join::<T>(&ServerFrame::Failure { id, detail }, None)
+                encode_frame::<T>(&ServerFrame::Failure { id, detail }, None)
             }
             other => other,
         }
     }
 
     fn from_frame(frame: &[u8]) -> Result<Self, TransportError> {
-        let (head, body) = split::<ServerFrame>(frame)?;
-        match head {
-            ServerFrame::Answer { id } => Ok(Self { request_id: id, message: Ok(read_whole(body)?) }),
+        let (header, body) = decode_header::<ServerFrame>(frame)?;
+        match header {
+            ServerFrame::Answer { id } => Ok(Self { request_id: id, message: Ok(decode_body(body)?) }),
             ServerFrame::Failure { id, detail } => {
-                expect_end(body)?;
+                expect_no_trailing_bytes(body)?;
                 let error = ServerError::new(io::ErrorKind::Other, detail);
                 Ok(Self { request_id: id, message: Err(error) })
             }
@@ -248,20 +251,19 @@
     }
 }
 
-/// Longest time remaining that is taken from the wire, so that no peer can overflow a deadline. Chosen: far beyond any deadline in
-/// use.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(24 * 3_600);
+/// Maximum remaining time accepted from a peer, so that a deadline can't overflow.
+const MAX_REMAINING_TIME: Duration = Duration::from_secs(24 * 3_600);
 
 fn deadline_after(remaining_us: u64) -> Instant {
-    Instant::now() + Duration::from_micros(remaining_us).min(DEADLINE_LIMIT)
+    Instant::now() + Duration::from_micros(remaining_us).min(MAX_REMAINING_TIME)
 }
 
-fn join<T: Writable<LittleEndian>>(
-    head: &impl Writable<LittleEndian>,
+fn encode_frame<T: Writable<LittleEndian>>(
+    header: &impl Writable<LittleEndian>,
     message: Option<&T>,
 ) -> Result<Vec<u8>, TransportError> {
     let unencodable = |error: speedy::Error| TransportError::Unencodable(error.to_string());
-    let mut frame = head.write_to_vec().map_err(unencodable)?;
+    let mut frame = header.write_to_vec().map_err(unencodable)?;
     if let Some(message) = message {
         message.write_to_stream(&mut frame).map_err(unencodable)?;
     }
@@ -271,27 +273,29 @@
     Ok(frame)
 }
 
-fn split<'a, Head: Readable<'a, LittleEndian>>(frame: &'a [u8]) -> Result<(Head, &'a [u8]), TransportError> {
-    let (head, length) = Head::read_with_length_from_buffer(frame);
-    let head = head.map_err(TransportError::Undecodable)?;
-    Ok((head, frame.get(length..).unwrap_or_default()))
+fn decode_header<'a, Header: Readable<'a, LittleEndian>>(
+    frame: &'a [u8],
+) -> Result<(Header, &'a [u8]), TransportError> {
+    let (header, length) = Header::read_with_length_from_buffer(frame);
+    let header = header.map_err(TransportError::Undecodable)?;
+    Ok((header, frame.get(length..).unwrap_or_default()))
 }
 
-fn read_whole<T: for<'a> Readable<'a, LittleEndian>>(body: &[u8]) -> Result<T, TransportError> {
+fn decode_body<T: for<'a> Readable<'a, LittleEndian>>(body: &[u8]) -> Result<T, TransportError> {
     let (message, length) = T::read_with_length_from_buffer(body);
     let message = message.map_err(TransportError::Undecodable)?;
-    expect_end(body.get(length..).unwrap_or_default())?;
+    expect_no_trailing_bytes(body.get(length..).unwrap_or_default())?;
     Ok(message)
 }
 
-fn expect_end(rest: &[u8]) -> Result<(), TransportError> {
+fn expect_no_trailing_bytes(rest: &[u8]) -> Result<(), TransportError> {
     if rest.is_empty() {
         return Ok(());
     }
-    Err(TransportError::Undecodable(speedy::Error::custom("bytes follow the message")))
+    Err(TransportError::Undecodable(speedy::Error::custom("trailing bytes after the message")))
 }
 
-/// An error with its causes in one line: the text of a library's own error names the step that failed only.
+/// Formats an error and its chain of sources on one line.
 pub fn describe(error: &(dyn std::error::Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/protocol/tests/transport.rs
+++ b/crates/protocol/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The codec between our processes: what goes in comes out, and no bytes of a peer can do more than end a
-//! connection.
+//! Tests of the codec between nodes: messages survive a round trip, and invalid bytes from a peer can at most close
+//! its connection.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -24,8 +24,8 @@
     ClientMessage::Request(Request { context, id, message })
 }
 
-/// What the server reads of what the client wrote.
-fn over_the_wire(message: ClientMessage<PeerRequest>) -> ClientMessage<PeerRequest> {
+/// Encodes a message as a client and decodes it as a server.
+fn send_to_server(message: ClientMessage<PeerRequest>) -> ClientMessage<PeerRequest> {
     let mut buffer = BytesMut::new();
     ClientCodec::new().encode(message, &mut buffer).expect("encodes");
     let read = ServerCodec::new().decode(&mut buffer).expect("decodes").expect("a whole frame");
@@ -33,8 +33,8 @@
     read
 }
 
-/// What the client reads of what the server wrote.
-fn answered(response: Response<PeerResponse>) -> Response<PeerResponse> {
+/// Encodes a response as a server and decodes it as a client.
+fn send_to_client(response: Response<PeerResponse>) -> Response<PeerResponse> {
     let mut buffer = BytesMut::new();
     ServerCodec::new().encode(response, &mut buffer).expect("encodes");
     ClientCodec::new().decode(&mut buffer).expect("decodes").expect("a whole frame")
@@ -63,28 +63,28 @@
 
 proptest! {
     #[test]
-    fn a_request_arrives_as_it_was_sent(id: u64, cursor: u64, job in ".{0,40}") {
+    fn a_request_round_trips(id: u64, cursor: u64, job in ".{0,40}") {
         let sent = pull(&job, cursor);
         let deadline = Instant::now() + Duration::from_secs(60);
-        let ClientMessage::Request(read) = over_the_wire(request(id, deadline, sent.clone())) else {
-            return Err(TestCaseError::fail("a request became something else"));
+        let ClientMessage::Request(read) = send_to_server(request(id, deadline, sent.clone())) else {
+            return Err(TestCaseError::fail("the request was decoded as another message"));
         };
         prop_assert_eq!(read.id, id);
         prop_assert_eq!(format!("{:?}", read.message), format!("{sent:?}"));
-        // Time passes on the way; a deadline never moves away.
+        // The receiver computes the deadline anew, which must not extend it by more than the time in transit.
         prop_assert!(read.context.deadline <= deadline + Duration::from_secs(1));
     }
 
     #[test]
-    fn an_answer_arrives_as_it_was_sent(id: u64, count in 0_u32..20, tokens in 0_usize..200) {
+    fn a_response_round_trips(id: u64, count in 0_u32..20, tokens in 0_usize..200) {
         let sent = samples(count, tokens);
-        let read = answered(Response { request_id: id, message: Ok(sent.clone()) });
+        let read = send_to_client(Response { request_id: id, message: Ok(sent.clone()) });
         prop_assert_eq!(read.request_id, id);
         prop_assert_eq!(format!("{:?}", read.message), format!("{:?}", Ok::<_, ServerError>(sent)));
     }
 
     #[test]
-    fn any_bytes_give_a_message_an_error_or_a_wait(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic_the_codec(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut framed = BytesMut::new();
         framed.put_u32(u32::try_from(bytes.len()).expect("short"));
         framed.extend_from_slice(&bytes);
@@ -95,7 +95,7 @@
     }
 
     #[test]
-    fn a_frame_cut_short_is_waited_for(cut in 0_usize..40) {
+    fn a_truncated_frame_is_incomplete(cut in 0_usize..40) {
         let mut buffer = BytesMut::new();
         let whole = request(1, Instant::now() + Duration::from_secs(1), pull("job", 0));
         ClientCodec::new().encode(whole, &mut buffer).expect("encodes");
@@ -108,31 +108,31 @@
 fn a_deadline_that_has_passed_stays_passed() {
     let past = Instant::now();
     let message = PeerRequest::Store { request: StoreRequest::Probe };
-    let ClientMessage::Request(read) = over_the_wire(request(1, past, message)) else {
-        panic!("a request became something else");
+    let ClientMessage::Request(read) = send_to_server(request(1, past, message)) else {
+        panic!("the request was decoded as another message");
     };
     assert!(read.context.deadline <= Instant::now());
 }
 
 #[test]
-fn an_endless_deadline_is_cut_to_a_day() {
+fn a_deadline_is_limited_to_a_day() {
     let far = Instant::now() + Duration::from_secs(3_600 * 24 * 365);
-    let ClientMessage::Request(read) = over_the_wire(request(1, far, pull("job", 0))) else {
-        panic!("a request became something else");
+    let ClientMessage::Request(read) = send_to_server(request(1, far, pull("job", 0))) else {
+        panic!("the request was decoded as another message");
     };
     assert!(read.context.deadline <= Instant::now() + Duration::from_secs(3_600 * 24));
 }
 
 #[test]
-fn a_cancel_arrives() {
+fn a_cancellation_round_trips() {
     let cancel = ClientMessage::Cancel { trace_context: tarpc::trace::Context::default(), request_id: 9 };
-    assert!(matches!(over_the_wire(cancel), ClientMessage::Cancel { request_id: 9, .. }));
+    assert!(matches!(send_to_server(cancel), ClientMessage::Cancel { request_id: 9, .. }));
 }
 
 #[test]
-fn an_answer_too_long_fails_its_own_call_only() {
+fn an_oversized_response_fails_its_own_call_only() {
     let tokens = FRAME_LIMIT_BYTES / size_of::<u32>();
-    let read = answered(Response { request_id: 4, message: Ok(samples(1, tokens)) });
+    let read = send_to_client(Response { request_id: 4, message: Ok(samples(1, tokens)) });
     assert_eq!(read.request_id, 4);
     let error = read.message.expect_err("too long");
     assert_eq!(error.kind, io::ErrorKind::Other);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_request_too_long_is_not_written() {
+fn an_oversized_request_is_not_written() {
     let long = "x".repeat(FRAME_LIMIT_BYTES);
     let message = request(1, Instant::now(), pull(&long, 0));
     let mut buffer = BytesMut::new();
@@ -158,12 +158,12 @@
 }
 
 #[test]
-fn a_node_id_in_an_answer_survives() {
+fn a_node_id_in_a_response_round_trips() {
     let owner = Some(NodeId::new("sando-1"));
     let answer = PeerResponse::Coordinator(CoordinatorResponse::NotOwner(owner.clone()));
-    let read = answered(Response { request_id: 1, message: Ok(answer) });
+    let read = send_to_client(Response { request_id: 1, message: Ok(answer) });
     let Ok(PeerResponse::Coordinator(CoordinatorResponse::NotOwner(read))) = read.message else {
-        panic!("the answer became something else");
+        panic!("the response was decoded as another message");
     };
     assert_eq!(read, owner);
 }
