--- a/crates/daemon/src/http/client/mod.rs
+++ b/crates/daemon/src/http/client/mod.rs
@@ -232,9 +232,9 @@
         match result {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if is_unsent(&error) => {
-                Err(ClientError::NotSent { address, reason: transport::describe(&error) })
+                Err(ClientError::NotSent { address, reason: transport::error_chain(&error) })
             }
-            Ok(Err(error)) => Err(ClientError::NoAnswer { address, reason: transport::describe(&error) }),
+            Ok(Err(error)) => Err(ClientError::NoAnswer { address, reason: transport::error_chain(&error) }),
             Err(_) if connection.connection_metadata().is_none() => {
                 Err(ClientError::NotSent { address, reason: "no connection by the deadline".to_owned() })
             }
--- a/crates/daemon/src/node/peer_service.rs
+++ b/crates/daemon/src/node/peer_service.rs
@@ -147,7 +147,7 @@
                 tokio::spawn(request.execute(service.clone().serve()));
             }
             Some(Err(error)) => {
-                let reason = transport::describe(&error);
+                let reason = transport::error_chain(&error);
                 log::warn!(target: "peers", "Closing the connection from {peer}: {reason}.");
                 service.count_closed(&error);
                 return;
--- a/crates/lab/src/simulations/rollout/world.rs
+++ b/crates/lab/src/simulations/rollout/world.rs
@@ -104,7 +104,7 @@
     let mut world = build(seed, mechanisms, &specification);
     let targets: Vec<ProcessId> = world.ids().collect();
     let plan = FaultPlan::draw(seed, &targets, FAULTY, FAULT_RATES);
-    world.play(&plan, WorldProcess::restarted);
+    world.run_plan(&plan, WorldProcess::restarted);
     settle(&mut world);
     let deadline = world.now() + RECOVERY;
     world.run_until_condition(deadline, |world| trainer(world).is_some_and(Trainer::is_finished));
--- a/crates/lab/src/simulations/weights/world.rs
+++ b/crates/lab/src/simulations/weights/world.rs
@@ -129,7 +129,7 @@
     let rates =
         FaultRates { mean_interval: Duration::from_millis(700), longest_outage: Duration::from_secs(4) };
     let plan = FaultPlan::draw(seed, &targets, FAULTY, rates);
-    world.play(&plan, WorldProcess::restarted);
+    world.run_plan(&plan, WorldProcess::restarted);
     let deadline = world.now() + RECOVERY;
     world.run_until_condition(deadline, all_have_the_last);
     report(&world, config.loading_limit(size.replicas), plan.faults().len())
--- a/crates/protocol/src/transport.rs
+++ b/crates/protocol/src/transport.rs
@@ -296,7 +296,7 @@
 }
 
 /// Formats an error and its chain of sources on one line.
-pub fn describe(error: &(dyn std::error::Error + 'static)) -> String {
+pub fn error_chain(error: &(dyn std::error::Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/simulation/src/simulation/disturbance.rs
+++ b/crates/simulation/src/simulation/disturbance.rs
@@ -67,7 +67,7 @@
     }
 
     /// Runs through a plan and applies each fault at its time, then heals the network for good.
-    pub fn play(&mut self, plan: &FaultPlan, rebuild: impl Fn(&P) -> P) {
+    pub fn run_plan(&mut self, plan: &FaultPlan, rebuild: impl Fn(&P) -> P) {
         for (at, fault) in plan.faults() {
             self.run_until(*at);
             self.apply(fault, &rebuild);
