--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,8 +1,8 @@
 //! The event loop: who receives what when.
 //!
-//! Owns the processes, the queue of events, the virtual clock and the random source. Faults are in `disturbance`.
+//! Owns the processes, the queue of events, the virtual clock and the random source. Faults are in `fault_injection`.
 
-mod disturbance;
+mod fault_injection;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
