--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! Seeded plans of faults, several at once.
+//! Fault plans drawn from a seed, in which faults may overlap.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 
 use crate::simulation::ProcessId;
 
-/// One fault.
+/// A fault, or the recovery from one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A process dies.
+    /// Kills a process.
     Kill(ProcessId),
-    /// A dead process comes back with what was durable.
+    /// Restarts a killed process with its durable state.
     Restart(ProcessId),
-    /// A process stops for a while and wakes believing that no time has passed.
+    /// Pauses a process for a duration, without notice to it.
     Freeze(ProcessId, Duration),
-    /// A group is cut off from all others.
+    /// Partitions a group from all other processes.
     CutOff(Vec<ProcessId>),
-    /// Every cut ends.
+    /// Restores all links.
     Heal,
 }
 
-/// How often each fault falls, on average over the whole plan.
+/// The frequency and duration of the faults of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultRates {
-    /// The mean time between two faults of any kind.
+    /// Mean time between two faults of any kind.
     pub mean_interval: Duration,
-    /// The longest time that a killed process stays down, a freeze lasts or a cut stays.
+    /// Maximum duration of an outage, freeze or partition.
     pub longest_outage: Duration,
 }
 
-/// Faults in the order of their times. Every kill is followed by a restart and every cut by a heal, no later than
-/// [`FaultRates::longest_outage`] after it, so that a run can be checked for recovery at its end.
+/// Faults in chronological order. Every kill is followed by a restart and every partition by a heal within
+/// [`FaultRates::longest_outage`], so that recovery can be checked at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
     faults: Vec<(Timestamp, Fault)>,
 }
 
 impl FaultPlan {
-    /// Draws a plan for some processes over `duration` from its own seed.
+    /// Draws a plan of faults on `targets` over `duration` from a seed.
     pub fn draw(seed: u64, targets: &[ProcessId], duration: Duration, rates: FaultRates) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut plan = Self::default();
@@ -55,7 +55,7 @@
         plan
     }
 
-    /// The faults with their times.
+    /// Returns the faults with their times.
     pub fn faults(&self) -> &[(Timestamp, Fault)] {
         &self.faults
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// An interval uniform between nothing and twice the mean.
+/// Draws an interval, uniformly distributed from 1 µs to twice the mean.
 fn draw_interval(random: &mut Pcg64Mcg, mean: Duration) -> Duration {
     random.random_range(Duration::from_micros(1)..=mean.saturating_mul(2).max(Duration::from_micros(1)))
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,9 @@
-//! A seeded network of state machines on a virtual clock.
+//! Deterministic simulation of communicating state machines on a virtual clock.
 //!
-//! A [`Process`] is a state machine without I/O. A [`Simulation`] owns many of them, carries their messages with
-//! delays, loss, duplicates and reordering drawn from one seed, and can kill, restart, freeze and cut them off.
-//! The same seed, processes and calls give the same run, so a failing schedule is replayed by its seed.
-//!
-//! Written here because `turmoil` and `madsim` can't be had, and tokio's paused clock drives sockets and timers
-//! rather than state machines without them.
+//! A [`Process`] is a state machine without I/O. A [`Simulation`] runs many of them and delivers their messages with
+//! delays, loss, duplication and reordering drawn from a seeded random source. It can kill, restart, freeze and
+//! partition processes. The same seed, processes and calls give the same run, so that a failing run can be reproduced
+//! from its seed.
 
 mod faults;
 mod link;
--- a/crates/simulation/src/link.rs
+++ b/crates/simulation/src/link.rs
@@ -1,27 +1,27 @@
-//! How badly the network treats a message.
+//! Delay, loss and duplication of messages.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// The quality of every link of a simulation.
+/// The quality of all links of a simulation.
 ///
-/// Delays are uniform between the two bounds, so messages overtake each other wherever the bounds differ.
+/// Delays are uniformly distributed between the two bounds, so messages are reordered if the bounds differ.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkQuality {
-    /// The shortest delay one way.
+    /// Minimum one-way delay.
     pub minimum_delay: Duration,
-    /// The longest delay one way.
+    /// Maximum one-way delay.
     pub maximum_delay: Duration,
-    /// The probability that a message is lost, from 0 to 1.
+    /// Probability that a message is lost, from 0 to 1.
     pub loss: f64,
-    /// The probability that a message arrives twice, from 0 to 1.
+    /// Probability that a message is delivered twice, from 0 to 1.
     pub duplication: f64,
 }
 
 impl LinkQuality {
-    /// Delays of half a millisecond to a millisecond, as between the zones of the brief, and no loss.
+    /// Delays of 0.5 to 1 ms, typical between zones, without loss or duplication.
     pub const GOOD: Self = Self {
         minimum_delay: Duration::from_micros(500),
         maximum_delay: Duration::from_millis(1),
@@ -29,7 +29,7 @@
         duplication: 0.0,
     };
 
-    /// Delays up to 50 ms, a tenth lost, a twentieth doubled.
+    /// Delays of 0.5 to 50 ms, 10 % loss and 5 % duplication.
     pub const POOR: Self = Self {
         minimum_delay: Duration::from_micros(500),
         maximum_delay: Duration::from_millis(50),
@@ -37,7 +37,7 @@
         duplication: 0.05,
     };
 
-    /// The delays of the copies of one message that arrive: none, one or two.
+    /// Draws the delays of the delivered copies of one message: none, one or two.
     pub(crate) fn draw_deliveries(&self, random: &mut Pcg64Mcg) -> Vec<Duration> {
         if random.random_bool(self.loss) {
             return Vec::new();
--- a/crates/simulation/src/process_kinds.rs
+++ b/crates/simulation/src/process_kinds.rs
@@ -1,15 +1,15 @@
-//! One enum for the different processes of a world, since a simulation holds processes of one type.
+//! A macro that combines several process types into one enum, because a simulation holds processes of one type.
 //!
-//! Owns the dispatch of calls to whichever process a value holds. Relies on each kind being a [`Process`] with a
-//! method `restarted(&self)` of its own, which gives what a crash leaves of it.
+//! Each type must implement [`Process`] and have a method `restarted(&self)` that returns its state after a crash.
 //!
 //! [`Process`]: crate::Process
 
-/// Defines an enum whose variants each hold one kind of process, and passes every call on.
+/// Defines an enum with one variant for each kind of process, and forwards the calls of [`Process`] to the variants.
 ///
-/// A process of a kind is converted by `into`, and found again by [`ProcessKind`]. `restarted` gives the process after
-/// a crash, from the kind's own method of that name.
+/// A process is converted to the enum with `into` and accessed through [`ProcessKind`]. The enum's `restarted` calls
+/// the method of that name of the process.
 ///
+/// [`Process`]: crate::Process
 /// [`ProcessKind`]: crate::ProcessKind
 #[macro_export]
 macro_rules! process_kinds {
@@ -22,7 +22,7 @@
         }
 
         impl $name {
-            /// The process after a crash.
+            /// Returns the process as it restarts after a crash.
             $visibility fn restarted(&self) -> Self {
                 match self {
                     $(Self::$kind(process) => Self::$kind(Box::new(process.restarted())),)+
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,6 +1,7 @@
-//! The event loop: who receives what when.
+//! The event loop, which delivers messages and wake-ups in the order of virtual time.
 //!
-//! Owns the processes, the queue of events, the virtual clock and the random source. Faults are in `fault_injection`.
+//! [`Simulation`] owns the processes, the event queue, the virtual clock and the random source. The module
+//! `fault_injection` adds its methods that inject faults.
 
 mod fault_injection;
 
@@ -14,16 +15,16 @@
 
 use crate::link::LinkQuality;
 
-/// A process of a simulation; given out by [`Simulation::add`] in order from 0.
+/// Identifies a process of a simulation; assigned by [`Simulation::add`] in ascending order from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub usize);
 
-/// A state machine that exchanges messages and asks to be woken.
+/// A state machine that exchanges messages and requests wake-ups.
 pub trait Process {
-    /// What it sends and receives.
+    /// The type of messages that the process sends and receives.
     type Message: Clone;
 
-    /// Called once when the process starts, and again after a restart.
+    /// Called when the process starts and after each restart.
     fn start(&mut self, _now: Timestamp, _outbox: &mut Outbox<Self::Message>) {}
 
     /// Called for each message that arrives.
@@ -35,27 +36,27 @@
         outbox: &mut Outbox<Self::Message>,
     );
 
-    /// Called when the time given by `next_wake` has come.
+    /// Called once the time returned by `next_wake` is reached.
     fn wake(&mut self, _now: Timestamp, _outbox: &mut Outbox<Self::Message>) {}
 
-    /// When to call `wake`; asked again after every call. `None` where only messages wake the process.
+    /// Returns when to call `wake`, or `None` if the process waits for messages only. Evaluated after every call.
     fn next_wake(&self) -> Option<Timestamp> {
         None
     }
 }
 
-/// A process that may be of the kind `K`; [`process_kinds!`] implements it for each of its kinds.
+/// Access to a process as the concrete type `K`; implemented by [`process_kinds!`] for each of its kinds.
 ///
 /// [`process_kinds!`]: crate::process_kinds
 pub trait ProcessKind<K> {
-    /// The process, where it is of this kind.
+    /// Returns the process as `K`, or `None` if it is of another kind.
     fn kind(&self) -> Option<&K>;
 
-    /// The same, to change it.
+    /// Returns the process as mutable `K`, or `None` if it is of another kind.
     fn kind_mut(&mut self) -> Option<&mut K>;
 }
 
-/// Messages that a process sends during one call.
+/// Collects the messages that a process sends during one call.
 #[derive(Debug)]
 pub struct Outbox<M> {
     messages: Vec<(ProcessId, M)>,
@@ -66,19 +67,19 @@
         Self { messages: Vec::new() }
     }
 
-    /// Sends a message. It may be lost, late or doubled.
+    /// Sends a message, which may be lost, delayed or duplicated.
     pub fn send(&mut self, to: ProcessId, message: M) {
         self.messages.push((to, message));
     }
 }
 
-/// What happens at one point in time.
+/// An action that is due at one point in time.
 enum Event<M> {
     Deliver { from: ProcessId, to: ProcessId, message: M },
     Wake { process: ProcessId, incarnation: u64 },
 }
 
-/// An event in the queue, ordered by time, then by the order of scheduling.
+/// A queued event, ordered by time and then by scheduling order.
 struct Scheduled<M> {
     at: Timestamp,
     sequence: u64,
@@ -108,15 +109,15 @@
 struct Slot<P> {
     process: P,
     alive: bool,
-    /// Nothing reaches the process before this time; its timers are late.
+    /// Messages and wake-ups are deferred until this time.
     frozen_until: Timestamp,
-    /// Distinguishes wake-ups of an earlier incarnation from those of this one.
+    /// Number of restarts; identifies wake-ups scheduled before the last restart.
     incarnation: u64,
-    /// The earliest wake-up in the queue, if any.
+    /// The earliest queued wake-up, if any.
     wake_at: Option<Timestamp>,
 }
 
-/// Many processes on one virtual clock.
+/// Runs processes on one virtual clock and delivers their messages.
 pub struct Simulation<P: Process> {
     now: Timestamp,
     random: Pcg64Mcg,
@@ -124,13 +125,13 @@
     slots: Vec<Slot<P>>,
     queue: BinaryHeap<Reverse<Scheduled<P::Message>>>,
     sequence: u64,
-    /// Directed pairs between which nothing passes.
-    cuts: BTreeSet<(ProcessId, ProcessId)>,
+    /// Directed links that drop all messages.
+    cut_links: BTreeSet<(ProcessId, ProcessId)>,
     delivered: u64,
 }
 
 impl<P: Process> Simulation<P> {
-    /// An empty simulation at the origin of time.
+    /// Creates an empty simulation at [`Timestamp::ORIGIN`].
     pub fn new(seed: u64, link: LinkQuality) -> Self {
         Self {
             now: Timestamp::ORIGIN,
@@ -139,12 +140,12 @@
             slots: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             delivered: 0,
         }
     }
 
-    /// Adds a process and starts it now.
+    /// Adds a process, starts it and returns its id.
     pub fn add(&mut self, process: P) -> ProcessId {
         let id = ProcessId(self.slots.len());
         self.slots.push(Slot {
@@ -158,32 +159,32 @@
         id
     }
 
-    /// The present time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The seeded random source, for schedules that a test draws itself.
+    /// Returns the seeded random source, for tests that draw their own schedules.
     pub fn random(&mut self) -> &mut Pcg64Mcg {
         &mut self.random
     }
 
-    /// Messages delivered so far.
+    /// Returns the number of messages delivered so far.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// All process ids.
+    /// Returns the ids of all processes.
     pub fn ids(&self) -> impl Iterator<Item = ProcessId> + use<P> {
         (0..self.slots.len()).map(ProcessId)
     }
 
-    /// A process, dead ones too.
+    /// Returns a process, including a killed one.
     pub fn process(&self, id: ProcessId) -> &P {
         &self.slots[id.0].process
     }
 
-    /// A process, dead ones too, where it is of this kind.
+    /// Returns a process, including a killed one, as `K`, or `None` if it is of another kind.
     pub fn process_as<K>(&self, id: ProcessId) -> Option<&K>
     where
         P: ProcessKind<K>,
@@ -191,23 +192,23 @@
         self.process(id).kind()
     }
 
-    /// Whether a process has not been killed.
+    /// Returns whether a process is running, that is, not killed.
     pub fn is_alive(&self, id: ProcessId) -> bool {
         self.slots[id.0].alive
     }
 
-    /// Whether a process is frozen now.
+    /// Returns whether a process is currently frozen.
     pub fn is_frozen(&self, id: ProcessId) -> bool {
         self.slots[id.0].frozen_until > self.now
     }
 
-    /// Changes how the network treats messages sent from now on.
+    /// Sets the link quality for messages sent from now on.
     pub fn set_link(&mut self, link: LinkQuality) {
         self.link = link;
     }
 
-    /// Calls into a process from outside, such as a client's request; its messages are sent. `None` where the
-    /// process is dead or frozen.
+    /// Calls into a process from outside, for example with a client's request, and sends the resulting messages.
+    /// Returns `None` if the process is killed or frozen.
     pub fn interact<R>(
         &mut self,
         id: ProcessId,
@@ -217,7 +218,7 @@
         reachable.then(|| self.call(id, act))
     }
 
-    /// The same for a process of one kind. `None` also where it is of another.
+    /// Like [`Self::interact`], for a process of kind `K`. Also returns `None` if it is of another kind.
     pub fn interact_as<K, R>(
         &mut self,
         id: ProcessId,
@@ -230,7 +231,7 @@
             .flatten()
     }
 
-    /// Runs all events up to a time, and sets the clock to it.
+    /// Runs all events up to and including `deadline`, and advances the clock to it.
     pub fn run_until(&mut self, deadline: Timestamp) {
         while self.next_event_at().is_some_and(|at| at <= deadline) {
             self.step();
@@ -238,12 +239,12 @@
         self.now = self.now.max(deadline);
     }
 
-    /// Runs all events of the next `duration`.
+    /// Runs all events within `duration` from now, and advances the clock by it.
     pub fn run_for(&mut self, duration: Duration) {
         self.run_until(self.now + duration);
     }
 
-    /// Runs until `condition` holds, looking after each event, at most until a time. Returns whether it held.
+    /// Runs events until `condition` holds, but at most until `deadline`. Returns whether the condition holds.
     pub fn run_until_condition(&mut self, deadline: Timestamp, condition: impl Fn(&Self) -> bool) -> bool {
         while !condition(self) {
             if self.next_event_at().is_none_or(|at| at > deadline) {
@@ -255,7 +256,7 @@
         true
     }
 
-    /// Runs one event. Returns whether there was one.
+    /// Runs the next event. Returns `false` if the queue is empty.
     pub fn step(&mut self) -> bool {
         let Some(Reverse(scheduled)) = self.queue.pop() else { return false };
         self.now = scheduled.at;
@@ -272,8 +273,8 @@
 
     fn deliver(&mut self, from: ProcessId, to: ProcessId, message: P::Message) {
         let slot = &self.slots[to.0];
-        // A link that was cut after the message left loses it too: a cut may fall anywhere on its way.
-        if !slot.alive || self.cuts.contains(&(from, to)) {
+        // Messages in flight on a link are lost if the link is cut before their delivery.
+        if !slot.alive || self.cut_links.contains(&(from, to)) {
             return;
         }
         if self.is_frozen(to) {
@@ -318,7 +319,7 @@
     }
 
     fn send(&mut self, from: ProcessId, to: ProcessId, message: P::Message) {
-        if self.cuts.contains(&(from, to)) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
         for delay in self.link.draw_deliveries(&mut self.random) {
@@ -327,7 +328,7 @@
         }
     }
 
-    /// Invariant: a living process that wants to be woken has a wake-up in the queue no later than it asked for.
+    /// Keeps the invariant that a running process has a wake-up queued no later than it requested.
     fn schedule_wake(&mut self, id: ProcessId) {
         let slot = &mut self.slots[id.0];
         let Some(due) = slot.process.next_wake() else { return };
--- a/crates/simulation/src/simulation/fault_injection.rs
+++ b/crates/simulation/src/simulation/fault_injection.rs
@@ -1,6 +1,6 @@
-//! Faults in a running simulation: processes that are killed, restarted or frozen, and links that are cut.
+//! Fault injection for [`Simulation`]: kills, restarts and freezes processes, and cuts links.
 //!
-//! Owns nothing of its own: it changes the slots and cuts of [`Simulation`], by single calls or by a plan drawn before.
+//! Faults are injected by single calls or by a [`FaultPlan`].
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::link::LinkQuality;
 
 impl<P: Process> Simulation<P> {
-    /// Kills a process: it receives nothing more. What it would find on its disk is left in [`Self::process`].
+    /// Kills a process, which then receives no more messages. [`Self::process`] still returns its last state.
     pub fn kill(&mut self, id: ProcessId) {
         self.slots[id.0].alive = false;
     }
 
-    /// Starts a process again. `rebuild` makes the new state from the dead one's, keeping only what was durable.
+    /// Restarts a process. `rebuild` creates its new state from the durable part of the last one.
     pub fn restart(&mut self, id: ProcessId, rebuild: impl FnOnce(&P) -> P) {
         let now = self.now;
         let slot = &mut self.slots[id.0];
@@ -26,35 +26,35 @@
         self.call(id, |process, now, outbox| process.start(now, outbox));
     }
 
-    /// Stops a process for a while: messages wait for it and its timers are late, as under a long pause.
+    /// Pauses a process for a duration; its messages and wake-ups are delivered afterwards.
     pub fn freeze(&mut self, id: ProcessId, duration: Duration) {
         let until = self.now + duration;
         let slot = &mut self.slots[id.0];
         slot.frozen_until = slot.frozen_until.max(until);
     }
 
-    /// Cuts every link between a group and all others, both ways.
+    /// Cuts all links between a group and the other processes, in both directions.
     pub fn cut_off(&mut self, group: &[ProcessId]) {
         let outside: Vec<ProcessId> = self.ids().filter(|id| !group.contains(id)).collect();
         for &inner in group {
             for &outer in &outside {
-                self.cuts.insert((inner, outer));
-                self.cuts.insert((outer, inner));
+                self.cut_links.insert((inner, outer));
+                self.cut_links.insert((outer, inner));
             }
         }
     }
 
     /// Cuts one direction of one link.
     pub fn cut_link(&mut self, from: ProcessId, to: ProcessId) {
-        self.cuts.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
     /// Restores every link.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 
-    /// Applies one fault of a plan; a restart rebuilds the process with `rebuild`.
+    /// Applies one fault. A restart creates the new state with `rebuild` and has no effect on a running process.
     pub fn apply(&mut self, fault: &Fault, rebuild: impl FnOnce(&P) -> P) {
         match fault {
             Fault::Kill(id) => self.kill(*id),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Runs through a plan and applies each fault at its time, then heals the network for good.
+    /// Runs the simulation and applies each fault of a plan at its time, then restores all links with good quality.
     pub fn run_plan(&mut self, plan: &FaultPlan, rebuild: impl Fn(&P) -> P) {
         for (at, fault) in plan.faults() {
             self.run_until(*at);
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation itself: repeatable from its seed, and its faults do what they say.
+//! Tests that simulations are reproducible from their seed and that injected faults have their documented effect.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     Fault, FaultPlan, FaultRates, LinkQuality, Outbox, Process, ProcessId, Simulation,
 };
 
-/// Sends a number to its peer each 10 ms and remembers what it received and when.
+/// Sends consecutive numbers to its peer every 10 ms and records the received numbers with their times.
 struct Counter {
     peer: ProcessId,
     next: u32,
@@ -45,7 +45,7 @@
     }
 }
 
-fn pair(seed: u64, link: LinkQuality) -> Simulation<Counter> {
+fn counter_pair(seed: u64, link: LinkQuality) -> Simulation<Counter> {
     let mut simulation = Simulation::new(seed, link);
     simulation.add(Counter::new(1));
     simulation.add(Counter::new(0));
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_and_another_seed_another() {
+fn runs_are_reproducible_from_the_seed() {
     let run = |seed| {
-        let mut simulation = pair(seed, LinkQuality::POOR);
+        let mut simulation = counter_pair(seed, LinkQuality::POOR);
         simulation.run_for(Duration::from_secs(5));
         received(&simulation, 0)
     };
@@ -68,22 +68,22 @@
 }
 
 #[test]
-fn a_poor_link_loses_doubles_and_reorders() {
-    let mut simulation = pair(1, LinkQuality::POOR);
+fn a_poor_link_loses_duplicates_and_reorders_messages() {
+    let mut simulation = counter_pair(1, LinkQuality::POOR);
     simulation.run_for(Duration::from_secs(10));
     let numbers: Vec<u32> = received(&simulation, 0).iter().map(|(_, number)| *number).collect();
     let sent = simulation.process(ProcessId(1)).next;
     let mut distinct = numbers.clone();
     distinct.sort_unstable();
     distinct.dedup();
-    assert!(distinct.len() < sent as usize, "some are lost");
-    assert!(distinct.len() < numbers.len(), "some arrive twice");
-    assert!(!numbers.is_sorted(), "some overtake others");
+    assert!(distinct.len() < sent as usize, "no message was lost");
+    assert!(distinct.len() < numbers.len(), "no message was duplicated");
+    assert!(!numbers.is_sorted(), "no messages were reordered");
 }
 
 #[test]
-fn a_frozen_process_gets_its_messages_and_its_timer_late() {
-    let mut simulation = pair(1, LinkQuality::GOOD);
+fn a_frozen_process_receives_messages_and_wake_ups_late() {
+    let mut simulation = counter_pair(1, LinkQuality::GOOD);
     simulation.run_for(Duration::from_millis(15));
     simulation.freeze(ProcessId(0), Duration::from_millis(100));
     simulation.run_for(Duration::from_millis(99));
@@ -91,12 +91,12 @@
     assert!(simulation.interact(ProcessId(0), |_, _, _| ()).is_none());
     simulation.run_for(Duration::from_millis(2));
     assert_eq!(received(&simulation, 0).len(), 11);
-    assert_eq!(simulation.process(ProcessId(0)).next, 2, "a late timer fires once");
+    assert_eq!(simulation.process(ProcessId(0)).next, 2, "a deferred wake-up must run once");
 }
 
 #[test]
-fn a_killed_process_gets_nothing_and_a_restarted_one_goes_on() {
-    let mut simulation = pair(1, LinkQuality::GOOD);
+fn a_killed_process_receives_nothing_until_its_restart() {
+    let mut simulation = counter_pair(1, LinkQuality::GOOD);
     simulation.run_for(Duration::from_millis(35));
     simulation.kill(ProcessId(0));
     let before = received(&simulation, 0).len();
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn a_cut_stops_messages_both_ways_until_it_heals() {
-    let mut simulation = pair(1, LinkQuality::GOOD);
+fn a_cut_drops_messages_in_both_directions_until_healed() {
+    let mut simulation = counter_pair(1, LinkQuality::GOOD);
     simulation.cut_off(&[ProcessId(0)]);
     simulation.run_for(Duration::from_millis(95));
     assert_eq!(simulation.delivered(), 0);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_plan_is_repeatable_and_every_outage_ends() {
+fn a_fault_plan_is_reproducible_and_ends_every_outage() {
     let targets = [ProcessId(0), ProcessId(1), ProcessId(2)];
     let rates =
         FaultRates { mean_interval: Duration::from_millis(500), longest_outage: Duration::from_secs(2) };
