--- a/crates/lab/src/platform_replica/answers.rs
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -79,7 +79,7 @@
     }
     lock(state).seen.push(seen.clone());
     let is_stream = seen.line.contains("/stream/");
-    let ends = plan.ends_on.as_ref() == Some(&seen.body);
+    let ends = plan.crash_on_body.as_ref() == Some(&seen.body);
     if ends && !is_stream {
         tokio::time::sleep(plan.pause).await;
         crash(state);
--- a/crates/lab/src/platform_replica/cold.rs
+++ b/crates/lab/src/platform_replica/cold.rs
@@ -9,13 +9,13 @@
     /// Requests in one second beyond which it falls over, for good.
     stands: usize,
     arrivals: VecDeque<Instant>,
-    pub(super) has_fallen: bool,
+    pub(super) has_failed: bool,
 }
 
 impl ColdStretch {
     /// Lasts until a time, and stands so many requests in one second.
     pub(super) fn new(until: Instant, stands: usize) -> Self {
-        Self { until, stands, arrivals: VecDeque::new(), has_fallen: false }
+        Self { until, stands, arrivals: VecDeque::new(), has_failed: false }
     }
 
     /// Takes a request; returns whether the replica stands it.
@@ -26,7 +26,7 @@
         while self.arrivals.front().is_some_and(|arrival| now - *arrival >= Duration::from_secs(1)) {
             self.arrivals.pop_front();
         }
-        self.has_fallen |= self.arrivals.len() > self.stands;
-        !self.has_fallen
+        self.has_failed |= self.arrivals.len() > self.stands;
+        !self.has_failed
     }
 }
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -70,7 +70,7 @@
     /// Its models.
     pub models: BTreeMap<String, u64>,
     /// The body of requests under which it ends, like a process that crashes.
-    pub ends_on: Option<Bytes>,
+    pub crash_on_body: Option<Bytes>,
 }
 
 struct State {
@@ -140,8 +140,8 @@
     }
 
     /// Whether it got more than it stands while it was cold.
-    pub fn has_fallen(&self) -> bool {
-        lock(&self.state).cold.as_ref().is_some_and(|cold| cold.has_fallen)
+    pub fn has_failed(&self) -> bool {
+        lock(&self.state).cold.as_ref().is_some_and(|cold| cold.has_failed)
     }
 
     /// Its id, which later incarnations may have as well.
--- a/crates/lab/src/soak/system.rs
+++ b/crates/lab/src/soak/system.rs
@@ -318,8 +318,8 @@
 
 fn replica_plan(id: &str) -> ReplicaPlan {
     let models = BTreeMap::from([("m".to_owned(), 1)]);
-    let ends_on = Some(Bytes::from_static(CRASHING_BODY));
-    ReplicaPlan { id: id.to_owned(), events: EVENTS, pause: Duration::from_millis(20), models, ends_on }
+    let crash_on_body = Some(Bytes::from_static(CRASHING_BODY));
+    ReplicaPlan { id: id.to_owned(), events: EVENTS, pause: Duration::from_millis(20), models, crash_on_body }
 }
 
 fn configuration() -> Value {
--- a/crates/lab/tests/platform_cold/mod.rs
+++ b/crates/lab/tests/platform_cold/mod.rs
@@ -90,7 +90,7 @@
     assert!(refused + refused_more > 0, "what they can't bear is refused at once");
     assert!(some + more > 0, "what they bear is served");
     assert_eq!(system.results(0, "cold").await.len(), ITEMS);
-    assert!(!system.replicas.iter().any(Replica::has_fallen));
+    assert!(!system.replicas.iter().any(Replica::has_failed));
     system.call_until(StatusCode::OK, 1, "/read/warm").await;
 }
 
--- a/crates/lab/tests/platform_processes.rs
+++ b/crates/lab/tests/platform_processes.rs
@@ -112,7 +112,7 @@
         events: 1_000_000,
         pause: Duration::from_millis(20),
         models,
-        ends_on: None,
+        crash_on_body: None,
     }
 }
 
--- a/crates/lab/tests/platform_system/mod.rs
+++ b/crates/lab/tests/platform_system/mod.rs
@@ -103,8 +103,8 @@
 
     /// A system whose replicas end under requests with this body.
     pub(crate) async fn ending_on(body: &'static str, replicas: usize, events: u64) -> Self {
-        let ends_on = Some(Bytes::from_static(body.as_bytes()));
-        Self::with_plan(SystemPlan { ends_on, ..SystemPlan::default() }, replicas, events).await
+        let crash_on_body = Some(Bytes::from_static(body.as_bytes()));
+        Self::with_plan(SystemPlan { crash_on_body, ..SystemPlan::default() }, replicas, events).await
     }
 
     async fn with_plan(plan: SystemPlan, replicas: usize, events: u64) -> Self {
@@ -149,7 +149,7 @@
             events,
             pause: Duration::from_millis(5),
             models,
-            ends_on: self.plan.ends_on.clone(),
+            crash_on_body: self.plan.crash_on_body.clone(),
         }
     }
 
--- a/crates/lab/tests/platform_system/plan.rs
+++ b/crates/lab/tests/platform_system/plan.rs
@@ -20,7 +20,7 @@
     /// Which region each zone lies in.
     pub(crate) zones: ZoneMap,
     /// The body of requests under which replicas end.
-    pub(crate) ends_on: Option<Bytes>,
+    pub(crate) crash_on_body: Option<Bytes>,
     /// Whether replicas that have ended start again under their ids.
     pub(crate) keeps_ids: bool,
 }
@@ -34,7 +34,7 @@
             follow_after: Duration::ZERO,
             duties: None,
             zones: ZoneMap::default(),
-            ends_on: None,
+            crash_on_body: None,
             keeps_ids: false,
         }
     }
