--- a/crates/lab/src/platform_replica/answers.rs
+++ b/crates/lab/src/platform_replica/answers.rs
@@ -1,4 +1,4 @@
-//! What a replica answers: reports, orders, and requests as its behaviour has it.
+//! Request handler of a simulated replica: reports, load orders, and other requests according to its behaviour.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -42,7 +42,7 @@
 async fn order(state: &Mutex<State>, request: Request<Incoming>) -> Response<Body> {
     let order: LoadOrder = match http::read_json(request).await {
         Ok(order) => order,
-        Err(refusal) => return refusal,
+        Err(error_response) => return error_response,
     };
     let mut state = lock(state);
     let highest_fence = state.orders.iter().map(|order| order.fence).max().unwrap_or(0);
@@ -60,7 +60,7 @@
 async fn run(state: &Arc<Mutex<State>>, request: Request<Incoming>) -> Reply {
     let seen = match read(request).await {
         Ok(seen) => seen,
-        Err(refusal) => return refusal.into(),
+        Err(error_response) => return error_response.into(),
     };
     let (plan, behaviour) = {
         let state = lock(state);
@@ -70,8 +70,8 @@
     if expected.is_some_and(|expected| expected != &plan.id) {
         return http::empty(StatusCode::MISDIRECTED_REQUEST).into();
     }
-    let stands = lock(state).cold.as_mut().is_none_or(|cold| cold.stands_request(Instant::now()));
-    if !stands {
+    let survives = lock(state).cold.as_mut().is_none_or(|cold| cold.survives_request(Instant::now()));
+    if !survives {
         return Reply::Hang;
     }
     if behaviour == ReplicaBehaviour::Rejects {
@@ -79,8 +79,8 @@
     }
     lock(state).seen.push(seen.clone());
     let is_stream = seen.line.contains("/stream/");
-    let ends = plan.crash_on_body.as_ref() == Some(&seen.body);
-    if ends && !is_stream {
+    let crashes = plan.crash_on_body.as_ref() == Some(&seen.body);
+    if crashes && !is_stream {
         tokio::time::sleep(plan.pause).await;
         crash(state);
         return Reply::Hang;
@@ -90,7 +90,7 @@
         ReplicaBehaviour::Fails => signed(StatusCode::INTERNAL_SERVER_ERROR, &seen.id, &[]).into(),
         ReplicaBehaviour::AnswersForAnother => signed(StatusCode::OK, "another", &[]).into(),
         _ if is_stream => {
-            let guard = StreamGuard { state: Arc::clone(state), is_whole: false, ends };
+            let guard = StreamGuard { state: Arc::clone(state), is_finished: false, crashes };
             events(&plan, behaviour, &seen, guard).into()
         }
         _ => {
@@ -116,20 +116,24 @@
     Ok(SeenRequest { id, line, headers: fields, body: body.to_bytes(), at: Instant::now() })
 }
 
-/// Requests whose ids begin so get a signature that names them, so that a score shows which request it came of.
+/// Id prefix of score requests, whose signature contains the id, so that a score identifies the request that gave it.
 const SCORE_ID_PREFIX: &str = "score-";
 
-pub(super) fn signed(status: StatusCode, id: &str, more: &[(&'static str, &'static str)]) -> Response<Body> {
+pub(super) fn signed(
+    status: StatusCode,
+    id: &str,
+    extra_headers: &[(&'static str, &'static str)],
+) -> Response<Body> {
     let mut answer = http::empty(status);
     let fields = answer.headers_mut();
     if let Ok(id) = HeaderValue::from_str(id) {
         fields.insert(headers::REQUEST_ID, id);
     }
-    let seal = if id.starts_with(SCORE_ID_PREFIX) { format!("seal of {id}") } else { "seal".to_owned() };
-    if let Ok(seal) = HeaderValue::from_str(&seal) {
-        fields.insert(headers::SIGNATURE, seal);
+    let signature = if id.starts_with(SCORE_ID_PREFIX) { format!("seal of {id}") } else { "seal".to_owned() };
+    if let Ok(signature) = HeaderValue::from_str(&signature) {
+        fields.insert(headers::SIGNATURE, signature);
     }
-    for (name, value) in more {
+    for (name, value) in extra_headers {
         fields.insert(*name, HeaderValue::from_static(value));
     }
     answer
--- a/crates/lab/src/platform_replica/event_stream.rs
+++ b/crates/lab/src/platform_replica/event_stream.rs
@@ -1,4 +1,4 @@
-//! The streams of numbered events of a replica, whole or broken off.
+//! Streams of numbered events that a simulated replica sends, in full or up to a connection error.
 
 use std::sync::{Arc, Mutex};
 
@@ -15,33 +15,33 @@
 use crate::http::Body;
 use crate::locked::lock;
 
-/// Counts a stream that is dropped before its end.
+/// Counts the stream as abandoned if it is dropped before it is finished.
 pub(super) struct StreamGuard {
     pub(super) state: Arc<Mutex<State>>,
-    pub(super) is_whole: bool,
-    /// Whether the replica ends under it.
-    pub(super) ends: bool,
+    pub(super) is_finished: bool,
+    /// Whether the replica crashes during the stream.
+    pub(super) crashes: bool,
 }
 
 impl StreamGuard {
-    /// The stream has ended by itself.
+    /// Marks the stream as finished.
     fn finish(mut self) {
-        self.is_whole = true;
+        self.is_finished = true;
     }
 }
 
 impl Drop for StreamGuard {
     fn drop(&mut self) {
-        if !self.is_whole {
+        if !self.is_finished {
             lock(&self.state).abandoned += 1;
         }
     }
 }
 
-/// Events of a stream before the replica ends under it.
-const EVENTS_BEFORE_END: u64 = 2;
+/// Number of events that are sent before the replica crashes.
+const EVENTS_BEFORE_CRASH: u64 = 2;
 
-/// A stream of numbered events after the one that the reader has.
+/// Returns a stream of numbered events, starting after the event in the reader's `Last-Event-ID` header if there is one.
 pub(super) fn events(
     plan: &ReplicaPlan,
     behaviour: ReplicaBehaviour,
@@ -50,21 +50,24 @@
 ) -> Response<Body> {
     let last = seen.headers.get(headers::LAST_EVENT_ID).and_then(|number| number.parse::<u64>().ok());
     let first = last.map_or(0, |number| number + 1);
-    let broken_at = match behaviour {
+    let break_at = match behaviour {
         ReplicaBehaviour::BreaksAfter(events) => first + events,
-        _ if guard.ends => first + EVENTS_BEFORE_END,
+        _ if guard.crashes => first + EVENTS_BEFORE_CRASH,
         _ => u64::MAX,
     };
     let pause = if let ReplicaBehaviour::Takes(time) = behaviour { time } else { plan.pause };
     let end = plan.events;
     let frames = stream::unfold((first, guard), move |(number, mut guard)| async move {
-        if number >= broken_at && number < end {
-            let broken = std::io::Error::new(std::io::ErrorKind::ConnectionReset, "broken off on purpose");
-            guard.is_whole = true;
-            if guard.ends {
+        if number >= break_at && number < end {
+            let error = std::io::Error::new(
+                std::io::ErrorKind::ConnectionReset,
+                "stream broken by the simulated replica",
+            );
+            guard.is_finished = true;
+            if guard.crashes {
                 crash(&guard.state);
             }
-            return Some((Err(broken), (u64::MAX, guard)));
+            return Some((Err(error), (u64::MAX, guard)));
         }
         if number >= end {
             guard.finish();
--- a/crates/lab/src/platform_replica/mod.rs
+++ b/crates/lab/src/platform_replica/mod.rs
@@ -1,8 +1,7 @@
-//! A stand-in for a replica of the users' platform: plain requests, streams of numbered events, reports and orders, and
-//! the ways in which replicas fail.
+//! Simulated replica of the users' platform, for tests and the soak.
 //!
-//! Owns what the replica is made of and what it has run. Relies on the lab's HTTP server and on the platform crate's
-//! names.
+//! It serves plain requests, streams of numbered events, reports and load orders over HTTP, records the requests that it
+//! runs, and simulates the ways in which replicas fail.
 
 mod answers;
 mod cold;
@@ -21,55 +20,55 @@
 use crate::error::LabError;
 use crate::http::{self, ANY_PORT, Server};
 use crate::locked::lock;
-use cold::ColdStretch;
+use cold::ColdPeriod;
 
 /// How a replica treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaBehaviour {
-    /// As it should.
+    /// Works as specified.
     #[default]
     Well,
-    /// It states that it runs nothing.
+    /// Rejects each request and states that it was not run.
     Rejects,
-    /// It runs requests, and their answers are lost.
+    /// Runs requests and never responds.
     LosesAnswers,
-    /// It takes so long for each plain answer, and before each event of a stream.
+    /// Takes this long for each plain response and before each event of a stream.
     Takes(Duration),
-    /// It answers that each run failed.
+    /// Responds that each request failed.
     Fails,
-    /// It breaks streams off after so many events.
+    /// Breaks each stream after this many events.
     BreaksAfter(u64),
-    /// Its answers carry the id of another request.
+    /// Responds with the id of another request.
     AnswersForAnother,
 }
 
-/// A request as it arrived.
+/// A request that a replica began to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenRequest {
-    /// Its id.
+    /// Request id.
     pub id: String,
     /// Method, path and query.
     pub line: String,
-    /// Header fields in lower case.
+    /// Headers, with names in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When it was read whole.
+    /// When the request was read to its end.
     pub at: Instant,
 }
 
-/// What a replica is made of.
+/// Parameters of a simulated replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaPlan {
-    /// Its id, which later incarnations may have as well.
+    /// Replica id, which later incarnations may share.
     pub id: String,
-    /// Events of each stream.
+    /// Number of events in each stream.
     pub events: u64,
     /// Pause before each event.
     pub pause: Duration,
-    /// Its models.
+    /// Loaded weight version, by model name.
     pub models: BTreeMap<String, u64>,
-    /// The body of requests under which it ends, like a process that crashes.
+    /// Body of requests that crash the replica.
     pub crash_on_body: Option<Bytes>,
 }
 
@@ -80,16 +79,16 @@
     orders: Vec<LoadOrder>,
     /// When it started, in milliseconds since the Unix epoch.
     started_at_ms: u64,
-    /// Streams whose reader left before their end.
+    /// Number of streams whose reader disconnected before the end.
     abandoned: u64,
-    cold: Option<ColdStretch>,
-    /// None once it has ended.
+    cold: Option<ColdPeriod>,
+    /// `None` once the replica has ended.
     server: Option<Server>,
 }
 
-/// A running stand-in.
+/// A running simulated replica, which ends on drop.
 pub struct Replica {
-    /// Where it answers.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -97,7 +96,7 @@
 /// Starts a replica on a free loopback port.
 ///
 /// # Errors
-/// When no port can be had.
+/// When no port can be bound.
 pub async fn start(plan: ReplicaPlan) -> Result<Replica, LabError> {
     start_at(ANY_PORT, plan).await
 }
@@ -105,7 +104,7 @@
 /// Starts a replica at an address, such as that of an earlier incarnation.
 ///
 /// # Errors
-/// When the address can't be had.
+/// When the address can't be bound.
 pub async fn start_at(address: SocketAddr, plan: ReplicaPlan) -> Result<Replica, LabError> {
     let behaviour = ReplicaBehaviour::Well;
     let state = State {
@@ -119,8 +118,8 @@
         server: None,
     };
     let state = Arc::new(Mutex::new(state));
-    let answering = Arc::clone(&state);
-    let handler = move |request| answers::answer(Arc::clone(&answering), request);
+    let handler_state = Arc::clone(&state);
+    let handler = move |request| answers::answer(Arc::clone(&handler_state), request);
     let server = http::serve(address, handler).await?;
     let address = server.address;
     lock(&state).server = Some(server);
@@ -128,64 +127,64 @@
 }
 
 impl Replica {
-    /// Behaves otherwise from now on.
+    /// Sets the behaviour for requests from now on.
     pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
-    /// Turns cold for `lasts`; beyond `stands` requests in one second it falls over.
-    pub fn turn_cold(&self, lasts: Duration, stands: usize) {
-        let until = Instant::now() + lasts;
-        lock(&self.state).cold = Some(ColdStretch::new(until, stands));
+    /// Makes the replica cold for `duration`; it fails if it receives more than `max_requests_per_s` requests in one second.
+    pub fn turn_cold(&self, duration: Duration, max_requests_per_s: usize) {
+        let until = Instant::now() + duration;
+        lock(&self.state).cold = Some(ColdPeriod::new(until, max_requests_per_s));
     }
 
-    /// Whether it got more than it stands while it was cold.
+    /// Returns whether the replica has failed because it received too many requests while it was cold.
     pub fn has_failed(&self) -> bool {
         lock(&self.state).cold.as_ref().is_some_and(|cold| cold.has_failed)
     }
 
-    /// Its id, which later incarnations may have as well.
+    /// Returns the replica's id, which later incarnations may share.
     pub fn id(&self) -> String {
         lock(&self.state).plan.id.clone()
     }
 
-    /// The id of this incarnation as nodes know it.
+    /// Returns the id by which nodes know this incarnation.
     pub fn incarnation(&self) -> String {
         let state = lock(&self.state);
         ReplicaIncarnation { name: &state.plan.id, started_at_ms: Some(state.started_at_ms) }.to_string()
     }
 
-    /// Events of each stream.
+    /// Returns the number of events in each stream.
     pub fn events(&self) -> u64 {
         lock(&self.state).plan.events
     }
 
-    /// Ends, like a process that crashes: its connections close, and new ones are refused.
+    /// Ends the replica like a process that crashes: its connections close, and new ones are refused.
     pub fn end(&self) {
         crash(&self.state);
     }
 
-    /// Whether it has ended.
+    /// Returns whether the replica has ended.
     pub fn has_ended(&self) -> bool {
         lock(&self.state).server.is_none()
     }
 
-    /// Requests that it began to run, in order.
+    /// Returns the requests that the replica began to run, in order.
     pub fn seen(&self) -> Vec<SeenRequest> {
         lock(&self.state).seen.clone()
     }
 
-    /// How many streams it stopped because their reader had left.
+    /// Returns the number of streams that stopped because their reader disconnected.
     pub fn abandoned_streams(&self) -> u64 {
         lock(&self.state).abandoned
     }
 
-    /// Orders that it took, in order.
+    /// Returns the load orders that the replica accepted, in order.
     pub fn orders(&self) -> Vec<LoadOrder> {
         lock(&self.state).orders.clone()
     }
 
-    /// What it writes into the metadata store.
+    /// Returns the replica's record for the metadata store.
     pub fn record(&self, service: &str, zone: &str) -> serde_json::Value {
         let state = lock(&self.state);
         let cold_left = state.cold.as_ref().map(|cold| cold.until.saturating_duration_since(Instant::now()));
@@ -200,7 +199,7 @@
 
 impl Drop for Replica {
     fn drop(&mut self) {
-        // The handler of the server holds the state, and the state the server.
+        // The server's handler and the state own each other; ending the replica breaks the cycle.
         self.end();
     }
 }
