--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -15,7 +15,7 @@
 use lichenpulley_daemon::http::request::percent_decode;
 use lichenpulley_protocol::platform::Machine;
 
-pub use register::MachineRegister;
+pub use register::MachineListHistory;
 
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
@@ -126,13 +126,14 @@
 
 #[derive(Debug)]
 struct Inner {
-    register: MachineRegister,
+    register: MachineListHistory,
     faults: MachineListFaults,
 }
 
 impl State {
     fn new(machines: Vec<Machine>) -> Self {
-        let inner = Inner { register: MachineRegister::new(machines), faults: MachineListFaults::default() };
+        let inner =
+            Inner { register: MachineListHistory::new(machines), faults: MachineListFaults::default() };
         Self { started: Instant::now(), inner: Mutex::new(inner) }
     }
 
--- a/crates/lab/src/machine_list/register.rs
+++ b/crates/lab/src/machine_list/register.rs
@@ -12,24 +12,24 @@
 
 /// Machines by id with enough of their past to answer as of some time ago.
 #[derive(Clone, Debug)]
-pub struct MachineRegister {
+pub struct MachineListHistory {
     revision: Revision,
     machines: BTreeMap<String, Machine>,
     past: VecDeque<(Timestamp, MachineList)>,
 }
 
-impl MachineRegister {
+impl MachineListHistory {
     /// A list that has held these machines for ever.
     pub fn new(machines: Vec<Machine>) -> Self {
         let machines = machines.into_iter().map(|machine| (machine.id.clone(), machine)).collect();
         let mut register = Self { revision: Revision(1), machines, past: VecDeque::new() };
-        let present = register.present();
-        register.past.push_back((Timestamp::ORIGIN, present));
+        let current = register.current();
+        register.past.push_back((Timestamp::ORIGIN, current));
         register
     }
 
     /// The list without lag.
-    pub fn present(&self) -> MachineList {
+    pub fn current(&self) -> MachineList {
         MachineList { revision: self.revision, machines: self.machines.values().cloned().collect() }
     }
 
@@ -57,8 +57,8 @@
 
     fn remember(&mut self, now: Timestamp) {
         self.revision = self.revision.next();
-        let present = self.present();
-        self.past.push_back((now, present));
+        let current = self.current();
+        self.past.push_back((now, current));
         while self.past.len() > REMEMBERED_CHANGES {
             self.past.pop_front();
         }
--- a/crates/lab/src/metadata_store/mod.rs
+++ b/crates/lab/src/metadata_store/mod.rs
@@ -22,14 +22,14 @@
 const PREFIX: &str = "/-/objects/";
 
 /// Stands for bytes that are no text, in what is put into the store.
-pub const UNREADABLE: &str = "(unreadable)";
+pub const UNREADABLE_PLACEHOLDER: &str = "(unreadable)";
 
 /// How the store answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Condition {
+pub enum ResponseMode {
     /// As it should.
     #[default]
-    Well,
+    Normal,
     /// It takes requests and says nothing.
     Silent,
     /// It closes each connection without an answer.
@@ -41,12 +41,12 @@
 #[derive(Default)]
 struct State {
     objects: Objects,
-    condition: Condition,
+    response_mode: ResponseMode,
     /// A kind of which it says nothing.
-    silent_kind: Option<String>,
+    unresponsive_kind: Option<String>,
     /// A kind whose watches hear nothing.
-    deaf_kind: Option<String>,
-    /// What stands in place of each [`UNREADABLE`] in answers.
+    stalled_watch_kind: Option<String>,
+    /// What stands in place of each [`UNREADABLE_PLACEHOLDER`] in answers.
     unreadable: Vec<u8>,
     /// The kinds that were listed, each time.
     listed: Vec<String>,
@@ -87,8 +87,8 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Answers with these bytes wherever [`UNREADABLE`] stands as a text, as where a writer put them there.
-    pub fn set_unreadable(&self, bytes: &[u8]) {
+    /// Answers with these bytes wherever [`UNREADABLE_PLACEHOLDER`] stands as a text, as where a writer put them there.
+    pub fn set_unreadable_bytes(&self, bytes: &[u8]) {
         self.shared.lock().unreadable = bytes.to_vec();
     }
 
@@ -115,28 +115,28 @@
     }
 
     /// How many watches of a kind wait for a change.
-    pub fn waiting_watches(&self, kind: &str) -> usize {
+    pub fn waiting_watch_count(&self, kind: &str) -> usize {
         self.shared.lock().waiting.iter().filter(|waiting| *waiting == kind).count()
     }
 
     /// How often a kind was listed.
-    pub fn lists(&self, kind: &str) -> usize {
+    pub fn list_count(&self, kind: &str) -> usize {
         self.shared.lock().listed.iter().filter(|listed| *listed == kind).count()
     }
 
     /// Says nothing of this kind from now on; all else is answered.
-    pub fn set_silent_kind(&self, kind: Option<&str>) {
-        self.shared.lock().silent_kind = kind.map(str::to_owned);
+    pub fn set_unresponsive_kind(&self, kind: Option<&str>) {
+        self.shared.lock().unresponsive_kind = kind.map(str::to_owned);
     }
 
     /// Watches of this kind hear nothing from now on, as on connections that fell silent; lists are answered.
-    pub fn set_deaf_kind(&self, kind: Option<&str>) {
-        self.shared.lock().deaf_kind = kind.map(str::to_owned);
+    pub fn set_stalled_watch_kind(&self, kind: Option<&str>) {
+        self.shared.lock().stalled_watch_kind = kind.map(str::to_owned);
     }
 
     /// Answers in another way from now on.
-    pub fn set_condition(&self, condition: Condition) {
-        self.shared.lock().condition = condition;
+    pub fn set_response_mode(&self, response_mode: ResponseMode) {
+        self.shared.lock().response_mode = response_mode;
     }
 }
 
@@ -169,18 +169,18 @@
 }
 
 impl State {
-    fn is_silent(&self, kind: &str) -> bool {
-        self.silent_kind.as_deref() == Some(kind)
+    fn is_unresponsive(&self, kind: &str) -> bool {
+        self.unresponsive_kind.as_deref() == Some(kind)
     }
 
-    fn is_deaf(&self, kind: &str) -> bool {
-        self.deaf_kind.as_deref() == Some(kind)
+    fn is_watch_stalled(&self, kind: &str) -> bool {
+        self.stalled_watch_kind.as_deref() == Some(kind)
     }
 
     /// JSON with the unreadable bytes in their places.
     fn raw_json(&self, value: &impl serde::Serialize) -> Response<Body> {
         let text = serde_json::to_string(value).unwrap_or_default();
-        let placeholder = format!("\"{UNREADABLE}\"");
+        let placeholder = format!("\"{UNREADABLE_PLACEHOLDER}\"");
         let mut parts = text.split(&placeholder);
         let mut body = parts.next().unwrap_or_default().as_bytes().to_vec();
         for part in parts {
@@ -192,17 +192,17 @@
 }
 
 async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Reply {
-    let condition = shared.lock().condition;
-    match condition {
-        Condition::Well => {}
-        Condition::Silent => return std::future::pending().await,
-        Condition::Resets => return Reply::Hang,
-        Condition::Busy => return http::empty(StatusCode::SERVICE_UNAVAILABLE).into(),
+    let response_mode = shared.lock().response_mode;
+    match response_mode {
+        ResponseMode::Normal => {}
+        ResponseMode::Silent => return std::future::pending().await,
+        ResponseMode::Resets => return Reply::Hang,
+        ResponseMode::Busy => return http::empty(StatusCode::SERVICE_UNAVAILABLE).into(),
     }
     let path = request.uri().path().to_owned();
     let Some(rest) = path.strip_prefix(PREFIX) else { return http::not_found(&path).into() };
     let parts: Vec<&str> = rest.split('/').collect();
-    if parts.first().is_some_and(|kind| shared.lock().is_silent(kind)) {
+    if parts.first().is_some_and(|kind| shared.lock().is_unresponsive(kind)) {
         return std::future::pending().await;
     }
     let answered = match (request.method().clone(), parts.as_slice()) {
@@ -246,7 +246,7 @@
         let changed = shared.changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
-        if shared.lock().is_deaf(kind) {
+        if shared.lock().is_watch_stalled(kind) {
             return std::future::pending().await;
         }
         {
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, RngExt};
 
 use super::proxy::ProxyMode;
-use crate::metadata_store::Condition;
+use crate::metadata_store::ResponseMode;
 use crate::platform_replica::ReplicaBehaviour;
 
 /// A fault that is injected and later undone. Its `Debug` form is part of the soak's report.
@@ -27,7 +27,7 @@
     /// Stops a gateway gracefully with SIGTERM and restarts it.
     StopGateway(usize),
     /// Makes the platform's metadata store fail for all nodes.
-    Platform(Condition),
+    Platform(ResponseMode),
     /// Disturbs the connections of one gateway to the platform's metadata store.
     PlatformCut(usize, ProxyMode),
     /// Disturbs the connections to a replica.
@@ -117,7 +117,7 @@
             ProxyMode::DeafBack,
         ];
         let mode = modes[random.random_range(0..modes.len())];
-        let conditions = [Condition::Silent, Condition::Resets, Condition::Busy];
+        let conditions = [ResponseMode::Silent, ResponseMode::Resets, ResponseMode::Busy];
         let condition = conditions[random.random_range(0..conditions.len())];
         let behaviours = [
             ReplicaBehaviour::Rejects,
--- a/crates/lab/src/soak/system/injection.rs
+++ b/crates/lab/src/soak/system/injection.rs
@@ -6,7 +6,7 @@
 
 use super::{STOP_TIMEOUT, SoakSystem};
 use crate::error::LabError;
-use crate::metadata_store::Condition;
+use crate::metadata_store::ResponseMode;
 use crate::platform_replica::ReplicaBehaviour;
 use crate::soak::fault::{Fault, PlannedFault};
 use crate::soak::node::{NodeProcess, data_folder};
@@ -49,7 +49,7 @@
             Fault::FreezeStore(number) => signal(self.stores[number].as_ref(), Signal::STOP),
             Fault::FreezeStores => self.stores.iter().for_each(|store| signal(store.as_ref(), Signal::STOP)),
             Fault::StopGateway(number) => signal(self.gateways[number].as_ref(), Signal::TERM),
-            Fault::Platform(condition) => self.platform.set_condition(condition),
+            Fault::Platform(condition) => self.platform.set_response_mode(condition),
             Fault::PlatformCut(number, mode) => self.platform_proxies[number].set_mode(mode),
             Fault::ReplicaCut(number, mode) => self.replica_proxies[number].set_mode(mode),
             Fault::Replica(number, behaviour) => self.replicas[number].set_behaviour(behaviour),
@@ -67,7 +67,7 @@
             Fault::FreezeStore(number) => signal(self.stores[number].as_ref(), Signal::CONT),
             Fault::FreezeStores => self.stores.iter().for_each(|store| signal(store.as_ref(), Signal::CONT)),
             Fault::StopGateway(number) => return self.replace_stopping(number).await,
-            Fault::Platform(_) => self.platform.set_condition(Condition::Well),
+            Fault::Platform(_) => self.platform.set_response_mode(ResponseMode::Normal),
             Fault::PlatformCut(number, _) => self.platform_proxies[number].set_mode(ProxyMode::Open),
             Fault::ReplicaCut(number, _) => self.replica_proxies[number].set_mode(ProxyMode::Open),
             Fault::Replica(number, _) => self.replicas[number].set_behaviour(ReplicaBehaviour::Well),
--- a/crates/lab/tests/machine_list.rs
+++ b/crates/lab/tests/machine_list.rs
@@ -7,7 +7,7 @@
 use lichenpulley_daemon::configuration::platform::MachineListClient;
 use lichenpulley_daemon::settings::Settings;
 use lichenpulley_lab::http::ANY_PORT;
-use lichenpulley_lab::machine_list::{self, MachineListFaults, MachineRegister};
+use lichenpulley_lab::machine_list::{self, MachineListFaults, MachineListHistory};
 use lichenpulley_protocol::platform::{Machine, MachineKind, MachineState};
 
 fn machine(id: &str) -> Machine {
@@ -24,7 +24,7 @@
 #[test]
 fn a_change_shows_only_after_the_lag() {
     let lag = Duration::from_secs(5);
-    let mut register = MachineRegister::new(vec![machine("a")]);
+    let mut register = MachineListHistory::new(vec![machine("a")]);
     register.put(machine("b"), Timestamp::from_millis(10_000));
     register.remove("a", Timestamp::from_millis(12_000));
     let ids_at = |seconds: u64| {
--- a/crates/lab/tests/platform_ends/mod.rs
+++ b/crates/lab/tests/platform_ends/mod.rs
@@ -124,11 +124,11 @@
     for number in 0..2 {
         kill(system.gateways[number].take()).await;
     }
-    system.platform.set_silent_kind(Some(objects::CONFIGURATION));
+    system.platform.set_unresponsive_kind(Some(objects::CONFIGURATION));
     system.gateways.clear();
     system.start_gateway(0).await;
     let mut decisions = read_by(&system, 0, "job").await;
-    system.platform.set_silent_kind(None);
+    system.platform.set_unresponsive_kind(None);
     wait_for(&mut decisions, "end_kept", "job").await;
 }
 
--- a/crates/lab/tests/platform_entries/mod.rs
+++ b/crates/lab/tests/platform_entries/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use hyper::{Method, StatusCode};
-use lichenpulley_lab::metadata_store::UNREADABLE;
+use lichenpulley_lab::metadata_store::UNREADABLE_PLACEHOLDER;
 use lichenpulley_platform::objects;
 use serde_json::{Value, json};
 
@@ -23,8 +23,8 @@
         ("b-other-type", entry("slots", json!("four"))),
         ("b-no-whole-number", entry("born", json!(1.5))),
         ("c-unknown-state", entry("state", json!("resting"))),
-        ("c-unreadable", entry("zone", json!(UNREADABLE))),
-        ("z-unreadable-whole", json!(UNREADABLE)),
+        ("c-unreadable", entry("zone", json!(UNREADABLE_PLACEHOLDER))),
+        ("z-unreadable-whole", json!(UNREADABLE_PLACEHOLDER)),
     ]
 }
 
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn entries_of_other_writers_name_no_replica_and_the_others_hold() {
     let mut system = System::start(2, 3).await;
-    system.platform.set_unreadable(b"\"\xff\xfe\"");
+    system.platform.set_unreadable_bytes(b"\"\xff\xfe\"");
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
     // Heard by a watch.
     for (name, entry) in foreign_entries() {
--- a/crates/lab/tests/platform_evacuations/mod.rs
+++ b/crates/lab/tests/platform_evacuations/mod.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, StatusCode};
 use lichenpulley_daemon::http::client::ClientError;
 use lichenpulley_daemon::node::Node;
-use lichenpulley_lab::metadata_store::Condition;
+use lichenpulley_lab::metadata_store::ResponseMode;
 use lichenpulley_lab::soak::proxy::{LoopbackProxy, ProxyMode};
 use lichenpulley_platform::objects;
 use lichenpulley_protocol::error::ErrorBody;
@@ -51,7 +51,7 @@
     system.call_until(StatusCode::OK, number, "/read/warm").await;
     // Its watches stand, beside those of the others.
     for kind in [objects::REPLICAS, objects::EVACUATIONS] {
-        until(|| system.platform.waiting_watches(kind) == system.gateways.len()).await;
+        until(|| system.platform.waiting_watch_count(kind) == system.gateways.len()).await;
     }
     proxy
 }
@@ -88,7 +88,7 @@
     until_in_force(&system, ZONES[0]).await;
     serve(&system, 0, 5).await;
     let before = system.replicas[0].seen().len();
-    system.platform.set_condition(Condition::Silent);
+    system.platform.set_response_mode(ResponseMode::Silent);
     system.start_gateway(2).await;
     let served = async {
         while serve(&system, 2, 1).await == 0 {
@@ -109,7 +109,7 @@
         lost.kill();
         lost.stopped().await;
     }
-    system.platform.set_silent_kind(Some(objects::EVACUATIONS));
+    system.platform.set_unresponsive_kind(Some(objects::EVACUATIONS));
     system.start_gateway(2).await;
     let before = system.replicas[0].seen().len();
     let refused = async {
@@ -123,7 +123,7 @@
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     }
     assert_eq!(system.replicas[0].seen().len(), before);
-    system.platform.set_silent_kind(None);
+    system.platform.set_unresponsive_kind(None);
     system.call_until(StatusCode::OK, 2, "/read/x").await;
 }
 
@@ -208,6 +208,6 @@
     assert_eq!(stands("shah-alam").state, ZoneState::Open);
     assert_eq!(change(operators, &system, "kajang/return").await.expect("taken").state, ZoneState::Open);
     until(|| !system.gateways.iter().flatten().any(|node| is_in_force(node, "kajang"))).await;
-    system.platform.set_condition(Condition::Busy);
+    system.platform.set_response_mode(ResponseMode::Busy);
     assert_eq!(refused("kajang/evacuate").await, "store_unreachable");
 }
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -21,7 +21,7 @@
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode};
 use lichenpulley_daemon::node::Node;
-use lichenpulley_lab::metadata_store::Condition;
+use lichenpulley_lab::metadata_store::ResponseMode;
 use lichenpulley_lab::platform_replica::{Replica, ReplicaBehaviour};
 use lichenpulley_platform::objects;
 use serde_json::json;
@@ -325,14 +325,14 @@
 /// Makes the platform's store silent until each gateway has noticed, and every replica's entry lapse meanwhile.
 async fn lapse_all(system: &System) {
     let nodes = || system.gateways.iter().flatten();
-    system.platform.set_condition(Condition::Silent);
+    system.platform.set_response_mode(ResponseMode::Silent);
     while !nodes().all(|node| node.context().metadata.is_store_unreachable()) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     for number in 0..system.replicas.len() {
         system.platform.remove(objects::REPLICAS, &format!("replica-{number}"));
     }
-    system.platform.set_condition(Condition::Well);
+    system.platform.set_response_mode(ResponseMode::Normal);
     while nodes().any(|node| node.context().metadata.is_store_unreachable()) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -417,7 +417,7 @@
 async fn a_node_that_starts_while_the_platform_is_silent_learns_from_its_peers() {
     let mut system = System::start(1, 3).await;
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
-    system.platform.set_condition(Condition::Silent);
+    system.platform.set_response_mode(ResponseMode::Silent);
     system.start_gateway(2).await;
     let early = system.call(2, Method::GET, "/read/x", &[("attempt-id", "early")], "").await;
     assert_ne!(
@@ -433,7 +433,7 @@
     let mut system = System::start(2, 3).await;
     system.submit(0, "first", 4, 1).await;
     let first = system.results(0, "first").await;
-    system.platform.set_condition(Condition::Resets);
+    system.platform.set_response_mode(ResponseMode::Resets);
     for number in 0..2 {
         // One disk after the other: the third store keeps all that was acknowledged, and the others take it from there.
         let lost = system.stores[number].take().expect("a store");
--- a/crates/lab/tests/platform_quarantine/mod.rs
+++ b/crates/lab/tests/platform_quarantine/mod.rs
@@ -306,9 +306,9 @@
 #[tokio::test]
 async fn what_a_gateway_tells_reaches_all_though_no_watch_of_it_hears_anything() {
     let mut system = started().await;
-    let stand = async |system: &System| system.platform.waiting_watches(QUARANTINE) == 2;
+    let stand = async |system: &System| system.platform.waiting_watch_count(QUARANTINE) == 2;
     revive_until(&mut system, stand).await;
-    system.platform.set_deaf_kind(Some(QUARANTINE));
+    system.platform.set_stalled_watch_kind(Some(QUARANTINE));
     end_three(&mut system, "/read/x").await;
     let knows = async |system: &System| all_hold(system);
     revive_until(&mut system, knows).await;
--- a/crates/lab/tests/platform_suspension/mod.rs
+++ b/crates/lab/tests/platform_suspension/mod.rs
@@ -43,8 +43,8 @@
     system.call_until(StatusCode::OK, 0, "/read/warm").await;
     let node = system.gateways[0].as_ref().expect("a gateway");
     // Both watch by now, and would list nothing any more.
-    until(|| system.platform.waiting_watches(objects::REPLICAS) == 2).await;
-    let before = system.platform.lists(objects::REPLICAS);
+    until(|| system.platform.waiting_watch_count(objects::REPLICAS) == 2).await;
+    let before = system.platform.list_count(objects::REPLICAS);
     suspend(node);
-    until(|| system.platform.lists(objects::REPLICAS) > before).await;
+    until(|| system.platform.list_count(objects::REPLICAS) > before).await;
 }
