--- a/crates/lab/src/machine_list/register.rs
+++ b/crates/lab/src/machine_list/history.rs
@@ -22,10 +22,10 @@
     /// A list that has held these machines for ever.
     pub fn new(machines: Vec<Machine>) -> Self {
         let machines = machines.into_iter().map(|machine| (machine.id.clone(), machine)).collect();
-        let mut register = Self { revision: Revision(1), machines, past: VecDeque::new() };
-        let current = register.current();
-        register.past.push_back((Timestamp::ORIGIN, current));
-        register
+        let mut history = Self { revision: Revision(1), machines, past: VecDeque::new() };
+        let current = history.current();
+        history.past.push_back((Timestamp::ORIGIN, current));
+        history
     }
 
     /// The list without lag.
--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -3,7 +3,7 @@
 //! The interface is described in [`lichenpulley_protocol::platform`]; `DELETE /machines/{id}` takes a machine out.
 //! [`MachineListServer::set_faults`] orders faults.
 
-mod register;
+mod history;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,7 +15,7 @@
 use lichenpulley_daemon::http::request::percent_decode;
 use lichenpulley_protocol::platform::Machine;
 
-pub use register::MachineListHistory;
+pub use history::MachineListHistory;
 
 use crate::arguments::{StandInArguments, parse, stand_in_options, stop_signal};
 use crate::error::LabError;
@@ -46,13 +46,13 @@
     /// Adds or changes a machine, as `PUT /machines/{id}` does.
     pub fn put(&self, machine: Machine) {
         let now = self.state.now();
-        self.state.lock().register.put(machine, now);
+        self.state.lock().history.put(machine, now);
     }
 
     /// Takes a machine out, as `DELETE /machines/{id}` does.
     pub fn remove(&self, id: &str) -> bool {
         let now = self.state.now();
-        self.state.lock().register.remove(id, now)
+        self.state.lock().history.remove(id, now)
     }
 
     /// Replaces the faults.
@@ -107,13 +107,13 @@
         return http::bad_request("the id in the path and the id in the body differ");
     }
     let now = state.now();
-    state.lock().register.put(machine.clone(), now);
+    state.lock().history.put(machine.clone(), now);
     http::json(StatusCode::OK, &machine)
 }
 
 fn delete(state: &State, id: &str) -> Response<Body> {
     let now = state.now();
-    let removed = state.lock().register.remove(id, now);
+    let removed = state.lock().history.remove(id, now);
     if removed { http::empty(StatusCode::NO_CONTENT) } else { http::not_found(id) }
 }
 
@@ -126,14 +126,14 @@
 
 #[derive(Debug)]
 struct Inner {
-    register: MachineListHistory,
+    history: MachineListHistory,
     faults: MachineListFaults,
 }
 
 impl State {
     fn new(machines: Vec<Machine>) -> Self {
         let inner =
-            Inner { register: MachineListHistory::new(machines), faults: MachineListFaults::default() };
+            Inner { history: MachineListHistory::new(machines), faults: MachineListFaults::default() };
         Self { started: Instant::now(), inner: Mutex::new(inner) }
     }
 
@@ -144,7 +144,7 @@
     fn visible(&self) -> lichenpulley_protocol::platform::MachineList {
         let now = self.now();
         let inner = self.lock();
-        inner.register.as_of(now, Duration::from_millis(inner.faults.lag_ms))
+        inner.history.as_of(now, Duration::from_millis(inner.faults.lag_ms))
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
--- a/crates/lab/tests/machine_list.rs
+++ b/crates/lab/tests/machine_list.rs
@@ -24,11 +24,11 @@
 #[test]
 fn a_change_shows_only_after_the_lag() {
     let lag = Duration::from_secs(5);
-    let mut register = MachineListHistory::new(vec![machine("a")]);
-    register.put(machine("b"), Timestamp::from_millis(10_000));
-    register.remove("a", Timestamp::from_millis(12_000));
+    let mut history = MachineListHistory::new(vec![machine("a")]);
+    history.put(machine("b"), Timestamp::from_millis(10_000));
+    history.remove("a", Timestamp::from_millis(12_000));
     let ids_at = |seconds: u64| {
-        let list = register.as_of(Timestamp::from_millis(seconds * 1_000), lag);
+        let list = history.as_of(Timestamp::from_millis(seconds * 1_000), lag);
         list.machines.into_iter().map(|machine| machine.id).collect::<Vec<_>>()
     };
     assert_eq!(ids_at(1), ["a"]);
