--- a/crates/lab/src/metadata_store/mod.rs
+++ b/crates/lab/src/metadata_store/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' platform's metadata store: objects by kind and name, lists, watches, conditional writes, and
-//! the ways in which it fails.
+//! Stand-in for the platform's metadata store. It serves objects by kind and name over HTTP, with lists, watches and
+//! conditional writes, and it simulates outages and stalled watches on request.
 
 mod objects;
 
@@ -16,25 +16,26 @@
 use crate::error::LabError;
 use crate::http::{self, ANY_PORT, Body, Reply, Server};
 use crate::locked::lock;
-use objects::{Objects, WriteRefusal};
+use objects::{Objects, WriteError};
 
-/// The path under which all objects lie.
-const PREFIX: &str = "/-/objects/";
+/// Path prefix of all objects.
+const OBJECTS_PREFIX: &str = "/-/objects/";
 
-/// Stands for bytes that are no text, in what is put into the store.
+/// Placeholder in a stored object for a value that is answered as the bytes of
+/// [`MetadataStore::set_unreadable_bytes`].
 pub const UNREADABLE_PLACEHOLDER: &str = "(unreadable)";
 
-/// How the store answers.
+/// How the store responds to requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// As it should.
+    /// Serves every request.
     #[default]
     Normal,
-    /// It takes requests and says nothing.
+    /// Accepts requests and never responds.
     Silent,
-    /// It closes each connection without an answer.
+    /// Closes each connection without a response.
     Resets,
-    /// It does nothing and says so.
+    /// Rejects every request with 503 and has no other effect.
     Busy,
 }
 
@@ -42,15 +43,15 @@
 struct State {
     objects: Objects,
     response_mode: ResponseMode,
-    /// A kind of which it says nothing.
+    /// Kind whose requests are never answered.
     unresponsive_kind: Option<String>,
-    /// A kind whose watches hear nothing.
+    /// Kind whose watches are never answered.
     stalled_watch_kind: Option<String>,
-    /// What stands in place of each [`UNREADABLE_PLACEHOLDER`] in answers.
+    /// Raw bytes that replace each quoted [`UNREADABLE_PLACEHOLDER`] in responses.
     unreadable: Vec<u8>,
-    /// The kinds that were listed, each time.
+    /// Kind of each list request so far.
     listed: Vec<String>,
-    /// The kinds of the watches that wait.
+    /// Kind of each watch that waits for a change.
     waiting: Vec<String>,
 }
 
@@ -60,34 +61,35 @@
     changed: Notify,
 }
 
-/// A running stand-in.
+/// Handle of a running metadata store. Dropping it stops the server.
 pub struct MetadataStore {
-    /// Where it answers.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _server: Server,
 }
 
-/// Starts a store without objects on a free loopback port.
+/// Starts an empty store on a free loopback port.
 ///
 /// # Errors
-/// When no port can be had.
+/// When no port can be bound.
 pub async fn start() -> Result<MetadataStore, LabError> {
     let shared = Arc::new(Shared::default());
-    let answering = Arc::clone(&shared);
-    let handler = move |request| answer(Arc::clone(&answering), request);
+    let handler_state = Arc::clone(&shared);
+    let handler = move |request| answer(Arc::clone(&handler_state), request);
     let server = http::serve(ANY_PORT, handler).await?;
     Ok(MetadataStore { address: server.address, shared, _server: server })
 }
 
 impl MetadataStore {
-    /// Writes an object's `spec`, as the operator, a replica or a trainer does.
+    /// Creates an object or replaces its `spec`, as an operator, a replica or a trainer does; its status is kept.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.shared.lock().objects.put(kind, name, spec);
         self.shared.changed.notify_waiters();
     }
 
-    /// Answers with these bytes wherever [`UNREADABLE_PLACEHOLDER`] stands as a text, as where a writer put them there.
+    /// Sets the bytes that lists and watches contain in place of each [`UNREADABLE_PLACEHOLDER`] string, to simulate
+    /// an object that a writer corrupted.
     pub fn set_unreadable_bytes(&self, bytes: &[u8]) {
         self.shared.lock().unreadable = bytes.to_vec();
     }
@@ -98,49 +100,49 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// An object as it stands.
+    /// Returns the current object.
     pub fn get(&self, kind: &str, name: &str) -> Option<Object> {
         self.shared.lock().objects.get(kind, name)
     }
 
-    /// All objects of a kind.
+    /// Returns all objects of a kind.
     pub fn list(&self, kind: &str) -> Vec<Object> {
         self.shared.lock().objects.list(kind)
     }
 
-    /// Drops the history: watches that begin before now get 410.
+    /// Drops the history of changes: watches that start from an earlier revision get 410.
     pub fn compact(&self) {
         self.shared.lock().objects.compact();
         self.shared.changed.notify_waiters();
     }
 
-    /// How many watches of a kind wait for a change.
+    /// Returns the number of watches of a kind that wait for a change.
     pub fn waiting_watch_count(&self, kind: &str) -> usize {
         self.shared.lock().waiting.iter().filter(|waiting| *waiting == kind).count()
     }
 
-    /// How often a kind was listed.
+    /// Returns the number of list requests for a kind so far.
     pub fn list_count(&self, kind: &str) -> usize {
         self.shared.lock().listed.iter().filter(|listed| *listed == kind).count()
     }
 
-    /// Says nothing of this kind from now on; all else is answered.
+    /// Leaves new requests for this kind unanswered; other kinds are served. `None` restores all kinds.
     pub fn set_unresponsive_kind(&self, kind: Option<&str>) {
         self.shared.lock().unresponsive_kind = kind.map(str::to_owned);
     }
 
-    /// Watches of this kind hear nothing from now on, as on connections that fell silent; lists are answered.
+    /// Leaves watches of this kind unanswered, as on a stalled connection; lists are served.
     pub fn set_stalled_watch_kind(&self, kind: Option<&str>) {
         self.shared.lock().stalled_watch_kind = kind.map(str::to_owned);
     }
 
-    /// Answers in another way from now on.
+    /// Sets how requests that arrive from now on are answered.
     pub fn set_response_mode(&self, response_mode: ResponseMode) {
         self.shared.lock().response_mode = response_mode;
     }
 }
 
-/// A watch that waits, until it is answered or dropped.
+/// Counts a watch as waiting until it is answered or its client disconnects.
 struct WaitingWatch<'a> {
     shared: &'a Shared,
     kind: &'a str,
@@ -177,7 +179,7 @@
         self.stalled_watch_kind.as_deref() == Some(kind)
     }
 
-    /// JSON with the unreadable bytes in their places.
+    /// Serializes `value` and replaces each quoted placeholder by the unreadable bytes.
     fn raw_json(&self, value: &impl serde::Serialize) -> Response<Body> {
         let text = serde_json::to_string(value).unwrap_or_default();
         let placeholder = format!("\"{UNREADABLE_PLACEHOLDER}\"");
@@ -200,12 +202,12 @@
         ResponseMode::Busy => return http::empty(StatusCode::SERVICE_UNAVAILABLE).into(),
     }
     let path = request.uri().path().to_owned();
-    let Some(rest) = path.strip_prefix(PREFIX) else { return http::not_found(&path).into() };
+    let Some(rest) = path.strip_prefix(OBJECTS_PREFIX) else { return http::not_found(&path).into() };
     let parts: Vec<&str> = rest.split('/').collect();
     if parts.first().is_some_and(|kind| shared.lock().is_unresponsive(kind)) {
         return std::future::pending().await;
     }
-    let answered = match (request.method().clone(), parts.as_slice()) {
+    let response = match (request.method().clone(), parts.as_slice()) {
         (Method::GET, [kind]) => read_kind(&shared, kind, &request).await,
         (Method::GET, [kind, name]) => match shared.lock().objects.get(kind, name) {
             Some(object) => http::json(StatusCode::OK, &object),
@@ -223,7 +225,7 @@
         },
         _ => http::not_found(&path),
     };
-    answered.into()
+    response.into()
 }
 
 fn parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
@@ -232,8 +234,8 @@
 }
 
 async fn read_kind(shared: &Shared, kind: &str, request: &Request<Incoming>) -> Response<Body> {
-    let after: Option<u64> = parameter(request, "watch").and_then(|revision| revision.parse().ok());
-    let Some(after) = after else {
+    let after_revision: Option<u64> = parameter(request, "watch").and_then(|revision| revision.parse().ok());
+    let Some(after_revision) = after_revision else {
         let mut state = shared.lock();
         state.listed.push(kind.to_owned());
         let list = List { items: state.objects.list(kind), has_more: false, at: state.objects.revision() };
@@ -251,7 +253,7 @@
         }
         {
             let state = shared.lock();
-            let Some(events) = state.objects.events_after(kind, after) else {
+            let Some(events) = state.objects.events_after(kind, after_revision) else {
                 return http::empty(StatusCode::GONE);
             };
             if !events.is_empty() || tokio::time::Instant::now() >= deadline {
@@ -259,7 +261,7 @@
                 return state.raw_json(&Events { events, at: state.objects.revision() });
             }
         }
-        // Whether it was woken or the time is over, the loop checks again.
+        // The loop checks the events and the deadline again, whether notified or timed out.
         let _ = tokio::time::timeout_at(deadline, changed).await;
     }
 }
@@ -273,16 +275,16 @@
 ) -> Response<Body> {
     let object: Object = match http::read_json(request).await {
         Ok(object) => object,
-        Err(refusal) => return refusal,
+        Err(response) => return response,
     };
-    let written = match name {
+    let result = match name {
         None => shared.lock().objects.create(kind, object),
         Some(name) => shared.lock().objects.replace(kind, name, object, is_status),
     };
     shared.changed.notify_waiters();
-    match written {
+    match result {
         Ok(object) => http::json(StatusCode::OK, &object),
-        Err(WriteRefusal::Conflict(object)) => http::json(StatusCode::CONFLICT, &object),
-        Err(WriteRefusal::NotFound) => http::empty(StatusCode::NOT_FOUND),
+        Err(WriteError::Conflict(object)) => http::json(StatusCode::CONFLICT, &object),
+        Err(WriteError::NotFound) => http::empty(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/lab/src/metadata_store/objects.rs
+++ b/crates/lab/src/metadata_store/objects.rs
@@ -1,15 +1,15 @@
-//! The objects of the metadata store, and their history.
+//! Objects of the metadata store and their change history.
 
 use std::collections::BTreeMap;
 
 use lichenpulley_platform::objects::{Event, Metadata, Object};
 use serde_json::Value;
 
-/// Why a write was refused.
-pub(super) enum WriteRefusal {
-    /// The object exists already or has another revision.
+/// Why a write was rejected.
+pub(super) enum WriteError {
+    /// The object exists already or has another revision; contains the current object.
     Conflict(Box<Object>),
-    /// There is no such object.
+    /// The object does not exist.
     NotFound,
 }
 
@@ -19,14 +19,14 @@
     event: Event,
 }
 
-/// Objects by kind and name under one revision counter.
+/// Objects by kind and name, with one revision counter for all kinds.
 #[derive(Default)]
 pub(super) struct Objects {
     revision: u64,
     objects: BTreeMap<(String, String), Object>,
     history: Vec<Change>,
-    /// Watches from before this revision are refused.
-    history_from: u64,
+    /// Revision of the last compaction; watches from an earlier revision are rejected.
+    compacted_revision: u64,
 }
 
 impl Objects {
@@ -39,23 +39,24 @@
     }
 
     pub(super) fn list(&self, kind: &str) -> Vec<Object> {
-        let of_kind = self.objects.iter().filter(|((held, _), _)| held == kind);
+        let of_kind = self.objects.iter().filter(|((object_kind, _), _)| object_kind == kind);
         of_kind.map(|(_, object)| object.clone()).collect()
     }
 
-    /// Changes of a kind after a revision; `None` where the history does not reach back so far.
+    /// Returns the changes of a kind after a revision, or `None` if the history since that revision was compacted.
     pub(super) fn events_after(&self, kind: &str, after: u64) -> Option<Vec<Event>> {
-        if after < self.history_from {
+        if after < self.compacted_revision {
             return None;
         }
-        let later = self.history.iter().filter(|change| change.revision > after && change.kind == kind);
-        Some(later.map(|change| change.event.clone()).collect())
+        let later_changes =
+            self.history.iter().filter(|change| change.revision > after && change.kind == kind);
+        Some(later_changes.map(|change| change.event.clone()).collect())
     }
 
     pub(super) fn compact(&mut self) {
         self.history.clear();
         self.revision += 1;
-        self.history_from = self.revision;
+        self.compacted_revision = self.revision;
     }
 
     pub(super) fn put(&mut self, kind: &str, name: &str, spec: Value) {
@@ -63,7 +64,7 @@
         self.store(kind, name, spec, status);
     }
 
-    /// Removes an object; tells whether there was one.
+    /// Removes an object and returns whether it existed.
     pub(super) fn remove(&mut self, kind: &str, name: &str) -> bool {
         let Some(object) = self.objects.remove(&(kind.to_owned(), name.to_owned())) else { return false };
         self.revision += 1;
@@ -71,9 +72,9 @@
         true
     }
 
-    pub(super) fn create(&mut self, kind: &str, object: Object) -> Result<Object, WriteRefusal> {
+    pub(super) fn create(&mut self, kind: &str, object: Object) -> Result<Object, WriteError> {
         match self.get(kind, &object.metadata.name) {
-            Some(existing) => Err(WriteRefusal::Conflict(Box::new(existing))),
+            Some(existing) => Err(WriteError::Conflict(Box::new(existing))),
             None => Ok(self.store(kind, &object.metadata.name, object.spec, Value::Null)),
         }
     }
@@ -84,11 +85,11 @@
         name: &str,
         object: Object,
         is_status: bool,
-    ) -> Result<Object, WriteRefusal> {
-        let existing = self.get(kind, name).ok_or(WriteRefusal::NotFound)?;
+    ) -> Result<Object, WriteError> {
+        let existing = self.get(kind, name).ok_or(WriteError::NotFound)?;
         let is_stale = object.metadata.rev.is_some() && object.metadata.rev != existing.metadata.rev;
         if is_stale {
-            return Err(WriteRefusal::Conflict(Box::new(existing)));
+            return Err(WriteError::Conflict(Box::new(existing)));
         }
         Ok(match is_status {
             true => self.store(kind, name, existing.spec, object.status),
