--- a/crates/lab/src/machine_list/mod.rs
+++ b/crates/lab/src/machine_list/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the platform's machine list: it lags by a set time, and fails on request.
+//! Stand-in for the platform's machine list, with a configurable lag and simulated outages.
 //!
-//! The interface is described in [`lichenpulley_protocol::platform`]; `DELETE /machines/{id}` takes a machine out.
-//! [`MachineListServer::set_faults`] orders faults.
+//! It serves the interface of [`lichenpulley_protocol::platform`]; `DELETE /machines/{id}` removes a machine.
+//! [`MachineListServer::set_faults`] sets the lag and the outages.
 
 mod history;
 
@@ -22,60 +22,60 @@
 use crate::http::{self, Body, Reply, Server};
 use crate::locked::lock;
 
-const MACHINES: &str = "/machines/";
+const MACHINES_PREFIX: &str = "/machines/";
 
-/// How it fails.
+/// Faults that the machine list simulates; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachineListFaults {
-    /// Every connection is closed without an answer.
+    /// Closes every connection without a response.
     pub down: bool,
-    /// Milliseconds until a change shows in the list.
+    /// Delay until a change is visible in the list, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// A running machine list. Dropping it closes its port.
+/// Handle of a running machine list. Dropping it stops the server.
 #[derive(Debug)]
 pub struct MachineListServer {
-    /// Where it serves.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
     state: Arc<State>,
     _server: Server,
 }
 
 impl MachineListServer {
-    /// Adds or changes a machine, as `PUT /machines/{id}` does.
+    /// Adds or replaces a machine, as `PUT /machines/{id}` does.
     pub fn put(&self, machine: Machine) {
         let now = self.state.now();
         self.state.lock().history.put(machine, now);
     }
 
-    /// Takes a machine out, as `DELETE /machines/{id}` does.
+    /// Removes a machine, as `DELETE /machines/{id}` does, and returns whether it was in the list.
     pub fn remove(&self, id: &str) -> bool {
         let now = self.state.now();
         self.state.lock().history.remove(id, now)
     }
 
-    /// Replaces the faults.
+    /// Sets the faults to simulate from now on.
     pub fn set_faults(&self, faults: MachineListFaults) {
         self.state.lock().faults = faults;
     }
 }
 
-/// Starts the stand-in on the current runtime, with the machines that are there at the start.
+/// Starts the machine list on the current runtime with the given machines.
 ///
 /// # Errors
 /// When the address can't be bound.
 pub async fn start(address: SocketAddr, machines: Vec<Machine>) -> Result<MachineListServer, LabError> {
     let state = Arc::new(State::new(machines));
-    let serving = Arc::clone(&state);
-    let server = http::serve(address, move |request| answer(Arc::clone(&serving), request)).await?;
+    let handler_state = Arc::clone(&state);
+    let server = http::serve(address, move |request| answer(Arc::clone(&handler_state), request)).await?;
     Ok(MachineListServer { address: server.address, state, _server: server })
 }
 
-/// `lichenpulley-lab machine-list`.
+/// Runs the command `lichenpulley-lab machine-list`.
 ///
 /// # Errors
-/// When the command line is wrong or the address can't be bound.
+/// When the command line is invalid or the address can't be bound.
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
     let Some(matches) = parse("machine-list", &stand_in_options(), arguments)? else { return Ok(()) };
     let arguments = StandInArguments::from_matches(&matches)?;
@@ -89,8 +89,8 @@
         return Reply::Hang;
     }
     let path = request.uri().path().to_owned();
-    let response = match (request.method().clone(), path.strip_prefix(MACHINES)) {
-        (Method::GET, None) if path == "/machines" => http::json(StatusCode::OK, &state.visible()),
+    let response = match (request.method().clone(), path.strip_prefix(MACHINES_PREFIX)) {
+        (Method::GET, None) if path == "/machines" => http::json(StatusCode::OK, &state.visible_list()),
         (Method::PUT, Some(id)) => put(&state, &percent_decode(id), request).await,
         (Method::DELETE, Some(id)) => delete(&state, &percent_decode(id)),
         _ => http::not_found(&path),
@@ -117,7 +117,7 @@
     if removed { http::empty(StatusCode::NO_CONTENT) } else { http::not_found(id) }
 }
 
-/// What requests and the handle share.
+/// State shared by the handle and the request handlers.
 #[derive(Debug)]
 struct State {
     started: Instant,
@@ -141,7 +141,7 @@
         Timestamp::ORIGIN + self.started.elapsed()
     }
 
-    fn visible(&self) -> lichenpulley_protocol::platform::MachineList {
+    fn visible_list(&self) -> lichenpulley_protocol::platform::MachineList {
         let now = self.now();
         let inner = self.lock();
         inner.history.as_of(now, Duration::from_millis(inner.faults.lag_ms))
