--- a/crates/lab/src/object_api/faults.rs
+++ b/crates/lab/src/object_api/faults.rs
@@ -1,32 +1,32 @@
-//! The faults that the object API shows on request, and what it counts.
+//! Simulated faults and counters of the object API.
 
-/// How it fails; by default it does not.
+/// Faults that the object API simulates; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ObjectApiFaults {
-    /// Every connection is closed without an answer, and nothing takes effect.
+    /// Closes every connection without a response; requests have no effect.
     pub down: bool,
-    /// The replies of this many further writes are lost, after the write has taken effect.
+    /// Number of further writes whose response is lost after the write is applied.
     pub lose_next_replies: u32,
 }
 
 impl ObjectApiFaults {
-    /// Whether the reply of a write that has just taken effect is to be lost.
-    pub(super) fn loses_reply(&mut self) -> bool {
-        let loses = self.lose_next_replies > 0;
+    /// Returns whether to lose the response of the write just applied, and decrements the number left to lose.
+    pub(super) fn consume_lost_reply(&mut self) -> bool {
+        let is_lost = self.lose_next_replies > 0;
         self.lose_next_replies = self.lose_next_replies.saturating_sub(1);
-        loses
+        is_lost
     }
 }
 
-/// What it has done.
+/// Counters of the object API.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ObjectApiCounters {
-    /// Watches open now: the readers.
+    /// Watches open now.
     pub open_watches: u32,
-    /// The most watches that were open at once.
+    /// Highest number of watches open at once.
     pub peak_open_watches: u32,
-    /// Writes asked for.
+    /// Write requests with a valid body, including conflicting ones.
     pub writes: u64,
-    /// Writes that took effect and whose reply was lost.
+    /// Applied writes whose response was lost.
     pub lost_replies: u64,
 }
--- a/crates/lab/src/object_api/mod.rs
+++ b/crates/lab/src/object_api/mod.rs
@@ -1,7 +1,6 @@
-//! Stand-in for the platform's object API: versions, watches, and faults on request.
+//! Stand-in for the platform's object API, with versioned objects, watches and simulated faults.
 //!
-//! The interface is described in [`lichenpulley_protocol::platform`]; [`ObjectApi::set_faults`] orders
-//! faults.
+//! It serves the interface of [`lichenpulley_protocol::platform`]; [`ObjectApi::set_faults`] sets the faults.
 
 mod faults;
 mod requests;
@@ -20,47 +19,48 @@
 use crate::http::{self, Server};
 use crate::locked::lock;
 
-/// A running object API. Dropping it closes its port; its objects are lost.
+/// Handle of a running object API. Dropping it stops the server and discards the objects.
 #[derive(Debug)]
 pub struct ObjectApi {
-    /// Where it serves.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
     state: Arc<State>,
     _server: Server,
 }
 
 impl ObjectApi {
-    /// Replaces the faults.
+    /// Sets the faults to simulate from now on.
     pub fn set_faults(&self, faults: ObjectApiFaults) {
         self.state.set_faults(faults);
     }
 
-    /// What was counted so far.
+    /// Returns the current counters.
     pub fn counters(&self) -> ObjectApiCounters {
         self.state.lock().counters.clone()
     }
 
-    /// A copy of the objects.
+    /// Returns a copy of the objects.
     pub fn objects(&self) -> ObjectStore {
         self.state.lock().store.clone()
     }
 }
 
-/// Starts the stand-in on the current runtime.
+/// Starts an empty object API on the current runtime.
 ///
 /// # Errors
 /// When the address can't be bound.
 pub async fn start(address: SocketAddr) -> Result<ObjectApi, LabError> {
     let state = Arc::new(State::new());
-    let serving = Arc::clone(&state);
-    let server = http::serve(address, move |request| requests::answer(Arc::clone(&serving), request)).await?;
+    let handler_state = Arc::clone(&state);
+    let server =
+        http::serve(address, move |request| requests::answer(Arc::clone(&handler_state), request)).await?;
     Ok(ObjectApi { address: server.address, state, _server: server })
 }
 
-/// `lichenpulley-lab object-api`.
+/// Runs the command `lichenpulley-lab object-api`.
 ///
 /// # Errors
-/// When the command line is wrong or the address can't be bound.
+/// When the command line is invalid or the address can't be bound.
 pub async fn run(arguments: &[String]) -> Result<(), LabError> {
     let Some(matches) = parse("object-api", &stand_in_options(), arguments)? else { return Ok(()) };
     let arguments = StandInArguments::from_matches(&matches)?;
@@ -69,11 +69,11 @@
     stop_signal().await
 }
 
-/// What requests and the handle share.
+/// State shared by the handle and the request handlers.
 #[derive(Debug)]
 struct State {
     inner: Mutex<Inner>,
-    /// Wakes watches when an object changes or the faults change.
+    /// Notifies watches of changes to the objects or the faults.
     changed: watch::Sender<()>,
 }
 
--- a/crates/lab/src/object_api/requests.rs
+++ b/crates/lab/src/object_api/requests.rs
@@ -1,4 +1,4 @@
-//! Answers requests for objects under the faults in force.
+//! Request handlers of the object API, with its simulated faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use super::State;
 use crate::http::{self, Body, Reply};
 
-/// A watch without changes ends after this where it does not say `hold_ms`.
-const WATCH_HOLD: Duration = Duration::from_secs(20);
-/// The longest hold that a watch may ask for.
+/// Time after which a watch without changes ends if its request has no `hold_ms`.
+const DEFAULT_WATCH_HOLD: Duration = Duration::from_secs(20);
+/// Upper limit of `hold_ms`.
 const MAX_WATCH_HOLD: Duration = Duration::from_secs(300);
-const OBJECTS: &str = "/objects/";
+const OBJECTS_PREFIX: &str = "/objects/";
 
-/// Answers one request, or closes its connection where a fault asks for that.
+/// Answers a request, or closes its connection if the faults require it.
 pub(super) async fn answer(state: Arc<State>, request: Request<Incoming>) -> Reply {
     if is_down(&state) {
         return Reply::Hang;
     }
     let path = request.uri().path().to_owned();
-    match (request.method().clone(), path.strip_prefix(OBJECTS)) {
+    match (request.method().clone(), path.strip_prefix(OBJECTS_PREFIX)) {
         (Method::GET, Some(key)) => read(&state, &percent_decode(key)).into(),
         (Method::PUT, Some(key)) => write(&state, &percent_decode(key), request).await,
         (Method::GET, None) if path == "/objects" => list(&state, &request).into(),
@@ -58,11 +58,11 @@
     inner.counters.writes += 1;
     match inner.store.put(key, change) {
         Ok(object) => {
-            let lost = inner.faults.loses_reply();
-            inner.counters.lost_replies += u64::from(lost);
+            let is_lost = inner.faults.consume_lost_reply();
+            inner.counters.lost_replies += u64::from(is_lost);
             drop(inner);
             state.changed.send_replace(());
-            if lost { Reply::Hang } else { http::json(StatusCode::OK, &object).into() }
+            if is_lost { Reply::Hang } else { http::json(StatusCode::OK, &object).into() }
         }
         Err(conflict) => http::json(StatusCode::CONFLICT, &conflict).into(),
     }
@@ -80,7 +80,7 @@
         return http::bad_request("`after` must be a revision: a whole number").into();
     };
     let hold = query_parameter(request, "hold_ms").and_then(|hold| hold.parse().ok());
-    let hold = hold.map_or(WATCH_HOLD, Duration::from_millis).min(MAX_WATCH_HOLD);
+    let hold = hold.map_or(DEFAULT_WATCH_HOLD, Duration::from_millis).min(MAX_WATCH_HOLD);
     let _open = OpenWatch::begin(state);
     let mut changed = state.changed.subscribe();
     let deadline = tokio::time::Instant::now() + hold;
@@ -88,18 +88,18 @@
         if is_down(state) {
             return Reply::Hang;
         }
-        let found = state.lock().store.changed_after(&prefix, after);
-        if !found.objects.is_empty() {
-            return http::json(StatusCode::OK, &found).into();
+        let changes = state.lock().store.changed_after(&prefix, after);
+        if !changes.objects.is_empty() {
+            return http::json(StatusCode::OK, &changes).into();
         }
         if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
-            let nothing = ObjectList { objects: Vec::new(), revision: found.revision };
-            return http::json(StatusCode::OK, &nothing).into();
+            let no_changes = ObjectList { objects: Vec::new(), revision: changes.revision };
+            return http::json(StatusCode::OK, &no_changes).into();
         }
     }
 }
 
-/// Counts a watch while it is open, also when its client goes away.
+/// Counts a watch as open until it is answered or its client disconnects.
 struct OpenWatch<'state> {
     state: &'state State,
 }
--- a/crates/lab/src/object_api/store.rs
+++ b/crates/lab/src/object_api/store.rs
@@ -1,13 +1,13 @@
-//! The objects and their versions, without input or output, so that simulations use the same code.
+//! In-memory objects and their versions, without I/O, shared with the simulations.
 
 use std::collections::BTreeMap;
 
 use lichenpulley_core::identity::Revision;
 use lichenpulley_protocol::platform::{Conflict, Object, ObjectList, PutObject};
 
-/// Objects by key under one store-wide revision.
+/// Objects by key, with one revision counter for all keys.
 ///
-/// Invariant: `revision` goes up by one with each change, and an object's version is the revision of its last
+/// Invariant: `revision` increases by one with each change, and an object's version is the revision of its last
 /// change, so no two changes share a version.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectStore {
@@ -16,20 +16,20 @@
 }
 
 impl ObjectStore {
-    /// The revision of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The object under `key`.
+    /// Returns the object under `key`.
     pub fn get(&self, key: &str) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Writes if `base_version` is the current version, `None` standing for "there is no object".
+    /// Writes the object if `base_version` is its current version; `None` requires that it does not exist.
     ///
     /// # Errors
-    /// With the object as it stands, where the base version is not current.
+    /// [`Conflict`] with the current object if `base_version` does not match.
     pub fn put(&mut self, key: &str, change: PutObject) -> Result<Object, Conflict> {
         let current = self.objects.get(key);
         if current.map(|object| object.version) != change.base_version {
@@ -41,12 +41,12 @@
         Ok(object)
     }
 
-    /// Every object whose key begins with `prefix`.
+    /// Returns every object whose key starts with `prefix`.
     pub fn list(&self, prefix: &str) -> ObjectList {
         self.changed_after(prefix, Revision(0))
     }
 
-    /// The objects under `prefix` that changed after `revision`, each as it stands now.
+    /// Returns the current state of the objects under `prefix` that changed after `revision`.
     pub fn changed_after(&self, prefix: &str, revision: Revision) -> ObjectList {
         let under_prefix = self.objects.range(prefix.to_owned()..);
         let under_prefix = under_prefix.take_while(|(key, _)| key.starts_with(prefix));
