--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -110,7 +110,7 @@
 
 impl Arguments {
     /// The settings that result: the file's, with the flags over them.
-    pub fn lay_over(&self, mut file: Table) -> Table {
+    pub fn apply_overrides(&self, mut file: Table) -> Table {
         for (name, value) in &self.overrides {
             match (file.get_mut(name), value) {
                 (Some(Value::Table(inner)), Value::Table(over)) => inner.extend(over.clone()),
--- a/crates/daemon/src/batch/owner/leaving.rs
+++ b/crates/daemon/src/batch/owner/leaving.rs
@@ -34,7 +34,7 @@
     pub(super) fn should_leave(&mut self) -> bool {
         let own = self.context.settings.machine.capacity();
         let better =
-            order::preferred_successor(&self.scope).filter(|other| own.is_worth_leaving_for(other.capacity));
+            order::preferred_successor(&self.scope).filter(|other| own.justifies_move_to(other.capacity));
         let node = better.as_ref().map(|better| &better.node);
         let is_due = self.leave_monitor.poll(node, self.stores.is_confirmed(), self.now());
         if let Some(better) = better.filter(|_| is_due) {
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -214,7 +214,7 @@
     if !is_own {
         return Some(RunEnd::Broken);
     }
-    if status.as_u16() == headers::STATUS_OTHER_REPLICA {
+    if status.as_u16() == headers::STATUS_MISDIRECTED {
         return Some(RunEnd::OtherReplica);
     }
     if fields.contains_key(headers::NOT_RUN) {
@@ -223,7 +223,7 @@
     let is_signed = fields.contains_key(headers::SIGNATURE);
     match status.as_u16() {
         200..=299 if is_signed => None,
-        headers::STATUS_NEVER if is_signed => Some(RunEnd::Unprocessable),
+        headers::STATUS_UNPROCESSABLE if is_signed => Some(RunEnd::Unprocessable),
         500 if is_signed => Some(RunEnd::Failed),
         _ => Some(RunEnd::Broken),
     }
--- a/crates/daemon/src/batch/score.rs
+++ b/crates/daemon/src/batch/score.rs
@@ -99,7 +99,7 @@
 
 /// Classifies a complete answer by its status and headers.
 fn classify_answer(status: StatusCode, head: &hyper::HeaderMap) -> ScoreEnd {
-    if head.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
+    if head.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_MISDIRECTED {
         return ScoreEnd::Rejected;
     }
     let signature = head.get(headers::SIGNATURE).and_then(|value: &HeaderValue| value.to_str().ok());
--- a/crates/daemon/src/cluster.rs
+++ b/crates/daemon/src/cluster.rs
@@ -20,7 +20,7 @@
     /// How many times as capable a machine must be for control work to move there. Chosen, not measured: less moves it
     /// between machines that differ little, and each move costs a takeover. That the most capable machine owns raised
     /// the share of work served on a quiet day from 0.32 to 0.97, with machines of 0.12 and 0.5 of a core (one play).
-    const WORTH_LEAVING_FACTOR: u8 = 2;
+    const MIN_MOVE_FACTOR: u8 = 2;
 
     /// The capacity of a machine that gives a process so many cores.
     pub fn from_cores(cores: f64) -> Self {
@@ -29,8 +29,8 @@
     }
 
     /// Whether control work is worth moving from a machine with this capacity to one with `other`.
-    pub const fn is_worth_leaving_for(self, other: Self) -> bool {
-        other.0 >= self.0.saturating_mul(Self::WORTH_LEAVING_FACTOR)
+    pub const fn justifies_move_to(self, other: Self) -> bool {
+        other.0 >= self.0.saturating_mul(Self::MIN_MOVE_FACTOR)
     }
 
     /// The attributes of a member with these roles.
--- a/crates/daemon/src/ingress/headers.rs
+++ b/crates/daemon/src/ingress/headers.rs
@@ -88,7 +88,7 @@
 /// Returns the outcome of a send by the response head. Only an explicit statement of the replica proves that
 /// it did not run the request.
 pub(super) fn outcome(status: StatusCode, fields: &HeaderMap) -> SendOutcome {
-    if fields.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_OTHER_REPLICA {
+    if fields.contains_key(headers::NOT_RUN) || status.as_u16() == headers::STATUS_MISDIRECTED {
         return SendOutcome::Rejected;
     }
     if !is_signed(fields) {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -59,7 +59,7 @@
     };
     let file = text.parse::<toml::Table>();
     let file = file.map_err(|error| format!("the settings are not TOML; mend this line: {error}"))?;
-    Settings::from_table(arguments.lay_over(file)).map_err(|error| error.to_string())
+    Settings::from_table(arguments.apply_overrides(file)).map_err(|error| error.to_string())
 }
 
 fn read_file(path: &Path) -> Result<String, String> {
--- a/crates/daemon/src/settings/duties.rs
+++ b/crates/daemon/src/settings/duties.rs
@@ -6,7 +6,7 @@
 use lichenpulley_core::scaling::ScalingPolicy;
 use lichenpulley_core::usage::reporter::ReporterConfig;
 use lichenpulley_core::usage::window::WindowLength;
-use lichenpulley_platform::cloud::{Duty, duty_named};
+use lichenpulley_platform::cloud::{Duty, parse_duty};
 
 use super::reader::SettingsReader;
 
@@ -83,7 +83,7 @@
 fn read_enabled_duties(reader: &mut SettingsReader) -> (bool, bool) {
     let (mut reports_usage, mut orders_replicas) = (false, false);
     for name in reader.text_list("duties.held") {
-        match duty_named(&name) {
+        match parse_duty(&name) {
             Some(Duty::Usage) => reports_usage = true,
             Some(Duty::Scaling) => orders_replicas = true,
             None => reader.add_problem(
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -106,7 +106,7 @@
     let line: Vec<String> = line.iter().map(|&word| word.to_owned()).collect();
     let Ok(Invocation::Run(arguments)) = arguments::parse(&line) else { panic!("a good line") };
     let file = VALID.parse::<toml::Table>().expect("TOML");
-    let settings = Settings::from_table(arguments.lay_over(file)).expect("good settings");
+    let settings = Settings::from_table(arguments.apply_overrides(file)).expect("good settings");
     assert_eq!(settings.node.as_str(), "other");
     assert_eq!(settings.peers.seeds.len(), 2);
     assert_eq!(settings.stop.notice, Duration::from_millis(7));
