--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -1,33 +1,33 @@
-//! Decisions as they are watched: what was decided, why, and from which inputs.
+//! Records of decisions for logs, metrics and watchers: what was decided, why, and from which inputs.
 
 use serde::{Deserialize, Serialize};
 
-/// The part of the system that decided.
+/// The part of the system that made a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Component {
-    /// Choice of a replica for a request.
+    /// Selection of a replica for a request.
     Routing,
     /// Retries, refusals and limits of requests.
     Request,
-    /// Job slots, staleness and hand-over.
+    /// Job slots, staleness and takeovers.
     Rollout,
-    /// Weight waves.
+    /// Rolling updates of weights.
     Weights,
     /// The settings tree.
     Configuration,
     /// Liveness of nodes.
     Membership,
-    /// Epochs, logs and claims.
+    /// Epochs, replicated logs and claims.
     Replication,
-    /// Draining and stopping.
+    /// Draining and shutdown.
     Drain,
-    /// Calls to the platform that one holder makes at a time.
+    /// Calls to the platform that only one holder at a time may make.
     Duty,
 }
 
 impl Component {
-    /// The name used in logs, metrics and the decision stream.
+    /// Returns the name used in logs, metrics and the decision stream.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Routing => "routing",
@@ -43,32 +43,34 @@
     }
 }
 
-/// One input that a decision was made from.
+/// One input of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Input {
-    /// What was looked at, such as `in_flight` or `staleness`.
+    /// The name of the input, such as `in_flight` or `staleness`.
     pub name: String,
-    /// Its value, with its unit where it has one.
+    /// Its value, with its unit if it has one.
     pub value: String,
 }
 
-/// One decision of one node.
+/// One decision made by one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Which part decided.
+    /// The part that made it.
     pub component: Component,
-    /// What was done, such as `routed`, `refused`, `taken_over`. A metrics label: few distinct values.
+    /// What was done, such as `routed`, `refused` or `taken_over`. Used as a metric label, so it must have few
+    /// distinct values.
     pub action: String,
-    /// Why, such as `least_load` or `budget_exhausted`. A metrics label: few distinct values.
+    /// Why, such as `least_load` or `budget_exhausted`. Used as a metric label, so it must have few distinct
+    /// values.
     pub reason: String,
-    /// What it was about: a request, replica, slot or shard.
+    /// The id of the request, replica, slot or shard concerned.
     pub subject: String,
-    /// The inputs that decided it.
+    /// The inputs that determined it.
     pub inputs: Vec<Input>,
 }
 
 impl Decision {
-    /// A decision without inputs.
+    /// Creates a decision without inputs.
     pub fn new(component: Component, action: &str, reason: &str, subject: impl ToString) -> Self {
         Self {
             component,
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things across nodes.
+//! Identifiers shared by all nodes: names, epochs, versions and revisions.
 
 use std::fmt;
 
@@ -15,12 +15,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name as it stands.
+            /// Creates an identifier from a name, without validating it.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -51,7 +51,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -71,24 +71,24 @@
     NodeId
 );
 name_type!(
-    /// A zone: machines that share a failure domain and a short network path.
+    /// A zone: machines that share a failure domain and have low network latency between them.
     ZoneName
 );
 
 name_type!(
-    /// A region: zones that lie near each other.
+    /// A region: a group of zones that are close to each other.
     RegionName
 );
 name_type!(
-    /// A model pool: replicas that serve the same model.
+    /// A model pool: the replicas that serve one model.
     PoolName
 );
 name_type!(
-    /// A replica: one model engine of a pool.
+    /// A replica: one inference engine of a pool.
     ReplicaId
 );
 name_type!(
-    /// A caller's request. A caller that repeats a request repeats its id.
+    /// A caller's request. A retry by the caller carries the same id.
     RequestId
 );
 name_type!(
@@ -96,11 +96,11 @@
     JobId
 );
 name_type!(
-    /// A batch job: a set of requests taken together and run afterwards.
+    /// A batch job: a set of requests submitted together and run asynchronously.
     BatchId
 );
 name_type!(
-    /// A tenant: a customer of the deployment, whose keys callers bring.
+    /// A tenant: a customer of the deployment, identified by the API keys that callers send.
     TenantName
 );
 name_type!(
@@ -108,19 +108,19 @@
     ShardId
 );
 name_type!(
-    /// One try at running a request on one engine; unique across nodes and restarts.
+    /// One attempt to run a request on one engine. Unique across nodes and restarts.
     AttemptId
 );
 
 number_type!(
-    /// The term of one owner of a shard. A receiver refuses any epoch below the highest it has seen.
+    /// The term of one owner of a shard. A receiver rejects messages of an epoch below the highest it has seen.
     Epoch
 );
 number_type!(
-    /// A version of a pool's weights. A later version has a higher number.
+    /// A version of a pool's weights. Later versions have higher numbers.
     WeightVersion
 );
 number_type!(
-    /// A revision of a document that only ever goes up.
+    /// A revision of a document. It never decreases.
     Revision
 );
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Coordination parts of lichenpulley, as deterministic state machines.
+//! Coordination logic of lichenpulley, as deterministic state machines.
 //!
-//! Nothing here reads a clock, opens a socket, touches a file or draws from a global random source.
-//! A caller hands in events together with the present [`time::Timestamp`], and takes out actions and
-//! the time of the next wake-up. The same events in the same order give the same actions, so each part
-//! can be driven by a simulation on a virtual clock as well as by the daemon.
+//! The crate does no I/O, reads no clock and uses no global source of randomness. The caller passes in events
+//! with the current [`time::Timestamp`] and receives actions and the time of the next wake-up. The same events
+//! in the same order give the same actions, so each state machine runs under the daemon as well as in a
+//! simulation with a virtual clock.
 
 pub mod batch;
 pub mod configuration;
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,14 +1,14 @@
-//! Points in time as the core sees them, microseconds since an origin that the driver chooses, and durations in
-//! the milliseconds that messages and records hold.
+//! Timestamps in microseconds since an origin that the driver chooses, and conversion of durations to the
+//! milliseconds used in messages and records.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use speedy::{Readable, Writable};
 
-/// A point on the driver's monotonic clock, in microseconds since the driver's origin.
+/// A reading of the driver's monotonic clock, in microseconds since the driver's origin.
 ///
-/// Timestamps of different nodes can't be compared: each driver has its own origin.
+/// Timestamps of different nodes are not comparable, because each driver has its own origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Timestamp(u64);
 
@@ -16,28 +16,28 @@
     /// The driver's origin.
     pub const ORIGIN: Self = Self(0);
 
-    /// A timestamp `microseconds` after the origin.
+    /// Returns the timestamp `microseconds` after the origin.
     pub const fn from_micros(microseconds: u64) -> Self {
         Self(microseconds)
     }
 
-    /// A timestamp `milliseconds` after the origin.
+    /// Returns the timestamp `milliseconds` after the origin.
     pub const fn from_millis(milliseconds: u64) -> Self {
         Self(milliseconds * 1_000)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time from `earlier` to `self`, zero where `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn saturating_since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Whole milliseconds of a duration; the most that fit where it is longer.
+/// Returns the whole milliseconds of a duration, saturating at `u64::MAX`.
 pub fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -1,90 +1,90 @@
-//! The command line of `lichenpulleyd`: flags over a settings file.
+//! Command line of `lichenpulleyd`: flags that override keys of the settings file.
 //!
-//! Owns the flags and the key that each sets; what the values mean is checked by `settings`. Reads no file.
+//! Defines the flags and the key that each one sets. The module `settings` validates the values. Reads no file.
 
 use std::path::PathBuf;
 
 use getopts::{Matches, Options};
 use toml::{Table, Value};
 
-/// What the command line asks for.
+/// The action that the command line requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Invocation {
     /// Print the help text.
     Help(String),
     /// Print the version.
     Version,
-    /// Test the settings and start nothing.
+    /// Validate the settings without starting a node.
     Check(Arguments),
     /// Run a node.
     Run(Arguments),
 }
 
-/// A settings file, and flags over it.
+/// A settings file and the flags that override it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arguments {
-    /// The settings file; without one, flags give everything.
+    /// The settings file. Without one, all settings come from flags.
     pub settings_file: Option<PathBuf>,
-    /// Where to write the bound addresses as JSON once everything listens.
+    /// The file to which the bound addresses are written as JSON once all sockets are listening.
     pub addresses_file: Option<PathBuf>,
-    /// Keys that flags set.
+    /// Keys set by flags.
     pub overrides: Table,
 }
 
-/// Why a command line was refused.
+/// Error for an invalid command line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}; see `lichenpulleyd --help`")]
 pub struct UsageError {
-    /// What is wrong.
+    /// Describes the problem.
     pub message: String,
 }
 
-/// A flag that sets one key.
+/// A flag that sets one key of the settings.
 struct KeyFlag {
     flag: &'static str,
     key: &'static str,
     hint: &'static str,
     description: &'static str,
-    many: bool,
+    is_repeatable: bool,
 }
 
-const fn one(
+const fn single(
     flag: &'static str,
     key: &'static str,
     hint: &'static str,
     description: &'static str,
 ) -> KeyFlag {
-    KeyFlag { flag, key, hint, description, many: false }
+    KeyFlag { flag, key, hint, description, is_repeatable: false }
 }
 
-const fn many(
+const fn repeatable(
     flag: &'static str,
     key: &'static str,
     hint: &'static str,
     description: &'static str,
 ) -> KeyFlag {
-    KeyFlag { flag, key, hint, description, many: true }
+    KeyFlag { flag, key, hint, description, is_repeatable: true }
 }
 
 const KEY_FLAGS: [KeyFlag; 12] = [
-    one("node", "node", "NAME", "this node's name, unique in the cluster"),
-    one("zone", "zone", "NAME", "this node's zone"),
-    many("role", "roles", "ROLE", "gateway, coordinator or store; may be repeated"),
-    one("callers", "addresses.callers", "IP:PORT", "where callers reach this node"),
-    one("operators", "addresses.operators", "IP:PORT", "where operators reach this node"),
-    one("peers", "addresses.peers", "IP:PORT", "where other nodes reach this node"),
-    one("data-folder", "data_folder", "FOLDER", "where the store role keeps its logs"),
-    many("seed", "peers.seeds", "IP:PORT", "the peers' address of another node; may be repeated"),
-    one("object-api", "platform.object_api", "IP:PORT", "the platform's object API"),
-    one("machine-list", "platform.machine_list", "IP:PORT", "the platform's machine list"),
-    one("weight-store", "platform.weight_store", "IP:PORT", "the platform's weight store"),
-    one("scorer", "platform.scorer", "IP:PORT", "the service that scores answers"),
+    single("node", "node", "NAME", "this node's name, unique in the cluster"),
+    single("zone", "zone", "NAME", "this node's zone"),
+    repeatable("role", "roles", "ROLE", "gateway, coordinator or store; may be repeated"),
+    single("callers", "addresses.callers", "IP:PORT", "address on which this node serves callers"),
+    single("operators", "addresses.operators", "IP:PORT", "address on which this node serves operators"),
+    single("peers", "addresses.peers", "IP:PORT", "address on which this node serves its peers"),
+    single("data-folder", "data_folder", "FOLDER", "folder in which the store role keeps its logs"),
+    repeatable("seed", "peers.seeds", "IP:PORT", "peer address of another node; may be repeated"),
+    single("object-api", "platform.object_api", "IP:PORT", "the platform's object API"),
+    single("machine-list", "platform.machine_list", "IP:PORT", "the platform's machine list"),
+    single("weight-store", "platform.weight_store", "IP:PORT", "the platform's weight store"),
+    single("scorer", "platform.scorer", "IP:PORT", "the service that scores outputs"),
 ];
 
-/// Reads a command line, without the program's name.
+/// Parses a command line, without the program name.
 ///
 /// # Errors
-/// When a flag is unknown or lacks its value.
+/// When a flag is unknown or lacks its value, or an argument is no flag.
 pub fn parse(arguments: &[String]) -> Result<Invocation, UsageError> {
     let options = options();
     let matches = options.parse(arguments).map_err(|error| UsageError { message: error.to_string() })?;
@@ -95,7 +95,7 @@
         return Ok(Invocation::Version);
     }
     if let Some(extra) = matches.free.first() {
-        return Err(UsageError { message: format!("\"{extra}\" is no flag") });
+        return Err(UsageError { message: format!("unexpected argument \"{extra}\"") });
     }
     let arguments = Arguments {
         settings_file: matches.opt_str("settings").map(PathBuf::from),
@@ -109,7 +109,7 @@
 }
 
 impl Arguments {
-    /// The settings that result: the file's, with the flags over them.
+    /// Returns the settings of the file, overridden by the flags.
     pub fn apply_overrides(&self, mut file: Table) -> Table {
         for (name, value) in &self.overrides {
             match (file.get_mut(name), value) {
@@ -126,17 +126,22 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "the settings file (TOML)", "FILE");
-    options.optopt("", "addresses-file", "write the bound addresses there as JSON, once all listen", "FILE");
+    options.optopt(
+        "",
+        "addresses-file",
+        "write the bound addresses to this file as JSON once all sockets are listening",
+        "FILE",
+    );
     for flag in KEY_FLAGS {
-        if flag.many {
+        if flag.is_repeatable {
             options.optmulti("", flag.flag, flag.description, flag.hint);
         } else {
             options.optopt("", flag.flag, flag.description, flag.hint);
         }
     }
-    options.optmulti("", "set", "any other key, such as membership.probe_interval_ms=500", "KEY=VALUE");
-    options.optflag("", "check", "test the settings and start nothing");
-    options.optflag("h", "help", "print this text");
+    options.optmulti("", "set", "set any other key, such as membership.probe_interval_ms=500", "KEY=VALUE");
+    options.optflag("", "check", "validate the settings without starting a node");
+    options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
 }
@@ -146,7 +151,7 @@
     for flag in KEY_FLAGS {
         let texts = matches.opt_strs(flag.flag);
         let mut values = texts.into_iter().map(Value::String);
-        if flag.many {
+        if flag.is_repeatable {
             let values: Vec<Value> = values.collect();
             if !values.is_empty() {
                 insert(&mut table, flag.key, Value::Array(values))?;
@@ -157,14 +162,14 @@
     }
     for assignment in matches.opt_strs("set") {
         let Some((key, text)) = assignment.split_once('=') else {
-            return Err(UsageError { message: format!("\"{assignment}\" is not KEY=VALUE") });
+            return Err(UsageError { message: format!("\"{assignment}\" is not of the form KEY=VALUE") });
         };
         insert(&mut table, key.trim(), parse_value(text.trim()))?;
     }
     Ok(table)
 }
 
-/// A value as TOML writes it; what is no TOML value is taken as text.
+/// Parses a TOML value. Text that is no valid TOML value becomes a string.
 fn parse_value(text: &str) -> Value {
     let parsed = format!("value = {text}").parse::<Table>();
     let value = parsed.ok().and_then(|mut table| table.remove("value"));
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,18 +1,19 @@
-//! What every part of a node can reach: its settings, its snapshots of the cluster, and the handles of its parts.
+//! Shared state of a node: its settings, snapshots of the cluster, and handles of its modules' tasks.
 //!
-//! Traffic threads read the snapshots here without a lock; the control thread replaces them as a whole, each from one part,
-//! named beside the field.
+//! Traffic threads read the snapshots without a lock. The control thread replaces each snapshot as a whole; the only
+//! module that writes it is named at the field.
 //!
-//! Who may import what, so that the parts stand below and above each other and not in a circle:
+//! The modules are layered to avoid import cycles, from the lowest layer to the highest:
 //!
-//! - below the context, and so importing neither it nor a part's tasks: `boot_clock`, `cluster`, `decisions`, `directory`,
-//!   `logging`, `metrics`, `settings`, and the files of the handles that this file imports;
-//! - above the context: the tasks of the parts. A task reaches another part through that part's handle in the context, or is
-//!   given the handle when it is started (`node::control`);
-//! - between the two: `ownership`, which reads the context for the tasks of `batch` and of `metadata` and imports neither;
-//! - above all parts: `node`, which starts them, and `operators`, which shows them.
+//! - `boot_clock`, `cluster`, `decisions`, `directory`, `logging`, `metrics`, `settings` and the files of the handles
+//!   that this file imports. They import neither the context nor any module's tasks.
+//! - The context.
+//! - `ownership`, which reads the context for the tasks of `batch` and `metadata` and imports neither.
+//! - The tasks of the modules. A task reaches another module through that module's handle in the context, or
+//!   receives the handle when it is started (`node::control`).
+//! - `node`, which starts all tasks, and `operators`, which reports their state.
 //!
-//! `tests/module_imports.rs` reads the sources and fails where a file that this one imports leads back here.
+//! `tests/module_imports.rs` checks that no file imported here imports the context, directly or indirectly.
 
 use std::sync::Arc;
 
@@ -36,53 +37,53 @@
 use crate::settings::Settings;
 use crate::store::replica_set_cache::ReplicaSetCache;
 
-/// One node's shared state.
+/// Shared state of one node.
 pub struct NodeContext {
     /// This node.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneName,
-    /// The clock by which an authority is judged.
+    /// The clock that times an owner's authority.
     pub boot_clock: BootClock,
-    /// The checked settings file with flags over it.
+    /// The validated settings: the settings file, overridden by flags.
     pub settings: Settings,
-    /// Decisions, as they are made.
+    /// Records decisions and publishes them to watchers.
     pub decisions: DecisionLog,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Live members. Written by `membership` only.
     pub cluster: ArcSwap<ClusterView>,
-    /// The way to the membership task; use the functions of [`crate::membership`].
+    /// Handle of the membership task, used through the functions of [`crate::membership`].
     pub membership: MembershipHandle,
     /// Replicas of each pool. Written by `configuration` only.
     pub directory: ArcSwap<ReplicaDirectory>,
     /// The settings tree in force. Written by `configuration` only.
     pub configuration: ArcSwap<ConfigurationView>,
-    /// The way to the tasks that spread the configuration and the directory.
+    /// Handle of the tasks that disseminate the configuration and the directory.
     pub documents: ConfigurationHandle,
-    /// Store replicas of shards, as far as this node has met them.
+    /// Cached replica sets of shards.
     pub replica_sets: ReplicaSetCache,
     /// The platform's metadata. Written by `metadata` only.
     pub metadata: MetadataHandle,
-    /// Requests under which replicas end.
+    /// Requests that are suspected of crashing replicas.
     pub quarantine: QuarantineHandle,
-    /// Who owns the batch jobs that may be kept anywhere, as far as this node has heard.
+    /// The last known owner of the batch jobs that are not bound to regions.
     pub batch_owner: Arc<ArcSwapOption<NodeId>>,
-    /// What this node counts for the duty of usage.
+    /// Usage counted by this node for the usage report.
     pub usage: NodeUsage,
-    /// Connections to other nodes.
+    /// Clients for requests to other nodes.
     pub peers: PeerClients,
-    /// Cancelled when a planned stop begins: refuse new work, finish what runs.
+    /// Cancelled when a planned stop begins: new work is refused and running work finishes.
     pub draining: CancellationToken,
-    /// Cancelled when what ran has finished: end background work.
+    /// Cancelled when the running work has finished: background tasks end.
     pub stopped: CancellationToken,
 }
 
-/// A node's context, shared by its parts.
+/// A node's context, shared by its modules.
 pub type Context = Arc<NodeContext>;
 
 impl NodeContext {
-    /// The context of a node whose control runtime is `control`: no members, replicas or configuration yet.
+    /// Creates the context of a node whose control runtime is `control`, without members, replicas or configuration.
     pub fn new(settings: Settings, control: Handle) -> Context {
         let metrics = Metrics::new();
         let boot_clock = BootClock::default();
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,6 +1,7 @@
-//! The stream of decisions: kept in a short ring, sent to watchers, counted by reason, written to the log.
+//! Publishes decisions: writes them to the log, counts them by reason and broadcasts them to watchers.
 //!
-//! Owns the sequence numbers of this node's decisions. Relies on `metrics` for the counters; imports no other part.
+//! Assigns the sequence numbers of this node's decisions. Imports `metrics` for the counters and no other module of
+//! the node.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,11 +16,11 @@
 use crate::metrics::Metrics;
 use lichenpulley_core::time::whole_millis;
 
-/// Decisions that a slow watcher may fall behind before it loses some; the loss shows as a jump in
-/// `sequence`. Fewer lose decisions of a burst, more keep memory for watchers that read nothing.
+/// Number of decisions buffered for slow watchers. A watcher that falls further behind loses the oldest ones and
+/// sees a gap in `sequence`.
 const WATCHER_BACKLOG: usize = 4_096;
 
-/// Where parts record their decisions.
+/// Records the decisions of a node's modules. Cheap to clone.
 #[derive(Clone)]
 pub struct DecisionLog {
     node: NodeId,
@@ -29,33 +30,33 @@
 }
 
 impl DecisionLog {
-    /// A log for one node.
+    /// Creates a log for one node.
     pub fn new(node: NodeId, metrics: Metrics) -> Self {
         let (sender, _) = broadcast::channel(WATCHER_BACKLOG);
         Self { node, sequence: Arc::default(), sender, metrics }
     }
 
-    /// Counts a decision and sends it to whoever watches.
+    /// Counts and logs a decision and sends it to all watchers.
     pub fn record(&self, decision: Decision) {
         self.metrics.count_decision(&decision);
         log_decision(&decision);
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
         let event =
             DecisionEvent { node: self.node.clone(), sequence, unix_ms: unix_milliseconds(), decision };
-        // An error only says that nobody watches.
+        // Sending fails only if there are no watchers.
         let _ = self.sender.send(event);
     }
 
-    /// Decisions from now on.
+    /// Subscribes to the decisions recorded from now on.
     pub fn watch(&self) -> broadcast::Receiver<DecisionEvent> {
         self.sender.subscribe()
     }
 }
 
-/// One line for each decision, with what it was about and its inputs as fields.
+/// Logs a decision as one line, with its subject, reason and inputs as fields.
 fn log_decision(decision: &Decision) {
     let target = decision.component.as_str();
-    let level = level_of(decision);
+    let level = log_level(decision);
     if log::log_enabled!(target: target, level) {
         log::logger().log(
             &log::Record::builder()
@@ -68,8 +69,8 @@
     }
 }
 
-/// Routine steps that each request takes are for those who look closer; all else is always written.
-fn level_of(decision: &Decision) -> log::Level {
+/// Returns the log level of a decision: debug for the routine decisions of each request or probe, else info.
+fn log_level(decision: &Decision) -> log::Level {
     match (decision.component, decision.action.as_str()) {
         (Component::Routing, "replica_cold") => log::Level::Info,
         (Component::Routing | Component::Membership, _) => log::Level::Debug,
@@ -90,9 +91,9 @@
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_milliseconds() -> u64 {
-    // A clock before the epoch is not set; what is stamped then counts as from the epoch.
+    // A clock set before the epoch counts as the epoch.
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     whole_millis(since_epoch)
 }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,6 +1,8 @@
-//! The replicas of each pool and the nodes, as the lagging machine list of the product's own interface gives them.
+//! Directory of the replicas of each pool and of the nodes, built from the machine list of the product's own
+//! interface.
 //!
-//! A snapshot that `configuration` replaces as a whole, made from one document. Imports no other part of the node.
+//! The machine list lags behind the real state. The directory is a snapshot of one document and is replaced as a
+//! whole by `configuration`. Imports no other module of the node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,30 +20,30 @@
     pub zone: ZoneName,
     /// Its HTTP address.
     pub address: SocketAddr,
-    /// Whether the list says that it will be taken away.
+    /// Whether the list announces its removal.
     pub leaving: bool,
 }
 
-/// Replicas by pool. A hint: the list lags, so the replica itself has the last word.
+/// Replicas by pool, as a hint: the list lags, so what a replica reports itself takes precedence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaDirectory {
     /// The machine list's revision.
     pub revision: Revision,
     /// Replicas by pool.
     pub pools: BTreeMap<PoolName, Vec<ReplicaEntry>>,
-    /// Nodes that run `lichenpulleyd`, with their peer addresses: seeds for membership.
+    /// Peer addresses of the nodes that run `lichenpulleyd`, used as seeds for membership.
     pub nodes: BTreeMap<NodeId, SocketAddr>,
 }
 
 impl ReplicaDirectory {
-    /// The directory that a document of machines holds. Machines that can't be read are left out and logged.
+    /// Builds the directory from a document of machines. Entries that can't be parsed are logged and skipped.
     pub fn from_document(document: &Document) -> Self {
         let mut directory = Self { revision: document.revision(), ..Self::default() };
         for (id, text) in document.entries() {
             match parse_machine(text) {
                 Ok((machine, address)) => directory.add(machine, address),
                 Err(reason) => {
-                    log::warn!(target: "configuration", "Machine {id} of the list is left out: {reason}.");
+                    log::warn!(target: "configuration", "Skipping machine {id} of the machine list: {reason}; correct its entry.");
                 }
             }
         }
@@ -60,7 +62,7 @@
                 self.pools.entry(pool).or_default().push(entry);
             }
             (MachineKind::Engine, None) => {
-                log::warn!(target: "configuration", "Engine {} of the list has no pool and is left out.", machine.id);
+                log::warn!(target: "configuration", "Skipping engine {} of the machine list: it has no pool; add one to its entry.", machine.id);
             }
         }
     }
@@ -68,6 +70,7 @@
 
 fn parse_machine(text: &str) -> Result<(Machine, SocketAddr), String> {
     let machine: Machine = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    let address = machine.address.parse().map_err(|_| format!("`{}` is no address", machine.address))?;
+    let address =
+        machine.address.parse().map_err(|_| format!("`{}` is not of the form IP:PORT", machine.address))?;
     Ok((machine, address))
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,6 @@
-//! `lichenpulleyd`: sockets, files and timers round the core.
+//! The daemon `lichenpulleyd`: runs the state machines of the core with sockets, files and timers.
 //!
-//! A library too, so that a demonstration or a test can start whole nodes inside one process with
-//! [`node::Node::start`].
+//! It is also a library, so that demos and tests can start nodes within one process with [`node::Node::start`].
 
 pub mod arguments;
 mod batch;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,7 +1,7 @@
-//! Structured logs: one JSON object a line on standard output, bounded in volume, never blocking.
+//! Structured logging: one JSON object per line on standard output, rate-limited and non-blocking.
 //!
-//! Lines go through a queue to a thread of their own. A full queue, or more lines a second than are allowed, drops lines;
-//! how many is counted and written as a line of its own as soon as there is room.
+//! A queue passes the lines to a writer thread. Lines are dropped while the queue is full or the rate limit is
+//! exceeded. The next line written is preceded by a line with the number of dropped ones.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -15,52 +15,49 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 
-/// What is logged where `RUST_LOG` is not set; `tarpc` would log every call.
+/// The filter used if `RUST_LOG` is not set. At the level info, `tarpc` logs every call.
 const DEFAULT_FILTER: &str = "info,tarpc=warn";
-/// Lines that may wait to be written. Chosen, not measured: fewer drop lines of a burst, more keep memory
-/// behind a reader that has stopped.
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 2_048;
-/// Lines written in one second at most. Chosen, not measured: fewer lose lines that tell what went wrong, more cost a small
-/// machine its processor while much goes wrong.
+/// Maximum number of lines per second. Bounds the processor time spent on logging.
 const LINES_PER_SECOND: u64 = 400;
 
-/// The node whose lines these are.
+/// The name of this process's node.
 static NODE: OnceLock<String> = OnceLock::new();
 
-/// Names the node in each line from now on.
-pub fn name_node(node: &str) {
-    // A second node in one process leaves the first one's name.
+/// Sets the node name added to each subsequent line.
+pub fn set_node_name(node: &str) {
+    // If a process runs several nodes, the name of the first one stays.
     let _ = NODE.set(node.to_owned());
 }
 
-/// Lines dropped since the process started.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped since the process started.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that wait to be written.
-static WAITING: AtomicU64 = AtomicU64::new(0);
-/// How long the end of a process waits for its last lines. Chosen, not measured: longer delays a restart behind a reader
-/// of the log that has stopped.
-const FINISH_LIMIT: Duration = Duration::from_millis(200);
-/// Between two looks at whether the last lines are written. Chosen: a process ends at most this much later than it could.
+/// Number of lines in the queue.
+static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
+/// How long [`finish`] waits for queued lines. A stalled reader of the log delays a restart by this time.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which [`finish`] checks the queue.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Waits a little until what was logged is written; for the end of a process.
+/// Waits a short time until all queued lines are written. Called before the process exits.
 pub fn finish() {
     let began = Instant::now();
-    while WAITING.load(Ordering::Relaxed) > 0 && began.elapsed() < FINISH_LIMIT {
+    while QUEUED_LINES.load(Ordering::Relaxed) > 0 && began.elapsed() < FINISH_TIMEOUT {
         std::thread::sleep(FINISH_POLL_INTERVAL);
     }
 }
 
-/// Lines of the log that were dropped since the process started.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Begins to log to standard output.
+/// Starts logging to standard output.
 ///
 /// # Errors
-/// When the writer's thread can't be started or logging was begun before.
+/// When the writer thread can't be started or a logger is already installed.
 pub fn start() -> io::Result<()> {
     let writer = QueuedWriter::start(io::stdout())?;
     let mut builder = Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER));
@@ -74,13 +71,13 @@
     writeln!(buffer, "{line}")
 }
 
-/// One line: time, level, part, message, and the fields of the record.
+/// Formats a record as one JSON object: time, node, level, target, message, and the fields of the record.
 fn line(time: &str, record: &Record<'_>) -> String {
     let mut fields = Fields(Map::new());
-    // Fields that can't be read are left out; the rest of the line is still of use.
+    // Fields that can't be formatted are omitted; the rest of the line is still useful.
     let _ = record.key_values().visit(&mut fields);
     let mut message = String::new();
-    // Writing into a string does not fail.
+    // Writing to a `String` never fails.
     let _ = write!(message, "{}", record.args());
     let mut line = Map::new();
     line.insert("time".to_owned(), time.into());
@@ -105,48 +102,48 @@
     }
 }
 
-/// Hands lines to a thread; drops them where it is behind.
+/// Passes lines to a writer thread. Drops lines while the queue is full or the rate limit is exceeded.
 pub struct QueuedWriter {
     lines: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    second: Instant,
-    written: u64,
+    second_start: Instant,
+    lines_in_second: u64,
 }
 
 impl QueuedWriter {
-    /// A writer in front of `output`, which may block.
+    /// Starts a writer thread for `output`, which may block.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// When the thread can't be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
         let (lines, received) = sync_channel(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let pending = Arc::clone(&dropped);
+        let dropped_in_writer = Arc::clone(&dropped);
         std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(output, &received, &pending))?;
-        Ok(Self { lines, dropped, second: Instant::now(), written: 0 })
+            .spawn(move || write_lines(output, &received, &dropped_in_writer))?;
+        Ok(Self { lines, dropped, second_start: Instant::now(), lines_in_second: 0 })
     }
 
-    /// Whether one more line may be written in this second.
-    fn has_allowance(&mut self) -> bool {
-        if self.second.elapsed() >= Duration::from_secs(1) {
-            self.second = Instant::now();
-            self.written = 0;
+    /// Counts a line against the rate limit and returns whether it may be written.
+    fn is_within_rate_limit(&mut self) -> bool {
+        if self.second_start.elapsed() >= Duration::from_secs(1) {
+            self.second_start = Instant::now();
+            self.lines_in_second = 0;
         }
-        self.written += 1;
-        self.written <= LINES_PER_SECOND
+        self.lines_in_second += 1;
+        self.lines_in_second <= LINES_PER_SECOND
     }
 }
 
 impl Write for QueuedWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let is_taken = self.has_allowance() && self.lines.try_send(line.to_vec()).is_ok();
-        if is_taken {
-            WAITING.fetch_add(1, Ordering::Relaxed);
+        let is_queued = self.is_within_rate_limit() && self.lines.try_send(line.to_vec()).is_ok();
+        if is_queued {
+            QUEUED_LINES.fetch_add(1, Ordering::Relaxed);
         } else {
             self.dropped.fetch_add(1, Ordering::Relaxed);
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -158,18 +155,18 @@
 
 fn write_lines(mut output: impl Write, lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     while let Ok(line) = lines.recv() {
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let note =
-                format!(r#"{{"level":"warn","part":"log","message":"lines were dropped","lines":{lost}}}"#);
-            // Nobody can be told that the log can't be written.
+        let dropped_count = dropped.swap(0, Ordering::Relaxed);
+        if dropped_count > 0 {
+            let note = format!(
+                r#"{{"level":"warn","part":"log","message":"lines were dropped","lines":{dropped_count}}}"#
+            );
+            // An error of the log itself can't be reported anywhere.
             let _ = writeln!(output, "{note}");
         }
-        // The same holds here.
         let _ = output.write_all(&line);
         let _ = output.flush();
-        // The line may be written before its sender has counted it.
-        let _ = WAITING
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |waiting| Some(waiting.saturating_sub(1)));
+        // The line may be written before its sender has counted it, so the subtraction saturates.
+        let _ = QUEUED_LINES
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |queued| Some(queued.saturating_sub(1)));
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,8 @@
-//! `lichenpulleyd`: runs one node.
+//! The `lichenpulleyd` binary: runs one node as a process.
 //!
-//! Owns the process: its command line, its signals (the first SIGTERM or SIGINT begins a planned stop, the second ends it,
-//! SIGHUP reads the settings again) and its exit code. The node itself is [`lichenpulley_daemon::node`].
+//! Handles the command line, signals and the exit code. The first SIGTERM or SIGINT starts a planned stop, the
+//! second ends the process immediately, and SIGHUP rereads the settings file. The node is implemented in
+//! [`lichenpulley_daemon::node`].
 
 use std::io::Write;
 use std::path::Path;
@@ -13,36 +14,36 @@
 use lichenpulley_daemon::settings::Settings;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The command line or the settings are wrong.
+/// Exit code for an invalid command line or invalid settings.
 const USAGE_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
     if let Err(error) = logging::start() {
-        return fail(&format!("logs can't be written: {error}; raise the limit of threads"));
+        return fail(&format!("can't start the log writer: {error}; raise the limit of threads"));
     }
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments::parse(&arguments) {
         Ok(Invocation::Help(text)) => print(&text),
         Ok(Invocation::Version) => print(concat!("lichenpulleyd ", env!("CARGO_PKG_VERSION"), "\n")),
-        Ok(Invocation::Check(arguments)) => match load(&arguments) {
+        Ok(Invocation::Check(arguments)) => match load_settings(&arguments) {
             Ok(_) => print("the settings are good\n"),
-            Err(problem) => refuse(&problem),
+            Err(problem) => exit_with_usage_error(&problem),
         },
-        Ok(Invocation::Run(arguments)) => match load(&arguments) {
+        Ok(Invocation::Run(arguments)) => match load_settings(&arguments) {
             Ok(settings) => run(settings, &arguments),
-            Err(problem) => refuse(&problem),
+            Err(problem) => exit_with_usage_error(&problem),
         },
-        Err(error) => refuse(&error.to_string()),
+        Err(error) => exit_with_usage_error(&error.to_string()),
     }
 }
 
 fn print(text: &str) -> ExitCode {
-    // A reader that closed its end early wants no more.
+    // Writing fails only if the reader has closed the pipe.
     let _ = std::io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
 }
 
-fn refuse(problem: &str) -> ExitCode {
+fn exit_with_usage_error(problem: &str) -> ExitCode {
     eprintln!("lichenpulleyd: {problem}");
     ExitCode::from(USAGE_FAILURE)
 }
@@ -52,7 +53,7 @@
     ExitCode::FAILURE
 }
 
-fn load(arguments: &Arguments) -> Result<Settings, String> {
+fn load_settings(arguments: &Arguments) -> Result<Settings, String> {
     let text = match &arguments.settings_file {
         Some(path) => read_file(path)?,
         None => String::new(),
@@ -70,10 +71,10 @@
 fn run(settings: Settings, arguments: &Arguments) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return fail(&format!("no thread can be started: {error}; raise the limit of threads")),
+        Err(error) => return fail(&format!("can't start the runtime: {error}; raise the open files limit")),
     };
-    let ended = runtime.block_on(run_node(settings, arguments));
-    let code = match ended {
+    let result = runtime.block_on(run_node(settings, arguments));
+    let code = match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => fail(&problem),
     };
@@ -82,32 +83,32 @@
 }
 
 async fn run_node(settings: Settings, arguments: &Arguments) -> Result<(), String> {
-    logging::name_node(settings.node.as_str());
+    logging::set_node_name(settings.node.as_str());
     log::info!(
         target: "node",
         version = env!("CARGO_PKG_VERSION"),
         settings = arguments.settings_file.as_ref().map_or_else(String::new, |path| path.display().to_string()),
         zone = settings.zone.as_str();
-        "The node starts."
+        "Starting the node."
     );
     let mut signals = Signals::listen()?;
     let node = Node::start(settings).await.map_err(|error| error.to_string())?;
     if let Some(path) = &arguments.addresses_file {
         write_addresses(path, &node.addresses())?;
     }
-    // A file that can't be read any more is only missing from what SIGHUP compares with.
+    // If the file can't be read any more, the first SIGHUP reports all its lines as changed.
     let mut in_force = arguments.settings_file.as_ref().and_then(|path| read_file(path).ok());
     let mut is_stopping = false;
     loop {
         let request = tokio::select! {
             request = signals.next() => request,
             () = node.stopped(), if is_stopping => return Ok(()),
-            () = node.stopped(), if !is_stopping => return Err("the node ended by itself; its log names the cause".to_owned()),
+            () = node.stopped(), if !is_stopping => return Err("the node stopped unexpectedly; see its log for the cause".to_owned()),
         };
         match request {
             Request::Reload => in_force = reload(arguments, in_force),
             Request::Stop if is_stopping => {
-                return Err("asked twice to stop: ended with requests in flight".to_owned());
+                return Err("asked twice to stop: exiting with requests in flight".to_owned());
             }
             Request::Stop => {
                 is_stopping = true;
@@ -117,13 +118,13 @@
     }
 }
 
-/// Reads the settings file again and tells what changed; a node takes settings into force when it starts.
+/// Rereads the settings file and logs the changed lines. Settings take effect only when the node starts.
 fn reload(arguments: &Arguments, in_force: Option<String>) -> Option<String> {
     let path = arguments.settings_file.as_ref()?;
-    let text = match load(arguments).and_then(|_| read_file(path)) {
+    let text = match load_settings(arguments).and_then(|_| read_file(path)) {
         Ok(text) => text,
         Err(problem) => {
-            log::warn!(target: "node", problem = problem; "The settings file was changed to one that can't be used; what is in force stays.");
+            log::warn!(target: "node", problem = problem; "Ignoring the changed settings file, which can't be used; correct it before the next start.");
             return in_force;
         }
     };
@@ -133,25 +134,25 @@
     Some(text)
 }
 
-/// Writes a file beside it and renames, so that a reader never sees half of it.
+/// Writes the addresses to a temporary file and renames it, so that readers never see a partial file.
 fn write_addresses(path: &Path, addresses: &NodeAddresses) -> Result<(), String> {
     let problem =
         |error: std::io::Error| format!("{} can't be written: {error}; check the path", path.display());
     let text = serde_json::to_string(addresses).map_err(|error| error.to_string())?;
-    let unfinished = path.with_extension("unfinished");
-    std::fs::write(&unfinished, text).map_err(problem)?;
-    std::fs::rename(&unfinished, path).map_err(problem)
+    let temporary = path.with_extension("unfinished");
+    std::fs::write(&temporary, text).map_err(problem)?;
+    std::fs::rename(&temporary, path).map_err(problem)
 }
 
-/// What a signal asks for.
+/// The request that a signal stands for.
 enum Request {
-    /// SIGTERM and SIGINT: the first begins a planned stop, the second ends the process.
+    /// SIGTERM or SIGINT: the first starts a planned stop, the second ends the process.
     Stop,
     /// SIGHUP: the settings file changed.
     Reload,
 }
 
-/// The signals that a node listens to.
+/// Streams of the signals that the process handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
