--- a/crates/daemon/tests/module_imports.rs
+++ b/crates/daemon/tests/module_imports.rs
@@ -1,20 +1,20 @@
-//! Which module may import what: the head of `context.rs` says it, and this reads the sources for it.
+//! Checks the layering of the daemon's modules, which is described in `context.rs`.
 //!
-//! A file that the context imports must not import the context, neither itself nor through what it imports; otherwise each
-//! part of the daemon needs every other part.
+//! A file that the context imports must not import the context, directly or indirectly. Otherwise each module of the
+//! daemon would depend on every other one.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fs;
 use std::path::Path;
 
-/// The daemon's sources.
+/// Folder of the daemon's sources.
 const SOURCES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/src");
 
-/// The module of the context.
+/// Path of the context's module.
 const CONTEXT: &str = "context";
 
-/// The modules of the handles by which a part of the node reaches the others. Each must be one that the context imports,
-/// so that a handle that moves is noticed here.
+/// The modules of the handles through which the parts of a node reach each other. The context must import each of
+/// them, so that this list is updated when a handle is moved.
 const HANDLES: [&str; 9] = [
     "configuration::handle",
     "configuration::view",
@@ -27,10 +27,11 @@
     "store::replica_set_cache",
 ];
 
-/// The daemon's modules: text without comments, by path from the root (`metadata::handle`; the root itself is empty).
+/// Source text of the daemon's modules without comments, by path such as `metadata::handle`. The path of the root
+/// is empty.
 struct Modules(BTreeMap<String, String>);
 
-/// One import: the path as written, and the module that it leads to.
+/// One import: the path as written and the module that it resolves to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Import {
     path: String,
@@ -44,17 +45,18 @@
         Self(modules)
     }
 
-    /// What a module imports of the daemon.
+    /// Returns the imports of a module from the daemon.
     fn imports(&self, module: &str) -> BTreeSet<Import> {
         let paths = paths_in(&self.0[module]);
         paths.into_iter().filter_map(|path| self.resolve(module, path)).collect()
     }
 
-    /// The deepest module that a path names; `None` for a path into another crate.
+    /// Resolves a path to the innermost module that it names. Returns `None` for a path into another crate or into
+    /// `from` itself.
     fn resolve(&self, from: &str, path: String) -> Option<Import> {
         let mut base: Vec<&str> = from.split("::").filter(|name| !name.is_empty()).collect();
         let mut names = path.split("::").peekable();
-        let is_child = |name: &&str| self.0.contains_key(&joined(&base, name));
+        let is_child = |name: &&str| self.0.contains_key(&join_path(&base, name));
         if !names.peek().is_some_and(|name| matches!(*name, "crate" | "self" | "super") || is_child(name)) {
             return None;
         }
@@ -63,7 +65,7 @@
                 "crate" => base.clear(),
                 "self" => {}
                 "super" => drop(base.pop()),
-                name if self.0.contains_key(&joined(&base, name)) => base.push(name),
+                name if self.0.contains_key(&join_path(&base, name)) => base.push(name),
                 _ => break,
             }
         }
@@ -71,31 +73,34 @@
         (module != from).then_some(Import { path, module })
     }
 
-    /// The shortest way by imports from one module to another: each module on it with the import that leads on.
-    fn way(&self, from: &str, to: &str) -> Option<Vec<(String, Import)>> {
-        let mut reached = BTreeSet::from([from.to_owned()]);
-        let mut waiting = VecDeque::from([(from.to_owned(), Vec::new())]);
-        while let Some((module, way)) = waiting.pop_front() {
+    /// Returns the shortest chain of imports from one module to another: each module with the import that leads to
+    /// the next one. Returns `None` if there is none.
+    fn chain(&self, from: &str, to: &str) -> Option<Vec<(String, Import)>> {
+        let mut visited = BTreeSet::from([from.to_owned()]);
+        let mut queue = VecDeque::from([(from.to_owned(), Vec::new())]);
+        while let Some((module, chain)) = queue.pop_front() {
             for import in self.imports(&module) {
-                let mut longer: Vec<(String, Import)> = way.clone();
-                longer.push((module.clone(), import.clone()));
+                let mut extended: Vec<(String, Import)> = chain.clone();
+                extended.push((module.clone(), import.clone()));
                 if import.module == to {
-                    return Some(longer);
+                    return Some(extended);
                 }
-                if reached.insert(import.module.clone()) {
-                    waiting.push_back((import.module, longer));
+                if visited.insert(import.module.clone()) {
+                    queue.push_back((import.module, extended));
                 }
             }
         }
         None
     }
 
-    /// What is wrong with a module that the context imports, and which import to remove; `None` where nothing is.
-    fn fault(&self, module: &str) -> Option<String> {
-        let way = self.way(module, CONTEXT)?;
-        // What imports the context itself stands above it: the import to remove is the one that leads there.
-        let (file, import) = &way[way.len().saturating_sub(2)];
-        let steps: Vec<&str> = way.iter().map(|(module, _)| module.as_str()).collect();
+    /// Describes how a module imported by the context reaches it, and which import to remove. Returns `None` if it
+    /// does not.
+    fn violation(&self, module: &str) -> Option<String> {
+        let chain = self.chain(module, CONTEXT)?;
+        // The last module of the chain imports the context and so belongs to a higher layer; the import to remove is the
+        // one that leads to that module.
+        let (file, import) = &chain[chain.len().saturating_sub(2)];
+        let steps: Vec<&str> = chain.iter().map(|(module, _)| module.as_str()).collect();
         let steps = steps.join(" -> ");
         Some(format!(
             "{module} reaches the context ({steps}): remove the import of {} from {file}",
@@ -104,7 +109,7 @@
     }
 }
 
-fn joined(base: &[&str], name: &str) -> String {
+fn join_path(base: &[&str], name: &str) -> String {
     [base, &[name]].concat().join("::")
 }
 
@@ -113,7 +118,7 @@
         let path = entry.expect("an entry").path();
         let name = path.file_stem().and_then(|name| name.to_str()).expect("a name in UTF-8");
         let parents: Vec<&str> = module.split("::").filter(|name| !name.is_empty()).collect();
-        let child = joined(&parents, name);
+        let child = join_path(&parents, name);
         if path.is_dir() {
             read_folder(&path, &child, modules);
             continue;
@@ -128,30 +133,30 @@
     code.collect::<Vec<&str>>().join("\n")
 }
 
-/// All paths of a source: those of its imports, with their braces resolved, and those written out in its code.
+/// Returns all paths of a source text: those of its imports, with braces expanded, and those written in its code.
 fn paths_in(text: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for statement in text.split_inclusive(';') {
-        let import = statement.rfind("use ").filter(|at| is_import(statement, *at));
+        let import = statement.rfind("use ").filter(|position| is_import(statement, *position));
         match import {
-            Some(at) => {
-                expand("", statement[at + "use ".len()..].trim_end_matches(';'), &mut paths);
-                paths.extend(written_paths(&statement[..at]));
+            Some(position) => {
+                expand("", statement[position + "use ".len()..].trim_end_matches(';'), &mut paths);
+                paths.extend(inline_paths(&statement[..position]));
             }
-            None => paths.extend(written_paths(statement)),
+            None => paths.extend(inline_paths(statement)),
         }
     }
     paths
 }
 
-/// Whether `use` at this place begins an import: a word of its own, with nothing but its visibility before it.
-fn is_import(statement: &str, at: usize) -> bool {
-    let before = statement[..at].lines().last().unwrap_or_default().trim();
-    let starts_line = statement[..at].is_empty() || statement[..at].ends_with(['\n', ' ', ')']);
+/// Returns whether `use` at this position begins an import, preceded by nothing but a visibility.
+fn is_import(statement: &str, position: usize) -> bool {
+    let before = statement[..position].lines().last().unwrap_or_default().trim();
+    let starts_line = statement[..position].is_empty() || statement[..position].ends_with(['\n', ' ', ')']);
     starts_line && (before.is_empty() || before.starts_with("pub"))
 }
 
-/// The paths of an import's tree.
+/// Appends the paths of a `use` tree to `paths`.
 fn expand(prefix: &str, tree: &str, paths: &mut Vec<String>) {
     let tree = tree.trim();
     let Some(open) = tree.find('{') else {
@@ -162,14 +167,14 @@
     let prefix = format!("{prefix}{}", &tree[..open]);
     let inner = tree[open + 1..].trim_end().trim_end_matches('}');
     let (mut depth, mut begin) = (0_usize, 0);
-    // A nested tree at the end has lost its closing brace with the outer one; its own call needs none.
-    for (at, sign) in inner.char_indices() {
-        match sign {
+    // Trimming the closing brace also removes that of a nested tree at the end, whose expansion does not need it.
+    for (position, character) in inner.char_indices() {
+        match character {
             '{' => depth += 1,
             '}' => depth = depth.saturating_sub(1),
             ',' if depth == 0 => {
-                expand(&prefix, &inner[begin..at], paths);
-                begin = at + 1;
+                expand(&prefix, &inner[begin..position], paths);
+                begin = position + 1;
             }
             _ => {}
         }
@@ -179,38 +184,39 @@
     }
 }
 
-/// Paths from the root or the module above that stand in code.
-fn written_paths(code: &str) -> impl Iterator<Item = String> {
-    let words = code.split(|sign: char| !(sign.is_alphanumeric() || sign == '_' || sign == ':'));
+/// Returns the paths in code that begin with `crate`, `self` or `super`.
+fn inline_paths(code: &str) -> impl Iterator<Item = String> {
+    let words =
+        code.split(|character: char| !(character.is_alphanumeric() || character == '_' || character == ':'));
     let paths =
         words.filter(|word| ["crate::", "self::", "super::"].iter().any(|root| word.starts_with(root)));
     paths.map(str::to_owned)
 }
 
 #[test]
-fn no_file_that_the_context_imports_reaches_the_context() {
+fn files_imported_by_the_context_do_not_reach_it() {
     let modules = Modules::read();
     let imported: BTreeSet<String> =
         modules.imports(CONTEXT).into_iter().map(|import| import.module).collect();
     let missing: Vec<&&str> = HANDLES.iter().filter(|handle| !imported.contains(**handle)).collect();
     assert!(
         missing.is_empty(),
-        "let the context import the handle's own file, or rename it here: {missing:?}"
+        "import these handles in the context, or correct their paths in this test: {missing:?}"
     );
-    let faults: Vec<String> = imported.iter().filter_map(|module| modules.fault(module)).collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    let violations: Vec<String> = imported.iter().filter_map(|module| modules.violation(module)).collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn no_file_of_the_metadata_imports_the_batch_jobs() {
+fn metadata_does_not_import_batch() {
     let modules = Modules::read();
-    let of_metadata = modules.0.keys().filter(|module| module.split("::").next() == Some("metadata"));
-    for module in of_metadata {
+    let metadata_modules = modules.0.keys().filter(|module| module.split("::").next() == Some("metadata"));
+    for module in metadata_modules {
         for import in modules.imports(module) {
             let is_batch = import.module.split("::").next() == Some("batch");
             assert!(
                 !is_batch,
-                "remove the import of {} from {module}: the batch jobs import the metadata",
+                "remove the import of {} from {module}: the batch jobs may import the metadata but not the reverse",
                 import.path
             );
         }
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn imports_are_read_in_every_form() {
+fn all_forms_of_imports_are_parsed() {
     let read = |text: &str| paths_in(&without_comments(text));
     assert_eq!(
         read("use crate::context::{Context, NodeContext};"),
@@ -233,7 +239,7 @@
 }
 
 #[test]
-fn what_imports_the_context_is_found_directly_and_through_others() {
+fn direct_and_indirect_imports_of_the_context_are_detected() {
     let texts = [
         ("context", ""),
         ("part", "use crate::context::Context;"),
@@ -246,9 +252,9 @@
     let modules = Modules(texts.map(|(module, text)| (module.to_owned(), text.to_owned())).into());
     let expected =
         "direct reaches the context (direct): remove the import of super::context::Context from direct";
-    assert_eq!(modules.fault("direct").as_deref(), Some(expected));
+    assert_eq!(modules.violation("direct").as_deref(), Some(expected));
     let expected = "through reaches the context (through -> middle -> part): remove the import of \
                     crate::part::Records from middle";
-    assert_eq!(modules.fault("through").as_deref(), Some(expected));
-    assert_eq!(modules.fault("free"), None);
+    assert_eq!(modules.violation("through").as_deref(), Some(expected));
+    assert_eq!(modules.violation("free"), None);
 }
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -1,4 +1,4 @@
-//! `lichenpulleyd` as a process: exit codes, signals, and the file of bound addresses.
+//! Tests of `lichenpulleyd` as a process: exit codes, signals and the file of bound addresses.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -10,10 +10,10 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
 
-const PATIENCE: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running daemon; killed where a test ends early.
+/// A running daemon. Killed when dropped.
 struct Daemon {
     child: Child,
     folder: TempDir,
@@ -21,7 +21,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // An error only says that it has ended already.
+        // Killing fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -31,17 +31,21 @@
     fn start(notice_ms: u64) -> Self {
         let folder = TempDir::new().expect("a folder");
         let settings = settings_file(folder.path(), notice_ms);
-        let child =
-            command(&["--settings", text(&settings), "--addresses-file", text(&addresses_file(&folder))])
-                .spawn()
-                .expect("the binary runs");
+        let child = command(&[
+            "--settings",
+            path_str(&settings),
+            "--addresses-file",
+            path_str(&addresses_file(&folder)),
+        ])
+        .spawn()
+        .expect("the binary runs");
         Self { child, folder }
     }
 
     fn addresses(&self) -> NodeAddresses {
         let path = addresses_file(&self.folder);
         wait_for(|| path.exists());
-        let written = std::fs::read(path).expect("the file is whole once it exists");
+        let written = std::fs::read(path).expect("the file is complete once it exists");
         serde_json::from_slice(&written).expect("addresses as JSON")
     }
 
@@ -49,14 +53,14 @@
         kill_process(Pid::from_child(&self.child), signal).expect("the process runs");
     }
 
-    fn end(&mut self) -> ExitStatus {
-        let begin = Instant::now();
+    fn wait_for_exit(&mut self) -> ExitStatus {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("the status can be read") {
                 return status;
             }
-            assert!(begin.elapsed() < PATIENCE, "the process does not end");
-            std::thread::sleep(PAUSE);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the process did not exit in time");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -67,14 +71,14 @@
     command
 }
 
-/// Runs to the end and gives the exit code, standard output and standard error.
+/// Runs the daemon until it exits and returns the exit code, standard output and standard error.
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
     let output = command(arguments).output().expect("the binary runs");
     let as_text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (output.status.code(), as_text(output.stdout), as_text(output.stderr))
 }
 
-fn text(path: &Path) -> &str {
+fn path_str(path: &Path) -> &str {
     path.to_str().expect("a path in UTF-8")
 }
 
@@ -94,37 +98,37 @@
 }
 
 fn wait_for(mut condition: impl FnMut() -> bool) {
-    let begin = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(begin.elapsed() < PATIENCE, "the condition never came");
-        std::thread::sleep(PAUSE);
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the condition was not met in time");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 #[test]
-fn the_first_signal_begins_a_planned_stop_that_ends_well() {
+fn first_signal_starts_a_planned_stop_with_exit_code_zero() {
     for signal in [Signal::TERM, Signal::INT] {
         let mut daemon = Daemon::start(0);
         let addresses = daemon.addresses();
         TcpStream::connect(addresses.callers).expect("the callers' port is open");
         daemon.signal(signal);
-        assert_eq!(daemon.end().code(), Some(0));
+        assert_eq!(daemon.wait_for_exit().code(), Some(0));
         assert!(TcpStream::connect(addresses.callers).is_err(), "the port is still open");
     }
 }
 
 #[test]
-fn the_second_signal_ends_the_process_at_once() {
+fn second_signal_ends_the_process_immediately() {
     let notice = Duration::from_secs(600);
     let mut daemon = Daemon::start(u64::try_from(notice.as_millis()).expect("milliseconds"));
     daemon.addresses();
     daemon.signal(Signal::TERM);
-    // Two signals of a kind may be merged into one while the first waits, so the second is sent until it counts.
+    // A signal may be lost if one of its kind is still pending, so the second is sent repeatedly.
     wait_for(|| {
         daemon.signal(Signal::INT);
         daemon.child.try_wait().expect("the status can be read").is_some()
     });
-    assert_eq!(daemon.end().code(), Some(1));
+    assert_eq!(daemon.wait_for_exit().code(), Some(1));
     let mut log = String::new();
     let mut stderr = daemon.child.stderr.take().expect("piped");
     stderr.read_to_string(&mut log).expect("text");
@@ -132,12 +136,12 @@
 }
 
 #[test]
-fn a_check_starts_nothing_and_tells_by_its_exit_code() {
+fn check_validates_settings_and_reports_by_exit_code() {
     let folder = TempDir::new().expect("a folder");
     let settings = settings_file(folder.path(), 0);
-    let (code, output, _) = run(&["--settings", text(&settings), "--check"]);
+    let (code, output, _) = run(&["--settings", path_str(&settings), "--check"]);
     assert_eq!((code, output.as_str()), (Some(0), "the settings are good\n"));
-    let (code, _, problems) = run(&["--settings", text(&settings), "--role", "store", "--check"]);
+    let (code, _, problems) = run(&["--settings", path_str(&settings), "--role", "store", "--check"]);
     assert_eq!(code, Some(2));
     assert!(problems.contains("data_folder: "), "{problems}");
     assert_eq!(run(&["--check"]).0, Some(2));
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn help_and_version_are_told_and_unknown_flags_are_refused() {
+fn help_and_version_are_printed_and_unknown_flags_are_rejected() {
     let (code, help, _) = run(&["--help"]);
     assert_eq!(code, Some(0));
     assert!(help.contains("--settings") && help.contains("--check"), "{help}");
@@ -156,12 +160,12 @@
 }
 
 #[test]
-fn an_address_in_use_is_named_with_its_key() {
+fn address_in_use_is_reported_with_its_key() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address").to_string();
     let folder = TempDir::new().expect("a folder");
     let settings = settings_file(folder.path(), 0);
-    let (code, _, problem) = run(&["--settings", text(&settings), "--operators", &address]);
+    let (code, _, problem) = run(&["--settings", path_str(&settings), "--operators", &address]);
     assert_eq!(code, Some(1));
     assert!(problem.contains("addresses.operators") && problem.contains(&address), "{problem}");
 }
