--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -84,7 +84,7 @@
 /// Parses a command line, without the program name.
 ///
 /// # Errors
-/// When a flag is unknown or lacks its value, or an argument is no flag.
+/// When a flag is unknown, lacks its value or sets a key inconsistently, or an argument is not a flag.
 pub fn parse(arguments: &[String]) -> Result<Invocation, UsageError> {
     let options = options();
     let matches = options.parse(arguments).map_err(|error| UsageError { message: error.to_string() })?;
--- a/crates/daemon/tests/logging.rs
+++ b/crates/daemon/tests/logging.rs
@@ -31,9 +31,9 @@
 
 #[test]
 fn stalled_output_does_not_block_logging_and_dropped_lines_are_counted() {
-    let (resume, resume_signal) = channel();
+    let (resume, receiver) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = BlockedOutput { resume_signal, written: Arc::clone(&written), is_blocked: true };
+    let output = BlockedOutput { resume_signal: receiver, written: Arc::clone(&written), is_blocked: true };
     let mut writer = QueuedWriter::start(output).expect("a writer");
     let lines = 10_000;
     for number in 0..lines {
