--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -117,8 +117,8 @@
             ProxyMode::DeafBack,
         ];
         let mode = modes[random.random_range(0..modes.len())];
-        let conditions = [ResponseMode::Silent, ResponseMode::Resets, ResponseMode::Busy];
-        let condition = conditions[random.random_range(0..conditions.len())];
+        let response_modes = [ResponseMode::Silent, ResponseMode::Resets, ResponseMode::Busy];
+        let response_mode = response_modes[random.random_range(0..response_modes.len())];
         let behaviours = [
             ReplicaBehaviour::Rejects,
             ReplicaBehaviour::LosesAnswers,
@@ -133,7 +133,7 @@
             3 => Fault::FreezeGateway(gateway),
             4 => Fault::FreezeStore(store),
             5 => Fault::StopGateway(gateway),
-            6 => Fault::Platform(condition),
+            6 => Fault::Platform(response_mode),
             7 => Fault::PlatformCut(gateway, mode),
             8 => Fault::ReplicaCut(replica, mode),
             _ => Fault::Replica(replica, behaviour),
--- a/crates/lab/src/soak/system/injection.rs
+++ b/crates/lab/src/soak/system/injection.rs
@@ -49,7 +49,7 @@
             Fault::FreezeStore(number) => signal(self.stores[number].as_ref(), Signal::STOP),
             Fault::FreezeStores => self.stores.iter().for_each(|store| signal(store.as_ref(), Signal::STOP)),
             Fault::StopGateway(number) => signal(self.gateways[number].as_ref(), Signal::TERM),
-            Fault::Platform(condition) => self.platform.set_response_mode(condition),
+            Fault::Platform(response_mode) => self.platform.set_response_mode(response_mode),
             Fault::PlatformCut(number, mode) => self.platform_proxies[number].set_mode(mode),
             Fault::ReplicaCut(number, mode) => self.replica_proxies[number].set_mode(mode),
             Fault::Replica(number, behaviour) => self.replicas[number].set_behaviour(behaviour),
